--- a/Makefile
+++ b/Makefile
@@ -20,8 +20,8 @@
 # one by one: some of these tests start a process again at the port that it
 # had, which a test beside them may have taken meanwhile.
 TEST_JOBS ?= 4
-DECISIONS := $(addprefix testing/,agent cfg edge entry experts membership \
-    placement routing shares suspects)
+DECISIONS := $(addprefix testing/,agent cfg crash_suspects edge entry experts \
+    membership placement routing shares)
 ALONE := $(addprefix testing/edge/,test_process.py test_knowledge.py)
 
 test: venv
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -23,16 +23,16 @@
 )
 
 from absl import logging  # noqa: E402
-import ending_rig  # noqa: E402
+import crash_rig  # noqa: E402
 import pytest  # noqa: E402
 import virtual_time  # noqa: E402
 
 from lugcross import clock as clock_lib  # noqa: E402
+from lugcross import crash_suspects  # noqa: E402
+from lugcross.crash_suspects import registry as registry_lib  # noqa: E402
 from lugcross.edge import casenews  # noqa: E402
 from lugcross.edge import messages  # noqa: E402
 from lugcross.edge import world as world_lib  # noqa: E402
-from lugcross import suspects  # noqa: E402
-from lugcross.suspects import ledger as ledger_lib  # noqa: E402
 
 ENDING = b"ends who runs it"
 GAPS_S = (0.2, 1.0, 3.0)
@@ -67,26 +67,26 @@
 
 #: What each way changes of the kept one.
 WAYS = {
-    "as it was": [(ledger_lib.Ledger, "merge", _no_ledger)],
+    "as it was": [(registry_lib.Ledger, "merge", _no_ledger)],
     "refuse after 3": [
-        (ledger_lib.Ledger, "_tells_apart", _never),
+        (registry_lib.Ledger, "_tells_apart", _never),
         (world_lib.World, "choose_apart", _anywhere),
     ],
     "refuse after 2": [
-        (ledger_lib, "MOST", 2),
-        (ledger_lib, "MOST_AT_LARGE", 2),
+        (registry_lib, "MOST", 2),
+        (registry_lib, "MOST_AT_LARGE", 2),
         (world_lib.World, "choose_apart", _anywhere),
     ],
     "2 if sure, anywhere": [(world_lib.World, "choose_apart", _anywhere)],
-    "3, suspects apart": [(ledger_lib.Ledger, "_tells_apart", _never)],
+    "3, suspects apart": [(registry_lib.Ledger, "_tells_apart", _never)],
     "2 if sure, apart": [],
 }
 
 
-def _play(seed: int, gap_s: float) -> ending_rig.Fleet:
-    async def main() -> ending_rig.Fleet:
+def _play(seed: int, gap_s: float) -> crash_rig.Fleet:
+    async def main() -> crash_rig.Fleet:
         random.seed(seed)
-        fleet = ending_rig.Fleet(
+        fleet = crash_rig.Fleet(
             patch, 3, 2, servers=10, attempts=ATTEMPTS, seed=seed
         )
         fleet.ending.add(ENDING)
@@ -96,7 +96,7 @@
             for _ in range(int(SECONDS / gap_s)):
                 await asyncio.sleep(gap_s * fleet.rng.uniform(0.5, 1.5))
                 fleet.ask(fleet.rng.choice(list(fleet.nodes)), ENDING)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.WORK_S)
         await fleet.stop()
         return fleet
 
@@ -126,8 +126,8 @@
     return (time.process_time() - begun) / rounds * 1e6
 
 
-def _identity(size: int) -> suspects.Identity:
-    return suspects.Identity(
+def _identity(size: int) -> crash_suspects.Identity:
+    return crash_suspects.Identity(
         service="s",
         workspace="w",
         host="h.example",
@@ -142,23 +142,25 @@
         us = _microseconds(_identity(size).fingerprint, rounds)
         print(f"fingerprint of {size} bytes: {us:.0f} us")
     clock = clock_lib.ManualClock()
-    ledger = suspects.Ledger()
+    ledger = crash_suspects.Ledger()
     now = clock.monotonic()
-    for num in range(ledger_lib.KEPT_MOST):
-        name = suspects.Fingerprint(num.to_bytes(suspects.SIZE, "big"))
+    for num in range(registry_lib.KEPT_MOST):
+        name = crash_suspects.Fingerprint(
+            num.to_bytes(crash_suspects.SIZE, "big")
+        )
         for server in range(2 if num < 8 else 1):
-            end = suspects.End(
+            end = crash_suspects.End(
                 f"i-{num}{server:09}",
                 "v1",
                 now + clock_lib.seconds(server),
                 clock_lib.seconds(0.1),
             )
             ledger.ended(name, end, now)
-    sound = suspects.Fingerprint(b"s" * suspects.SIZE)
+    sound = crash_suspects.Fingerprint(b"s" * crash_suspects.SIZE)
     us = _microseconds(lambda: ledger.find(sound))
     print(f"look of a sound request at a full ledger: {us:.2f} us")
     software = frozenset(["v1"])
-    name = suspects.Fingerprint((0).to_bytes(suspects.SIZE, "big"))
+    name = crash_suspects.Fingerprint((0).to_bytes(crash_suspects.SIZE, "big"))
     us = _microseconds(lambda: ledger.standing(name, software, now), 200)
     print(f"standing of one with two ends, full ledger: {us:.0f} us")
     told = casenews.CaseNews(ledger, clock).tell()
--- a/src/lugcross/agent/dispatcher.py
+++ b/src/lugcross/agent/dispatcher.py
@@ -44,7 +44,7 @@
         self,
         *,
         incarnation: ids.Incarnation,
-        weight: shares.queue.Weight,
+        weight: shares.fair_queue.Weight,
         capacity: int = 1,
     ) -> None:
         self.capacity = capacity
--- a/src/lugcross/suspects/apart.py
+++ b/src/lugcross/crash_suspects/assignment.py
@@ -10,13 +10,13 @@
 from collections.abc import Collection
 from collections.abc import Sequence
 
+from lugcross.crash_suspects import fingerprint
 from lugcross import routing
-from lugcross.suspects import identity
 
 
 def place(
-    request: identity.Fingerprint,
-    rivals: Collection[identity.Fingerprint],
+    request: fingerprint.Fingerprint,
+    rivals: Collection[fingerprint.Fingerprint],
     servers: Sequence[str],
 ) -> str | None:
     """Return the server of ``servers`` that a suspect should go to.
--- a/src/lugcross/suspects/ledger.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -24,7 +24,7 @@
 from typing import final
 
 from lugcross import clock as clock_lib
-from lugcross.suspects import identity
+from lugcross.crash_suspects import fingerprint
 
 #: Ends that are enough. Each takes a server's other requests with it, and a
 #: group of ranks the group's.
@@ -94,7 +94,7 @@
     :param cleared: when it last ran to its end; ends before it say nothing.
     """
 
-    request: identity.Fingerprint
+    request: fingerprint.Fingerprint
     ends: tuple[End, ...] = ()
     cleared: clock_lib.Instant | None = None
 
@@ -138,7 +138,7 @@
     """What this process knows of all requests that are or were suspect."""
 
     def __init__(self) -> None:
-        self._cases: dict[identity.Fingerprint, Case] = {}
+        self._cases: dict[fingerprint.Fingerprint, Case] = {}
         #: Servers that answered after somebody took them for ended, and
         #: when what they answered had been sent.
         self._alive: dict[str, clock_lib.Instant] = {}
@@ -152,18 +152,21 @@
         """Return all cases, those first that changed last."""
         return list(reversed(self._cases.values()))
 
-    def find(self, request: identity.Fingerprint) -> Case | None:
+    def find(self, request: fingerprint.Fingerprint) -> Case | None:
         """Return what is known of a request, if anything is."""
         return self._cases.get(request)
 
     def ended(
-        self, request: identity.Fingerprint, end: End, now: clock_lib.Instant
+        self,
+        request: fingerprint.Fingerprint,
+        end: End,
+        now: clock_lib.Instant,
     ) -> bool:
         """Note that a server has ended while it ran ``request``."""
         return self.merge(Case(request, (end,)), now)
 
     def cleared(
-        self, request: identity.Fingerprint, now: clock_lib.Instant
+        self, request: fingerprint.Fingerprint, now: clock_lib.Instant
     ) -> bool:
         """Note that a request ran to its end; tell whether that is news."""
         known = self._cases.get(request)
@@ -227,8 +230,8 @@
         self._named = None
 
     def rivals(
-        self, request: identity.Fingerprint
-    ) -> list[identity.Fingerprint]:
+        self, request: fingerprint.Fingerprint
+    ) -> list[fingerprint.Fingerprint]:
         """Return other suspects that were where this one was."""
         case = self._cases.get(request)
         if case is None:
@@ -243,7 +246,7 @@
 
     def against(
         self,
-        request: identity.Fingerprint,
+        request: fingerprint.Fingerprint,
         software: Collection[str],
         now: clock_lib.Instant,
     ) -> list[End]:
@@ -263,7 +266,7 @@
 
     def standing(
         self,
-        request: identity.Fingerprint,
+        request: fingerprint.Fingerprint,
         software: Collection[str],
         now: clock_lib.Instant,
     ) -> Standing:
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -79,14 +79,15 @@
     those that ask for the first time, and some more for what is urgent.
 
     A workspace that asks for more than its share goes first out of a full
-    service (:mod:`lugcross.shares.limit`). One that asks for less is given
-    what the others have taken of its share, up to the slots: their streams
-    end within seconds, and until then all passes take a little longer. Of a
-    surge to 7.5 times the usual, the others were served 0.98 of the time,
-    0.50 with no look at workspaces (seven processes in virtual time).
+    service (:mod:`lugcross.shares.dynamic_limit`). One that asks for less is
+    given what the others have taken of its share, up to the slots: their
+    streams end within seconds, and until then all passes take a little
+    longer. Of a surge to 7.5 times the usual, the others were served 0.98 of
+    the time, 0.50 with no look at workspaces (seven processes in virtual
+    time).
 
     What peers have sent since they last told counts, as far as it can be
-    estimated (:mod:`lugcross.edge.unseen`).
+    estimated (:mod:`lugcross.edge.unreported_requests`).
 
     :param full: requests that one server may have at once.
     """
--- a/src/lugcross/edge/loads.py
+++ b/src/lugcross/edge/backend_loads.py
@@ -13,7 +13,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import tally as tally_lib
-from lugcross.edge import unseen as unseen_lib
+from lugcross.edge import unreported_requests as unreported_requests_lib
 from lugcross import ids
 from lugcross import platform
 from lugcross import routing
@@ -60,7 +60,9 @@
         self._running: tally_lib.Tally[desired.BackendKey] = tally_lib.Tally(
             clock, stale=_PEER_STALE
         )
-        self._unseen = unseen_lib.Unseen(near=_NEAR_AGE, far=_FAR_AGE)
+        self._unseen = unreported_requests_lib.Unseen(
+            near=_NEAR_AGE, far=_FAR_AGE
+        )
         #: By backend server; whoever told longest ago comes first.
         self._told: collections.OrderedDict[desired.BackendKey, _Told] = (
             collections.OrderedDict()
--- a/src/lugcross/edge/casenews.py
+++ b/src/lugcross/edge/casenews.py
@@ -11,8 +11,8 @@
 from typing import final
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross.edge import messages
-from lugcross import suspects
 
 #: How long a case is told with each datagram after it has changed: several
 #: heartbeats, well within the time in which it must be known everywhere.
@@ -31,7 +31,7 @@
     """Tells and hears cases by a process's datagrams."""
 
     def __init__(
-        self, ledger: suspects.Ledger, clock: clock_lib.Clock
+        self, ledger: crash_suspects.Ledger, clock: clock_lib.Clock
     ) -> None:
         self._ledger = ledger
         self._clock = clock
@@ -47,7 +47,7 @@
         old = [
             one
             for one in cases
-            if one not in new and len(one.against) >= suspects.SURE
+            if one not in new and len(one.against) >= crash_suspects.SURE
         ]
         turn = self._turn % len(old) if old else 0
         self._turn = turn + _OLD_MOST
@@ -62,7 +62,9 @@
             self._ledger.merge(case(one, now), now)
 
 
-def message(case: suspects.Case, now: clock_lib.Instant) -> messages.Suspect:
+def message(
+    case: crash_suspects.Case, now: clock_lib.Instant
+) -> messages.Suspect:
     return messages.Suspect(
         case.request,
         [_server_end(one, now) for one in case.ends],
@@ -70,10 +72,12 @@
     )
 
 
-def case(told: messages.Suspect, now: clock_lib.Instant) -> suspects.Case:
+def case(
+    told: messages.Suspect, now: clock_lib.Instant
+) -> crash_suspects.Case:
     """Return the case that was told at ``now``."""
     ends = tuple(
-        suspects.End(
+        crash_suspects.End(
             one.server,
             one.software,
             now - one.ago_ms * _MS,
@@ -82,11 +86,13 @@
         for one in told.ends
     )
     cleared = None if told.cleared_ms < 0 else now - told.cleared_ms * _MS
-    return suspects.Case(suspects.Fingerprint(told.request), ends, cleared)
+    return crash_suspects.Case(
+        crash_suspects.Fingerprint(told.request), ends, cleared
+    )
 
 
 def _server_end(
-    end: suspects.End, now: clock_lib.Instant
+    end: crash_suspects.End, now: clock_lib.Instant
 ) -> messages.ServerEnd:
     return messages.ServerEnd(
         end.server,
--- a/src/lugcross/edge/casestore.py
+++ b/src/lugcross/edge/casestore.py
@@ -16,11 +16,11 @@
 import msgspec
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross.edge import casenews
 from lugcross.edge import messages
 from lugcross import errors
 from lugcross import platform
-from lugcross import suspects
 
 #: Time between two tries while the store does not answer, in seconds: what
 #: is to be written down is known to all processes meanwhile, and each call
@@ -47,23 +47,23 @@
 
     def __init__(
         self,
-        ledger: suspects.Ledger,
+        ledger: crash_suspects.Ledger,
         store: platform.StoreClient,
         clock: clock_lib.Clock,
     ) -> None:
         self._ledger = ledger
         self._store = store
         self._clock = clock
-        self._due: asyncio.Queue[suspects.Fingerprint] = asyncio.Queue()
+        self._due: asyncio.Queue[crash_suspects.Fingerprint] = asyncio.Queue()
 
-    def keep(self, request: suspects.Fingerprint) -> None:
+    def keep(self, request: crash_suspects.Fingerprint) -> None:
         """Have what is known of a request written down soon."""
         self._due.put_nowait(request)
 
     def keep_again(self, since: clock_lib.Instant) -> None:
         """Have written down again what was found lately; the store lost it."""
         for case in self._ledger.cases():
-            certain = len(case.against) >= suspects.SURE
+            certain = len(case.against) >= crash_suspects.SURE
             if certain and case.newest >= since:
                 self.keep(case.request)
 
@@ -95,13 +95,13 @@
             logging.warning("bad suspect kept", extra={"why": str(exc)})
             return
         ago = max(self._now_ms() - kept.written_ms, 0) * _MS
-        if ago >= suspects.LAPSE:
+        if ago >= crash_suspects.LAPSE:
             # Nobody needs it any more; others may drop it as well.
             await self._put(record.key, b"")
             return
         self._ledger.merge(casenews.case(kept.suspect, now - ago), now)
 
-    async def _write(self, request: suspects.Fingerprint) -> bool:
+    async def _write(self, request: crash_suspects.Fingerprint) -> bool:
         case = self._ledger.find(request)
         if case is None:
             return True
--- a/src/lugcross/edge/endings.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """What one process sees and believes of requests that end servers.
 
-Decisions are made by :mod:`lugcross.suspects`; here servers are asked whether
-they have ended, and what was found is written down.
+Decisions are made by :mod:`lugcross.crash_suspects`; here servers are asked
+whether they have ended, and what was found is written down.
 """
 
 import asyncio
@@ -14,11 +14,11 @@
 from absl import logging
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross import desired
 from lugcross.edge import plan as plan_lib
 from lugcross import http1
 from lugcross import ids
-from lugcross import suspects
 
 #: Longest wait for a server's host to say whether anybody listens there. It
 #: has just ended a connection, so that it is reached within a round trip, or
@@ -45,27 +45,27 @@
         #: When servers were first found to have ended.
         self._ended_at: dict[desired.BackendKey, clock_lib.Instant] = {}
         self._notes: set[asyncio.Task[None]] = set()
-        self.ledger = suspects.Ledger()
+        self.ledger = crash_suspects.Ledger()
         #: Requests that an operator has cleared.
-        self.exempt: frozenset[suspects.Fingerprint] = frozenset()
+        self.exempt: frozenset[crash_suspects.Fingerprint] = frozenset()
         #: Called when there is something new to tell peers.
         self.changed: Callable[[], None] = lambda: None
         #: Called with a request that is refused from now on.
-        self.found: Callable[[suspects.Fingerprint], None] = lambda request: (
-            None
+        self.found: Callable[[crash_suspects.Fingerprint], None] = (
+            lambda request: None
         )
 
-    def standing(self, plan: plan_lib.Plan) -> suspects.Standing:
+    def standing(self, plan: plan_lib.Plan) -> crash_suspects.Standing:
         """Return how a request is to be treated now."""
         if not self._is_known(plan) or plan.fingerprint in self.exempt:
-            return suspects.Standing.FREE
+            return crash_suspects.Standing.FREE
         return self.ledger.standing(
             plan.fingerprint,
             self._software(plan.service),
             self._clock.monotonic(),
         )
 
-    def against(self, plan: plan_lib.Plan) -> list[suspects.End]:
+    def against(self, plan: plan_lib.Plan) -> list[crash_suspects.End]:
         """Return what speaks against a request."""
         if not self._is_known(plan):
             return []
@@ -84,32 +84,32 @@
             return False
         return self.ledger.find(plan.fingerprint) is not None
 
-    def lapses(self, ends: list[suspects.End]) -> datetime.timedelta:
+    def lapses(self, ends: list[crash_suspects.End]) -> datetime.timedelta:
         """Return the time until the oldest of ``ends`` counts no more.
 
         Then its request may be tried once more, as a suspect.
         """
         oldest = min(one.at for one in ends)
-        return oldest + suspects.LAPSE - self._clock.monotonic()
+        return oldest + crash_suspects.LAPSE - self._clock.monotonic()
 
     def may_go_again(self, plan: plan_lib.Plan, *, broke: bool) -> bool:
         """Tell whether a request may go to one more server at once.
 
         :param broke: whether the last attempt broke off.
         """
-        if self.standing(plan) is suspects.Standing.REFUSED:
+        if self.standing(plan) is crash_suspects.Standing.REFUSED:
             return False
         if plan.fingerprint in self.exempt:
             return True
         # What others know of it comes within a moment, its caller later.
-        return not broke or len(self.against(plan)) < suspects.SURE
+        return not broke or len(self.against(plan)) < crash_suspects.SURE
 
     def place(
         self, plan: plan_lib.Plan, servers: list[desired.BackendKey]
     ) -> desired.BackendKey | None:
         """Return the server that a suspect should go to."""
         rivals = self.ledger.rivals(plan.fingerprint)
-        found = suspects.place(plan.fingerprint, rivals, servers)
+        found = crash_suspects.place(plan.fingerprint, rivals, servers)
         return None if found is None else desired.BackendKey(found)
 
     async def broke(
@@ -142,7 +142,9 @@
         now = self._clock.monotonic()
         if self._ended_at.setdefault(backend.key, now) < since:
             return
-        end = suspects.End(backend.key, backend.software, now, now - since)
+        end = crash_suspects.End(
+            backend.key, backend.software, now, now - since
+        )
         if not self.ledger.ended(plan.fingerprint, end, now):
             return
         standing = self.standing(plan)
@@ -158,7 +160,7 @@
             },
         )
         self.changed()
-        if standing is suspects.Standing.REFUSED:
+        if standing is crash_suspects.Standing.REFUSED:
             self.found(plan.fingerprint)
 
     async def _has_ended(self, backend: desired.Backend) -> bool:
@@ -205,7 +207,7 @@
         now = self._clock.monotonic()
         self.ledger.forget_old(now)
         for key, at in list(self._ended_at.items()):
-            if at <= now - suspects.LAPSE:
+            if at <= now - crash_suspects.LAPSE:
                 del self._ended_at[key]
 
     def listing(self) -> bytes:
--- a/src/lugcross/edge/looks.py
+++ b/src/lugcross/edge/looks.py
@@ -10,7 +10,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import groups as groups_lib
-from lugcross.edge import rests as rests_lib
+from lugcross.edge import server_backoffs as server_backoffs_lib
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
@@ -35,7 +35,7 @@
         engines: platform.Engines,
         groups: groups_lib.Groups,
         clock: clock_lib.Clock,
-        rests: rests_lib.Rests,
+        rests: server_backoffs_lib.Rests,
     ) -> None:
         self._rests = rests
         self._engines = engines
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -7,8 +7,8 @@
 import cbor2
 import msgspec
 
+from lugcross import crash_suspects
 from lugcross.edge import patches
-from lugcross import suspects
 
 #: Requests in progress: far more than one process could have.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
@@ -17,10 +17,13 @@
 AGE_MOST_MS = 60_000
 _AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=AGE_MOST_MS)]
 #: The same of what speaks against a request; older has lapsed.
-LAPSE_MS = int(suspects.LAPSE.total_seconds() * 1000)
+LAPSE_MS = int(crash_suspects.LAPSE.total_seconds() * 1000)
 _LapseMs = Annotated[int, msgspec.Meta(ge=-1, le=LAPSE_MS)]
 _Request = Annotated[
-    bytes, msgspec.Meta(min_length=suspects.SIZE, max_length=suspects.SIZE)
+    bytes,
+    msgspec.Meta(
+        min_length=crash_suspects.SIZE, max_length=crash_suspects.SIZE
+    ),
 ]
 #: Longest name of a server's life, and of its software, in characters.
 _NAME_MOST = 200
@@ -51,7 +54,7 @@
 
     request: _Request
     ends: Annotated[
-        list[ServerEnd], msgspec.Meta(max_length=suspects.ENDS_MOST)
+        list[ServerEnd], msgspec.Meta(max_length=crash_suspects.ENDS_MOST)
     ]
     cleared_ms: _LapseMs = -1
 
--- a/src/lugcross/edge/plan.py
+++ b/src/lugcross/edge/plan.py
@@ -6,11 +6,11 @@
 from typing import final
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross import desired
 from lugcross import http1
 from lugcross import ids
 from lugcross import platform
-from lugcross import suspects
 
 
 @final
@@ -41,9 +41,9 @@
         return self.fingerprint.hex() if "fingerprint" in vars(self) else None
 
     @functools.cached_property
-    def fingerprint(self) -> suspects.Fingerprint:
+    def fingerprint(self) -> crash_suspects.Fingerprint:
         """What all tries of this request have in common."""
-        return suspects.Identity(
+        return crash_suspects.Identity(
             service=self.service,
             workspace=self.space or "",
             host=self.route.host,
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -11,16 +11,16 @@
 from absl import logging
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross import desired
 from lugcross.edge import admission
 from lugcross.edge import attempt as attempt_lib
-from lugcross.edge import choice
-from lugcross.edge import lifecycle
+from lugcross.edge import backend_choice
 from lugcross.edge import plan as plan_lib
 from lugcross.edge import refusal
+from lugcross.edge import retry_policy
 from lugcross.edge import world as world_lib
 from lugcross import http1
-from lugcross import suspects
 
 _MS = datetime.timedelta(milliseconds=1)
 
@@ -49,7 +49,7 @@
         self._cut_off = False
         #: When the last attempt was sent.
         self._sent_at = plan.req.at
-        self._state = lifecycle.State(
+        self._state = retry_policy.State(
             repeatable=plan.route.repeatable, attempts=plan.route.attempts
         )
 
@@ -91,14 +91,14 @@
         for other reasons too.
         """
         endings = self._world.endings
-        if endings.standing(self._plan) is not suspects.Standing.REFUSED:
+        if endings.standing(self._plan) is not crash_suspects.Standing.REFUSED:
             return
         ends = endings.against(self._plan)
         self._world.figures.suspect_refused(self._plan.service)
         raise refusal.ends_servers(len(ends), endings.lapses(ends))
 
     def _verdict(
-        self, found: choice.Choice | None, *, back: bool
+        self, found: backend_choice.Choice | None, *, back: bool
     ) -> str | None:
         plan = self._plan
         world = self._world
@@ -109,7 +109,7 @@
         )
 
     def _refusal(
-        self, found: choice.Choice | None, verdict: str | None
+        self, found: backend_choice.Choice | None, verdict: str | None
     ) -> refusal.RefusedError:
         if found is not None:
             return refusal.overloaded(verdict or "", self._left(), self._rng)
@@ -136,21 +136,23 @@
                 self._log_answer(backend)
                 return
             self._world.figures.attempt(self._plan.service, event.value)
-            self._state = lifecycle.after(self._state, event)
+            self._state = retry_policy.after(self._state, event)
             await self._look_if_ended(event, backend)
             found = self._choose()
-            action = lifecycle.decide(
+            action = retry_policy.decide(
                 self._state,
                 event,
                 another=found is not None and self._may_repeat(event),
             )
             self._log(event, backend, action)
-            if action is not lifecycle.Action.AGAIN or found is None:
+            if action is not retry_policy.Action.AGAIN or found is None:
                 await self._give_up(action, event)
                 return
             backend = found.best.backend
 
-    async def _send(self, backend: desired.Backend) -> lifecycle.Event | None:
+    async def _send(
+        self, backend: desired.Backend
+    ) -> retry_policy.Event | None:
         attempt = attempt_lib.Attempt(
             self._world,
             self._clock,
@@ -167,55 +169,55 @@
         finally:
             self._changed()
         self._cut_off = attempt.cut_off
-        if event in (None, lifecycle.Event.FAILED):
+        if event in (None, retry_policy.Event.FAILED):
             self._world.endings.answered(self._plan, backend, self._sent_at)
         begun = self._answer.begun
         self._state = dataclasses.replace(self._state, begun=begun)
         return event
 
     async def _look_if_ended(
-        self, event: lifecycle.Event, backend: desired.Backend
+        self, event: retry_policy.Event, backend: desired.Backend
     ) -> None:
         """Find out whether a server has ended under this request."""
-        if event is lifecycle.Event.BROKEN and self._cut_off:
+        if event is retry_policy.Event.BROKEN and self._cut_off:
             await self._world.endings.broke(self._plan, backend, self._sent_at)
 
     def _may_go_on(self) -> bool:
         """Tell whether another server is left if this attempt breaks."""
-        broken = lifecycle.after(self._state, lifecycle.Event.BROKEN)
-        return lifecycle.may_send(broken) and self._choose() is not None
+        broken = retry_policy.after(self._state, retry_policy.Event.BROKEN)
+        return retry_policy.may_send(broken) and self._choose() is not None
 
-    def _may_repeat(self, event: lifecycle.Event) -> bool:
+    def _may_repeat(self, event: retry_policy.Event) -> bool:
         """Take one repeat from the budget, unless it would be the first.
 
         Only what arrived at a backend server counts against it.
         """
-        if not lifecycle.may_send(self._state):
+        if not retry_policy.may_send(self._state):
             return False
-        broke = event is lifecycle.Event.BROKEN
+        broke = event is retry_policy.Event.BROKEN
         if not self._world.endings.may_go_again(self._plan, broke=broke):
             return False
         if not self._state.sent:
             return True
         return self._world.may_repeat(self._plan.service, event)
 
-    def _choose(self) -> choice.Choice | None:
+    def _choose(self) -> backend_choice.Choice | None:
         if self._is_suspect():
             return self._world.choose_apart(self._plan, self._tried)
         return self._world.choose(self._plan.service, self._tried)
 
     def _is_suspect(self) -> bool:
         standing = self._world.endings.standing(self._plan)
-        return standing is suspects.Standing.SUSPECT
+        return standing is crash_suspects.Standing.SUSPECT
 
     async def _give_up(
-        self, action: lifecycle.Action, event: lifecycle.Event
+        self, action: retry_policy.Action, event: retry_policy.Event
     ) -> None:
-        if action is lifecycle.Action.PASS_ON:
+        if action is retry_policy.Action.PASS_ON:
             await self._answer.pass_on()
-        elif action is lifecycle.Action.CUT:
+        elif action is retry_policy.Action.CUT:
             raise refusal.broken("the answer broke off")
-        elif action is lifecycle.Action.REFUSE:
+        elif action is retry_policy.Action.REFUSE:
             rest = self._world.rest_left(self._plan.service)
             if rest:
                 raise self._resting(rest)
@@ -258,9 +260,9 @@
 
     def _log(
         self,
-        event: lifecycle.Event,
+        event: retry_policy.Event,
         backend: desired.Backend,
-        action: lifecycle.Action,
+        action: retry_policy.Action,
     ) -> None:
         logging.info(
             "attempt ended",
--- a/src/lugcross/edge/settings.py
+++ b/src/lugcross/edge/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lugcross import suspects
+from lugcross import crash_suspects
 from lugcross import yamlfile
 
 
@@ -154,7 +154,7 @@
 
     def __post_init__(self) -> None:
         for one in self.cleared:
-            if len(bytes.fromhex(one)) != suspects.SIZE:
+            if len(bytes.fromhex(one)) != crash_suspects.SIZE:
                 raise ValueError(f"{one!r} is no fingerprint")
 
 
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -12,27 +12,27 @@
 from absl import logging
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross import desired
 from lugcross.edge import admission
+from lugcross.edge import avoided_servers as avoided_servers_lib
+from lugcross.edge import backend_choice
+from lugcross.edge import backend_loads as backend_loads_lib
 from lugcross.edge import backends as backends_lib
-from lugcross.edge import choice
-from lugcross.edge import endings as endings_lib
+from lugcross.edge import crash_tracker as crash_tracker_lib
 from lugcross.edge import figures as figures_lib
-from lugcross.edge import lifecycle
-from lugcross.edge import loads as loads_lib
-from lugcross.edge import outages as outages_lib
 from lugcross.edge import pace as pace_lib
 from lugcross.edge import plan as plan_lib
 from lugcross.edge import pool as pool_lib
 from lugcross.edge import records as records_lib
-from lugcross.edge import rests as rests_lib
+from lugcross.edge import retry_policy
+from lugcross.edge import server_backoffs as server_backoffs_lib
 from lugcross.edge import serving as serving_lib
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import uses as uses_lib
 from lugcross import ids
 from lugcross import platform
 from lugcross import routing
-from lugcross import suspects
 
 #: Part of the repeat budget that refused requests may use.
 _REFUSED_PART = 0.5
@@ -90,17 +90,17 @@
         self.backends = backends_lib.Backends(
             clock, drain=lambda: self.bounds.drain
         )
-        self.loads = loads_lib.Loads(
+        self.loads = backend_loads_lib.Loads(
             clock, service_of=self.backends.service_of
         )
         self.uses = uses_lib.Uses(clock)
         self.uses.weights = settings.shares.weights
-        self.outages = outages_lib.Outages(clock)
-        self.slow = outages_lib.Outages(clock)
-        self.rests = rests_lib.Rests(clock)
+        self.outages = avoided_servers_lib.Outages(clock)
+        self.slow = avoided_servers_lib.Outages(clock)
+        self.rests = server_backoffs_lib.Rests(clock)
         self.pool = pool_lib.Pool(clock)
         self.figures = figures_lib.Figures()
-        self.endings = endings_lib.Endings(clock, software=self.software)
+        self.endings = crash_tracker_lib.Endings(clock, software=self.software)
         self.endings.exempt = _exempt(settings.suspects)
         self._serving: dict[ids.ServiceName, _Cached] = {}
 
@@ -293,7 +293,7 @@
         self,
         service: ids.ServiceName,
         tried: Collection[desired.BackendKey],
-    ) -> choice.Choice | None:
+    ) -> backend_choice.Choice | None:
         """Return where a request of ``service`` should go.
 
         All servers are looked at only where those drawn are all tried or
@@ -309,7 +309,7 @@
         self,
         plan: plan_lib.Plan,
         tried: Collection[desired.BackendKey],
-    ) -> choice.Choice | None:
+    ) -> backend_choice.Choice | None:
         """Return where a suspect should go, apart from other suspects."""
         servers = self.serving(plan.service).all
         usual = self._choose(servers, tried)
@@ -327,8 +327,10 @@
         key = self.endings.place(plan, list(free))
         if usual is None or key is None:
             return usual
-        return choice.Choice(
-            choice.Candidate(backend=free[key], busy=self.loads.busy(key)),
+        return backend_choice.Choice(
+            backend_choice.Candidate(
+                backend=free[key], busy=self.loads.busy(key)
+            ),
             usual.least,
         )
 
@@ -336,10 +338,10 @@
         self,
         servers: Sequence[desired.Backend],
         tried: Collection[desired.BackendKey],
-    ) -> choice.Choice | None:
+    ) -> backend_choice.Choice | None:
         busy = self.loads.busy_each(one.key for one in servers)
         candidates = [
-            choice.Candidate(
+            backend_choice.Candidate(
                 backend=one,
                 busy=count,
                 ejected=self.loads.ejected(one.key),
@@ -348,7 +350,7 @@
             )
             for one, count in zip(servers, busy, strict=True)
         ]
-        return choice.choose(
+        return backend_choice.choose(
             candidates, home=self._home, tried=tried, rng=self._rng
         )
 
@@ -366,14 +368,14 @@
         return found
 
     def may_repeat(
-        self, service: ids.ServiceName, event: lifecycle.Event
+        self, service: ids.ServiceName, event: retry_policy.Event
     ) -> bool:
         """Take one repeat of ``service`` from the budget, if it has one.
 
         A refusal often comes from all servers at once, and its caller can
         come back; a broken answer is lost, so that more is kept for it.
         """
-        refused = event is lifecycle.Event.NOT_RUN
+        refused = event is retry_policy.Event.NOT_RUN
         return self.budget(service).spend(
             self._clock.monotonic(),
             part=_REFUSED_PART if refused else 1.0,
@@ -390,8 +392,8 @@
 
 def _exempt(
     cfg: settings_lib.Suspects,
-) -> frozenset[suspects.Fingerprint]:
+) -> frozenset[crash_suspects.Fingerprint]:
     """Return the requests that the operators have cleared."""
     return frozenset(
-        suspects.Fingerprint(bytes.fromhex(one)) for one in cfg.cleared
+        crash_suspects.Fingerprint(bytes.fromhex(one)) for one in cfg.cleared
     )
--- a/src/lugcross/membership/__init__.py
+++ b/src/lugcross/membership/__init__.py
@@ -1,19 +1,19 @@
 # SPDX-License-Identifier: Apache-2.0
 """Which hosts are there, and which to keep links to."""
 
-from lugcross.membership.duties import decode as decode_duty
-from lugcross.membership.duties import Duties
-from lugcross.membership.duties import DutyClaim
-from lugcross.membership.duties import DutyName
-from lugcross.membership.duties import encode as encode_duty
-from lugcross.membership.duties import Fence
-from lugcross.membership.duties import FenceGuard
-from lugcross.membership.duties import Holding
-from lugcross.membership.hosts import HostWatch
-from lugcross.membership.hosts import leaving_names
-from lugcross.membership.relays import Neighbours
-from lugcross.membership.relays import RELAYS
-from lugcross.membership.subset import subset
+from lugcross.membership.backend_subset import subset
+from lugcross.membership.duty_holders import decode as decode_duty
+from lugcross.membership.duty_holders import Duties
+from lugcross.membership.duty_holders import DutyClaim
+from lugcross.membership.duty_holders import DutyName
+from lugcross.membership.duty_holders import encode as encode_duty
+from lugcross.membership.duty_holders import Fence
+from lugcross.membership.duty_holders import FenceGuard
+from lugcross.membership.duty_holders import Holding
+from lugcross.membership.host_list_watcher import HostWatch
+from lugcross.membership.host_list_watcher import leaving_names
+from lugcross.membership.log_relays import Neighbours
+from lugcross.membership.log_relays import RELAYS
 
 __all__ = [
     "RELAYS",
--- a/src/lugcross/routing/homes.py
+++ b/src/lugcross/routing/key_affinity.py
@@ -3,7 +3,7 @@
 
 from lugcross import cfg
 from lugcross import ids
-from lugcross.routing import hashing
+from lugcross.routing import rendezvous_hashing
 
 
 def homes(
@@ -18,7 +18,7 @@
     preference: the claim in the log decides who may run it.
     """
     backends = config.by_service.get(service, ())
-    return hashing.rank(
+    return rendezvous_hashing.rank(
         f"{workspace}\0{service}\0{key}",
         [ids.BackendName(backend.name) for backend in backends],
     )
--- a/src/lugcross/shares/__init__.py
+++ b/src/lugcross/shares/__init__.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
 """Fair shares between rival workspaces and their groups."""
 
-from lugcross.shares.limit import Claim
-from lugcross.shares.queue import FairQueue
-from lugcross.shares.queue import Ticket
+from lugcross.shares.dynamic_limit import Claim
+from lugcross.shares.fair_queue import FairQueue
+from lugcross.shares.fair_queue import Ticket
 
 __all__ = ["Claim", "FairQueue", "Ticket"]
--- a/testing/suspects/test_identity.py
+++ b/testing/crash_suspects/test_fingerprint.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from lugcross import suspects
+from lugcross import crash_suspects
 
-REQUEST = suspects.Identity(
+REQUEST = crash_suspects.Identity(
     service="s",
     workspace="w",
     host="h",
--- a/testing/edge/test_endings.py
+++ b/testing/edge/test_crash_tracker.py
@@ -6,7 +6,7 @@
 import edge_rig as rig
 
 from lugcross import clock as clock_lib
-from lugcross import suspects
+from lugcross import crash_suspects
 
 
 def _against(one: rig.Rig) -> list[int]:
@@ -104,7 +104,7 @@
     assert got[1].status == 503
     assert b"2 backend servers have ended" in got[1].body
     wait = float(got[1].headers[b"retry-after"])
-    assert 0 < wait <= suspects.LAPSE.total_seconds()
+    assert 0 < wait <= crash_suspects.LAPSE.total_seconds()
     assert servers.answered == []
     assert _against(one) == [2]
 
--- a/testing/edge/test_ending_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -21,8 +21,8 @@
 import random
 from typing import Any
 
+import crash_rig
 import edge_rig
-import ending_rig
 import pytest
 import virtual_time
 
@@ -40,7 +40,7 @@
 
 
 def _come_again(
-    fleet: ending_rig.Fleet, gap_s: float, seconds: float
+    fleet: crash_rig.Fleet, gap_s: float, seconds: float
 ) -> Coroutine[Any, Any, None]:
     """Let the request come to processes drawn at random."""
 
@@ -54,16 +54,16 @@
 
 def _run(
     monkeypatch,
-    day: Callable[[ending_rig.Fleet], Coroutine[Any, Any, None]],
+    day: Callable[[crash_rig.Fleet], Coroutine[Any, Any, None]],
     *,
     seed: int = 1,
     attempts: int = 2,
-) -> ending_rig.Fleet:
+) -> crash_rig.Fleet:
     """Play a day in a fleet of five processes and ten servers."""
 
-    async def main() -> ending_rig.Fleet:
+    async def main() -> crash_rig.Fleet:
         random.seed(seed)
-        fleet = ending_rig.Fleet(
+        fleet = crash_rig.Fleet(
             monkeypatch, 3, 2, servers=10, attempts=attempts, seed=seed
         )
         fleet.ending.add(ENDING)
@@ -71,7 +71,7 @@
         await asyncio.sleep(SETTLED_S)
         with fleet.under_load(LOAD):
             await day(fleet)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.WORK_S)
         await fleet.stop()
         return fleet
 
@@ -80,7 +80,7 @@
 
 def _play(
     monkeypatch, seed: int, gap_s: float, attempts: int
-) -> ending_rig.Fleet:
+) -> crash_rig.Fleet:
     """Let the request come again every ``gap_s`` for half a minute."""
     return _run(
         monkeypatch,
@@ -90,7 +90,7 @@
     )
 
 
-def _refused_innocents(fleet: ending_rig.Fleet) -> list[bytes]:
+def _refused_innocents(fleet: crash_rig.Fleet) -> list[bytes]:
     return [
         one.body
         for one in fleet.answers
@@ -118,7 +118,7 @@
 def test_process_that_saw_it_may_be_killed_at_any_moment(monkeypatch):
     for moment, seed in itertools.product(MOMENTS, (1, 2)):
 
-        async def day(fleet: ending_rig.Fleet, moment=moment) -> None:
+        async def day(fleet: crash_rig.Fleet, moment=moment) -> None:
             fleet.ask("n0-0", ENDING)
             await asyncio.sleep(moment)
             await fleet.restart("n0-0")
@@ -129,15 +129,15 @@
         assert fleet.sends_after_third(ENDING) == 0
 
 
-def _killed(fleet: ending_rig.Fleet, name: str) -> Coroutine[Any, Any, None]:
+def _killed(fleet: crash_rig.Fleet, name: str) -> Coroutine[Any, Any, None]:
     return fleet.restart(name)
 
 
-async def _cut_off(fleet: ending_rig.Fleet, name: str) -> None:
+async def _cut_off(fleet: crash_rig.Fleet, name: str) -> None:
     fleet.cut_off(name)
 
 
-async def _turned_away(fleet: ending_rig.Fleet, name: str) -> None:
+async def _turned_away(fleet: crash_rig.Fleet, name: str) -> None:
     fleet.turn_away(name)
 
 
@@ -199,7 +199,7 @@
 def test_process_that_was_cut_off_learns_of_it(monkeypatch):
     """Cut off it ends as many as one that knows nothing, and then no more."""
 
-    async def day(fleet: ending_rig.Fleet) -> None:
+    async def day(fleet: crash_rig.Fleet) -> None:
         fleet.cut_off("n1-1")
         await _come_again(fleet, 0.5, 8.0)
         fleet.reach_again("n1-1")
@@ -218,7 +218,7 @@
 def test_copies_at_all_processes_at_once_end_one_server_more(monkeypatch):
     """What nobody has heard of ends a server each; then one for all."""
 
-    async def day(fleet: ending_rig.Fleet) -> None:
+    async def day(fleet: crash_rig.Fleet) -> None:
         for name in fleet.nodes:
             fleet.ask(name, ENDING)
         await asyncio.sleep(1.0)
@@ -231,7 +231,7 @@
 
 
 def test_all_processes_lose_power_at_once(monkeypatch):
-    async def day(fleet: ending_rig.Fleet) -> None:
+    async def day(fleet: crash_rig.Fleet) -> None:
         await _come_again(fleet, 0.5, 8.0)
         await fleet.lose_power()
         await asyncio.sleep(SETTLED_S)
@@ -246,7 +246,7 @@
     """Copies of one request run everywhere, and every server ends at once."""
     popular = b"what many send"
 
-    async def day(fleet: ending_rig.Fleet) -> None:
+    async def day(fleet: crash_rig.Fleet) -> None:
         for num in range(100):
             await asyncio.sleep(0.1)
             fleet.ask(fleet.rng.choice(list(fleet.nodes)), popular)
@@ -268,7 +268,7 @@
 ):
     for seed in (1, 2):
 
-        async def day(fleet: ending_rig.Fleet) -> None:
+        async def day(fleet: crash_rig.Fleet) -> None:
             crashes = asyncio.create_task(fleet.crashes(gap_s, most))
             await asyncio.sleep(25.0)
             crashes.cancel()
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -11,9 +11,9 @@
 
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import choice
+from lugcross.edge import avoided_servers
+from lugcross.edge import backend_choice
 from lugcross.edge import events
-from lugcross.edge import outages
 from lugcross.edge import pace
 from lugcross.edge import refusal
 from lugcross.edge import serving
@@ -28,8 +28,10 @@
 SECOND = datetime.timedelta(seconds=1)
 
 
-def _choose(*candidates: choice.Candidate, tried: tuple[str, ...] = ()):
-    found = choice.choose(
+def _choose(
+    *candidates: backend_choice.Candidate, tried: tuple[str, ...] = ()
+):
+    found = backend_choice.choose(
         candidates,
         home=ids.DomainName("d1"),
         tried=[desired.BackendKey(one) for one in tried],
@@ -39,24 +41,28 @@
 
 
 def test_least_busy_is_chosen():
-    one = choice.Candidate(backend=edge_rig.backend("a"), busy=3)
-    two = choice.Candidate(backend=edge_rig.backend("b"), busy=2)
+    one = backend_choice.Candidate(backend=edge_rig.backend("a"), busy=3)
+    two = backend_choice.Candidate(backend=edge_rig.backend("b"), busy=2)
     assert _choose(one, two) == "b"
 
 
 def test_own_domain_is_chosen_unless_it_is_busier_by_more_than_the_way():
-    near = choice.Candidate(backend=edge_rig.backend("near"), busy=2)
-    far = choice.Candidate(backend=edge_rig.backend("far", "d2"), busy=2)
-    idle = choice.Candidate(backend=edge_rig.backend("idle", "d2"), busy=0)
+    near = backend_choice.Candidate(backend=edge_rig.backend("near"), busy=2)
+    far = backend_choice.Candidate(
+        backend=edge_rig.backend("far", "d2"), busy=2
+    )
+    idle = backend_choice.Candidate(
+        backend=edge_rig.backend("idle", "d2"), busy=0
+    )
     assert _choose(near, far) == "near"
     assert _choose(near, idle) == "idle"
 
 
 def test_ejected_is_chosen_only_where_nothing_else_is_left():
-    bad = choice.Candidate(
+    bad = backend_choice.Candidate(
         backend=edge_rig.backend("bad"), busy=0, ejected=True
     )
-    good = choice.Candidate(backend=edge_rig.backend("good"), busy=5)
+    good = backend_choice.Candidate(backend=edge_rig.backend("good"), busy=5)
     assert _choose(bad, good) == "good"
     assert _choose(bad, good, tried=("good",)) == "bad"
     assert _choose(bad, good, tried=("good", "bad")) is None
@@ -282,7 +288,7 @@
 
 
 def test_servers_told_broken_are_believed_until_that_is_old(manual_clock):
-    told = outages.Outages(manual_clock)
+    told = avoided_servers.Outages(manual_clock)
     key = desired.BackendKey("a")
     told.told("n1", [key])
     assert told.servers() == {key}
@@ -291,7 +297,7 @@
 
 
 def test_servers_told_broken_again_after_silence_are_believed(manual_clock):
-    told = outages.Outages(manual_clock)
+    told = avoided_servers.Outages(manual_clock)
     key = desired.BackendKey("a")
     for _ in range(2):
         told.told("n1", [key])
@@ -301,7 +307,7 @@
 
 
 def test_servers_are_broken_while_anyone_tells_so(manual_clock):
-    told = outages.Outages(manual_clock)
+    told = avoided_servers.Outages(manual_clock)
     one, two = desired.BackendKey("a"), desired.BackendKey("b")
     told.told("n1", [one])
     told.told("n2", [two])
--- a/testing/edge/test_foreign_bytes.py
+++ b/testing/edge/test_foreign_bytes.py
@@ -10,9 +10,9 @@
 import pytest
 
 from lugcross import clock as clock_lib
+from lugcross import crash_suspects
 from lugcross.edge import casenews
 from lugcross.edge import messages
-from lugcross import suspects
 
 VALUES = strategies.recursive(
     strategies.none()
@@ -93,21 +93,21 @@
         beat = messages.decode_datagram(cbor2.dumps(fields))
     except msgspec.ValidationError:
         return
-    ledger = suspects.Ledger()
+    ledger = crash_suspects.Ledger()
     clock = clock_lib.ManualClock()
     casenews.CaseNews(ledger, clock).hear(beat.suspects)
-    sound = suspects.Fingerprint(b"y" * suspects.SIZE)
+    sound = crash_suspects.Fingerprint(b"y" * crash_suspects.SIZE)
     now = clock.monotonic()
     standing = ledger.standing(sound, frozenset(["v1"]), now)
-    assert standing is suspects.Standing.FREE
+    assert standing is crash_suspects.Standing.FREE
 
 
 def test_false_news_of_ends_end_with_the_next_answer():
     """A peer tells that servers ended which answer: nobody is refused."""
     clock = clock_lib.ManualClock()
-    ledger = suspects.Ledger()
+    ledger = crash_suspects.Ledger()
     news = casenews.CaseNews(ledger, clock)
-    request = suspects.Fingerprint(b"y" * suspects.SIZE)
+    request = crash_suspects.Fingerprint(b"y" * crash_suspects.SIZE)
     ends = [messages.ServerEnd(f"i-{num}", "v1", 0, 5) for num in range(4)]
     told = messages.Suspect(request, ends)
     news.hear([told])
@@ -127,7 +127,7 @@
         ]
     )
     standing = ledger.standing(request, frozenset(["v1"]), clock.monotonic())
-    assert standing is suspects.Standing.FREE
+    assert standing is crash_suspects.Standing.FREE
 
 
 @given(
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -14,9 +14,9 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
+from lugcross.edge import backend_loads as backend_loads_lib
 from lugcross.edge import follow
 from lugcross.edge import knowledge as knowledge_lib
-from lugcross.edge import loads as loads_lib
 from lugcross.edge import messages
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import settings as settings_lib
@@ -238,7 +238,7 @@
 
 def test_requests_of_a_silent_peer_count_no_more():
     clock = clock_lib.ManualClock()
-    loads = loads_lib.Loads(clock)
+    loads = backend_loads_lib.Loads(clock)
     key = desired.BackendKey("i-1")
     loads.peer_told("n2", {key: 3})
     assert loads.busy(key) == 3
--- a/testing/edge/test_lifecycle.py
+++ b/testing/edge/test_retry_policy.py
@@ -5,21 +5,23 @@
 from hypothesis import strategies as st
 import pytest
 
-from lugcross.edge import lifecycle
+from lugcross.edge import retry_policy
 
-EVENTS = st.lists(st.sampled_from(list(lifecycle.Event)), max_size=8)
+EVENTS = st.lists(st.sampled_from(list(retry_policy.Event)), max_size=8)
 
 
 def _play(
-    events: list[lifecycle.Event], *, repeatable: bool, attempts: int
-) -> tuple[lifecycle.State, lifecycle.Action | None, list[lifecycle.Event]]:
-    state = lifecycle.State(repeatable=repeatable, attempts=attempts)
+    events: list[retry_policy.Event], *, repeatable: bool, attempts: int
+) -> tuple[
+    retry_policy.State, retry_policy.Action | None, list[retry_policy.Event]
+]:
+    state = retry_policy.State(repeatable=repeatable, attempts=attempts)
     used = []
     for event in events:
         used.append(event)
-        state = lifecycle.after(state, event)
-        action = lifecycle.decide(state, event, another=True)
-        if action is not lifecycle.Action.AGAIN:
+        state = retry_policy.after(state, event)
+        action = retry_policy.decide(state, event, another=True)
+        if action is not retry_policy.Action.AGAIN:
             return state, action, used
     return state, None, used
 
@@ -27,7 +29,7 @@
 @given(EVENTS, st.booleans(), st.integers(1, 4))
 def test_never_more_backends_than_the_route_allows(events, rep, attempts):
     state, _, used = _play(events, repeatable=rep, attempts=attempts)
-    unreached = lifecycle.Event.UNREACHED
+    unreached = retry_policy.Event.UNREACHED
     assert sum(one is not unreached for one in used) <= attempts
     assert state.sent <= attempts
 
@@ -35,21 +37,21 @@
 @given(EVENTS, st.integers(1, 4))
 def test_unrepeatable_goes_nowhere_once_it_may_have_run(events, attempts):
     _, _, used = _play(events, repeatable=False, attempts=attempts)
-    proved = (lifecycle.Event.NOT_RUN, lifecycle.Event.UNREACHED)
+    proved = (retry_policy.Event.NOT_RUN, retry_policy.Event.UNREACHED)
     assert all(one in proved for one in used[:-1])
 
 
 @given(EVENTS, st.integers(1, 4))
 def test_refused_only_where_nothing_ran(events, attempts):
     _, action, used = _play(events, repeatable=False, attempts=attempts)
-    if action is lifecycle.Action.REFUSE:
-        ran = (lifecycle.Event.BROKEN, lifecycle.Event.FAILED)
+    if action is retry_policy.Action.REFUSE:
+        ran = (retry_policy.Event.BROKEN, retry_policy.Event.FAILED)
         assert not any(one in ran for one in used)
 
 
-@pytest.mark.parametrize("event", list(lifecycle.Event))
+@pytest.mark.parametrize("event", list(retry_policy.Event))
 def test_answer_that_has_begun_is_cut_and_never_replaced(event):
-    state = lifecycle.State(
+    state = retry_policy.State(
         repeatable=True, attempts=2, sent=2, maybe_ran=True, begun=True
     )
-    assert lifecycle.give_up(state, event) is lifecycle.Action.CUT
+    assert retry_policy.give_up(state, event) is retry_policy.Action.CUT
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_server_backoffs.py
@@ -21,15 +21,15 @@
 import itertools
 import random
 
+import crash_rig
 import edge_rig
-import ending_rig
 import msgspec
 import pytest
 import virtual_time
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import rests as rests_lib
+from lugcross.edge import server_backoffs as server_backoffs_lib
 from lugcross import ids
 from lugcross import platform
 
@@ -110,7 +110,7 @@
 
 
 def _late_sends(
-    fleet: ending_rig.Fleet, rest_s: float = REST_S
+    fleet: crash_rig.Fleet, rest_s: float = REST_S
 ) -> dict[tuple[str, str], int]:
     """Return the most that any server got in a rest, by who sent it."""
     pairs = collections.defaultdict(list)
@@ -126,9 +126,9 @@
     return {pair: count for pair, count in most.items() if count}
 
 
-def _fleet(monkeypatch, seed: int, *, servers: int) -> ending_rig.Fleet:
+def _fleet(monkeypatch, seed: int, *, servers: int) -> crash_rig.Fleet:
     """Return five processes that may repeat as often as users allow."""
-    fleet = ending_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
+    fleet = crash_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
     for node in fleet.nodes.values():
         node.world.bounds = msgspec.structs.replace(
             edge_rig.BOUNDS, repeat_slack=REPEATS
@@ -136,7 +136,7 @@
     return fleet
 
 
-def _shed(monkeypatch, seed: int, share: float) -> ending_rig.Fleet:
+def _shed(monkeypatch, seed: int, share: float) -> crash_rig.Fleet:
     """Let a part of the servers turn everything away for some seconds."""
 
     async def main():
@@ -153,7 +153,7 @@
             for one in some:
                 one.rest_s = None
             await asyncio.sleep(REST_S)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.WORK_S)
         await fleet.stop()
         return fleet
 
@@ -251,7 +251,7 @@
 
 
 def test_shorter_rest_does_not_end_a_longer_one(manual_clock):
-    rests = rests_lib.Rests(manual_clock)
+    rests = server_backoffs_lib.Rests(manual_clock)
     rests.asked(KEY, REST)
     rests.asked(KEY, A_MOMENT)
     manual_clock.advance(2 * A_MOMENT)
@@ -377,13 +377,13 @@
 
 
 def test_new_life_owes_nothing_of_the_old_one(manual_clock):
-    rests = rests_lib.Rests(manual_clock)
+    rests = server_backoffs_lib.Rests(manual_clock)
     rests.asked(desired.BackendKey("i-0 1"), REST)
     assert not rests.rests(desired.BackendKey("i-0 2"))
 
 
 def test_urgent_messages_in_a_rest_are_two(manual_clock):
-    rests = rests_lib.Rests(manual_clock)
+    rests = server_backoffs_lib.Rests(manual_clock)
     assert all(rests.may_disturb(KEY) for _ in range(9))
     rests.asked(KEY, REST)
     assert [rests.may_disturb(KEY) for _ in range(4)] == [True, True] + [
@@ -442,9 +442,9 @@
                     one.slots = 2
                 await asyncio.sleep(4.0)
                 for one in some:
-                    one.slots = ending_rig.SLOTS
+                    one.slots = crash_rig.SLOTS
                 await asyncio.sleep(4.0)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.WORK_S)
         await fleet.stop()
         return fleet
 
@@ -477,7 +477,7 @@
             for one in fleet.rng.sample(fleet.servers, 5):
                 one.slots = 0
             await asyncio.sleep(SHED_S)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.WORK_S)
         await fleet.stop()
         answers = collections.Counter(one.status for one in fleet.answers)
         return answers[503] / answers.total()
--- a/testing/edge/test_unseen.py
+++ b/testing/edge/test_unreported_requests.py
@@ -14,7 +14,7 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import loads as loads_lib
+from lugcross.edge import backend_loads as backend_loads_lib
 from lugcross import ids
 
 MS = datetime.timedelta(milliseconds=1)
@@ -45,7 +45,9 @@
         self.rng = random.Random(seed)
         self.rate = rate / peers / 1000.0
         self.clock = clock_lib.ManualClock()
-        self.loads = loads_lib.Loads(self.clock, service_of=lambda _: SERVICE)
+        self.loads = backend_loads_lib.Loads(
+            self.clock, service_of=lambda _: SERVICE
+        )
         self.peers = [
             _Peer(near=num % 5 == 0, starts=[]) for num in range(peers)
         ]
@@ -110,7 +112,7 @@
 
 def test_peer_that_was_silent_has_not_begun_all_that_it_has():
     clock = clock_lib.ManualClock()
-    loads = loads_lib.Loads(clock, service_of=lambda _: SERVICE)
+    loads = backend_loads_lib.Loads(clock, service_of=lambda _: SERVICE)
     loads.peer_told("n2", {KEY: 1})
     clock.advance(datetime.timedelta(seconds=3))
     loads.peer_told("n2", {KEY: 30})
