--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -67,18 +67,20 @@
 
 #: What each way changes of the kept one.
 WAYS = {
-    "as it was": [(registry_lib.Ledger, "merge", _no_ledger)],
+    "as it was": [(registry_lib.SuspectRegistry, "merge", _no_ledger)],
     "refuse after 3": [
-        (registry_lib.Ledger, "_tells_apart", _never),
+        (registry_lib.SuspectRegistry, "_is_only_explanation", _never),
         (world_lib.World, "choose_apart", _anywhere),
     ],
     "refuse after 2": [
-        (registry_lib, "MOST", 2),
-        (registry_lib, "MOST_AT_LARGE", 2),
+        (registry_lib, "CRASHES_TO_REFUSE", 2),
+        (registry_lib, "CRASHES_TO_REFUSE_IN_OUTAGE", 2),
         (world_lib.World, "choose_apart", _anywhere),
     ],
     "2 if sure, anywhere": [(world_lib.World, "choose_apart", _anywhere)],
-    "3, suspects apart": [(registry_lib.Ledger, "_tells_apart", _never)],
+    "3, suspects apart": [
+        (registry_lib.SuspectRegistry, "_is_only_explanation", _never)
+    ],
     "2 if sure, apart": [],
 }
 
@@ -126,8 +128,8 @@
     return (time.process_time() - begun) / rounds * 1e6
 
 
-def _identity(size: int) -> crash_suspects.Identity:
-    return crash_suspects.Identity(
+def _identity(size: int) -> crash_suspects.RequestIdentity:
+    return crash_suspects.RequestIdentity(
         service="s",
         workspace="w",
         host="h.example",
@@ -142,26 +144,28 @@
         us = _microseconds(_identity(size).fingerprint, rounds)
         print(f"fingerprint of {size} bytes: {us:.0f} us")
     clock = clock_lib.ManualClock()
-    ledger = crash_suspects.Ledger()
+    ledger = crash_suspects.SuspectRegistry()
     now = clock.monotonic()
-    for num in range(registry_lib.KEPT_MOST):
+    for num in range(registry_lib.MAX_SUSPECTS):
         name = crash_suspects.Fingerprint(
-            num.to_bytes(crash_suspects.SIZE, "big")
+            num.to_bytes(crash_suspects.FINGERPRINT_BYTES, "big")
         )
         for server in range(2 if num < 8 else 1):
-            end = crash_suspects.End(
+            end = crash_suspects.ServerCrash(
                 f"i-{num}{server:09}",
                 "v1",
                 now + clock_lib.seconds(server),
                 clock_lib.seconds(0.1),
             )
-            ledger.ended(name, end, now)
-    sound = crash_suspects.Fingerprint(b"s" * crash_suspects.SIZE)
+            ledger.record_crash(name, end, now)
+    sound = crash_suspects.Fingerprint(b"s" * crash_suspects.FINGERPRINT_BYTES)
     us = _microseconds(lambda: ledger.find(sound))
     print(f"look of a sound request at a full ledger: {us:.2f} us")
     software = frozenset(["v1"])
-    name = crash_suspects.Fingerprint((0).to_bytes(crash_suspects.SIZE, "big"))
-    us = _microseconds(lambda: ledger.standing(name, software, now), 200)
+    name = crash_suspects.Fingerprint(
+        (0).to_bytes(crash_suspects.FINGERPRINT_BYTES, "big")
+    )
+    us = _microseconds(lambda: ledger.status(name, software, now), 200)
     print(f"standing of one with two ends, full ledger: {us:.0f} us")
     told = casenews.CaseNews(ledger, clock).tell()
     size = len(messages.encode(messages.PassedOn("", _beat(told))))
--- a/src/lugcross/crash_suspects/__init__.py
+++ b/src/lugcross/crash_suspects/__init__.py
@@ -1,28 +1,28 @@
 # SPDX-License-Identifier: Apache-2.0
 """Requests that end the backend servers that run them."""
 
-from lugcross.crash_suspects.assignment import place
+from lugcross.crash_suspects.assignment import assign_server
 from lugcross.crash_suspects.fingerprint import Fingerprint
-from lugcross.crash_suspects.fingerprint import Identity
-from lugcross.crash_suspects.fingerprint import SIZE
-from lugcross.crash_suspects.registry import Case
-from lugcross.crash_suspects.registry import End
-from lugcross.crash_suspects.registry import ENDS_MOST
-from lugcross.crash_suspects.registry import LAPSE
-from lugcross.crash_suspects.registry import Ledger
-from lugcross.crash_suspects.registry import Standing
-from lugcross.crash_suspects.registry import SURE
+from lugcross.crash_suspects.fingerprint import FINGERPRINT_BYTES
+from lugcross.crash_suspects.fingerprint import RequestIdentity
+from lugcross.crash_suspects.registry import MAX_CRASHES_KEPT
+from lugcross.crash_suspects.registry import MIN_CRASHES_TO_REFUSE
+from lugcross.crash_suspects.registry import ServerCrash
+from lugcross.crash_suspects.registry import SuspectRecord
+from lugcross.crash_suspects.registry import SuspectRegistry
+from lugcross.crash_suspects.registry import SuspectStatus
+from lugcross.crash_suspects.registry import SUSPICION_TTL
 
 __all__ = [
-    "ENDS_MOST",
-    "LAPSE",
-    "SIZE",
-    "SURE",
-    "Case",
-    "End",
+    "MAX_CRASHES_KEPT",
+    "SUSPICION_TTL",
+    "FINGERPRINT_BYTES",
+    "MIN_CRASHES_TO_REFUSE",
+    "SuspectRecord",
+    "ServerCrash",
     "Fingerprint",
-    "Identity",
-    "Ledger",
-    "Standing",
-    "place",
+    "RequestIdentity",
+    "SuspectRegistry",
+    "SuspectStatus",
+    "assign_server",
 ]
--- a/src/lugcross/crash_suspects/assignment.py
+++ b/src/lugcross/crash_suspects/assignment.py
@@ -14,18 +14,18 @@
 from lugcross import routing
 
 
-def place(
+def assign_server(
     request: fingerprint.Fingerprint,
-    rivals: Collection[fingerprint.Fingerprint],
+    other_suspects: Collection[fingerprint.Fingerprint],
     servers: Sequence[str],
 ) -> str | None:
     """Return the server of ``servers`` that a suspect should go to.
 
-    :param rivals: other suspects with as much against them, which get a
-        server of their own as long as there are any.
+    :param other_suspects: other suspects with as much against them, which
+        get a server of their own as long as there are any.
     """
     free = list(servers)
-    for one in sorted({*rivals, request}):
+    for one in sorted({*other_suspects, request}):
         found = routing.first(one.hex(), free or servers)
         if one == request:
             return found
--- a/src/lugcross/crash_suspects/fingerprint.py
+++ b/src/lugcross/crash_suspects/fingerprint.py
@@ -11,13 +11,13 @@
 
 #: Bytes of a fingerprint: two requests with the same one are found in 2**64
 #: tries, and only among those of one workspace.
-SIZE = 16
-_PERSON = b"lugcross-request"
+FINGERPRINT_BYTES = 16
+_HASH_PERSONALIZATION = b"lugcross-request"
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Identity:
+class RequestIdentity:
     """What stays the same when a caller sends its request again.
 
     Ids of attempts, times left and what a stream is resumed from differ
@@ -43,7 +43,11 @@
         and for requests only that anything hangs on.
         """
         key = hashlib.blake2b(self.workspace.encode()).digest()
-        found = hashlib.blake2b(digest_size=SIZE, key=key, person=_PERSON)
+        found = hashlib.blake2b(
+            digest_size=FINGERPRINT_BYTES,
+            key=key,
+            person=_HASH_PERSONALIZATION,
+        )
         head = (
             self.service.encode(),
             self.host.encode("latin-1", "replace"),
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -230,13 +230,13 @@
             store_lost=float(self.knowledge.trouble.now),
             peers=len(self.knowledge.peers.live()),
             connections=len(self._conns),
-            suspects=len(self.world.endings.ledger),
+            suspects=len(self.world.endings.registry),
         )
         self.world.figures.running(self.world.uses.by_service())
         give = functools.partial(
             figures_lib.give,
             self.world.figures,
-            listing=self.world.endings.listing,
+            listing=self.world.endings.listing_json,
         )
         await self._serve_inner(reader, writer, give)
 
--- a/src/lugcross/edge/casenews.py
+++ b/src/lugcross/edge/casenews.py
@@ -31,7 +31,7 @@
     """Tells and hears cases by a process's datagrams."""
 
     def __init__(
-        self, ledger: crash_suspects.Ledger, clock: clock_lib.Clock
+        self, ledger: crash_suspects.SuspectRegistry, clock: clock_lib.Clock
     ) -> None:
         self._ledger = ledger
         self._clock = clock
@@ -42,12 +42,14 @@
         if not len(self._ledger):
             return []
         now = self._clock.monotonic()
-        cases = self._ledger.cases()
-        new = [one for one in cases if now - one.newest < _NEW][:_NEW_MOST]
+        cases = self._ledger.records()
+        new = [one for one in cases if now - one.changed_at < _NEW][:_NEW_MOST]
         old = [
             one
             for one in cases
-            if one not in new and len(one.against) >= crash_suspects.SURE
+            if one not in new
+            and len(one.crashes_since_cleared)
+            >= crash_suspects.MIN_CRASHES_TO_REFUSE
         ]
         turn = self._turn % len(old) if old else 0
         self._turn = turn + _OLD_MOST
@@ -63,21 +65,21 @@
 
 
 def message(
-    case: crash_suspects.Case, now: clock_lib.Instant
+    case: crash_suspects.SuspectRecord, now: clock_lib.Instant
 ) -> messages.Suspect:
     return messages.Suspect(
         case.request,
-        [_server_end(one, now) for one in case.ends],
-        -1 if case.cleared is None else _ago(case.cleared, now),
+        [_server_end(one, now) for one in case.crashes],
+        -1 if case.cleared_at is None else _ago(case.cleared_at, now),
     )
 
 
 def case(
     told: messages.Suspect, now: clock_lib.Instant
-) -> crash_suspects.Case:
+) -> crash_suspects.SuspectRecord:
     """Return the case that was told at ``now``."""
     ends = tuple(
-        crash_suspects.End(
+        crash_suspects.ServerCrash(
             one.server,
             one.software,
             now - one.ago_ms * _MS,
@@ -86,19 +88,19 @@
         for one in told.ends
     )
     cleared = None if told.cleared_ms < 0 else now - told.cleared_ms * _MS
-    return crash_suspects.Case(
+    return crash_suspects.SuspectRecord(
         crash_suspects.Fingerprint(told.request), ends, cleared
     )
 
 
 def _server_end(
-    end: crash_suspects.End, now: clock_lib.Instant
+    end: crash_suspects.ServerCrash, now: clock_lib.Instant
 ) -> messages.ServerEnd:
     return messages.ServerEnd(
         end.server,
         end.software,
-        ago_ms=_ago(end.at, now),
-        ran_ms=min(int(end.ran / _MS), messages.LAPSE_MS),
+        ago_ms=_ago(end.crashed_at, now),
+        ran_ms=min(int(end.ran_for / _MS), messages.LAPSE_MS),
     )
 
 
--- a/src/lugcross/edge/casestore.py
+++ b/src/lugcross/edge/casestore.py
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        ledger: crash_suspects.Ledger,
+        ledger: crash_suspects.SuspectRegistry,
         store: platform.StoreClient,
         clock: clock_lib.Clock,
     ) -> None:
@@ -62,9 +62,12 @@
 
     def keep_again(self, since: clock_lib.Instant) -> None:
         """Have written down again what was found lately; the store lost it."""
-        for case in self._ledger.cases():
-            certain = len(case.against) >= crash_suspects.SURE
-            if certain and case.newest >= since:
+        for case in self._ledger.records():
+            certain = (
+                len(case.crashes_since_cleared)
+                >= crash_suspects.MIN_CRASHES_TO_REFUSE
+            )
+            if certain and case.changed_at >= since:
                 self.keep(case.request)
 
     async def run(self) -> None:
@@ -95,7 +98,7 @@
             logging.warning("bad suspect kept", extra={"why": str(exc)})
             return
         ago = max(self._now_ms() - kept.written_ms, 0) * _MS
-        if ago >= crash_suspects.LAPSE:
+        if ago >= crash_suspects.SUSPICION_TTL:
             # Nobody needs it any more; others may drop it as well.
             await self._put(record.key, b"")
             return
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -23,11 +23,11 @@
 #: Longest wait for a server's host to say whether anybody listens there. It
 #: has just ended a connection, so that it is reached within a round trip, or
 #: with one lost packet within 0.2 s.
-_ASK_S = 0.3
+_PROBE_TIMEOUT_S = 0.3
 
 
 @final
-class Endings:
+class CrashTracker:
     """Requests that were running at servers that ended.
 
     :param software: versions that the servers of a service run now.
@@ -41,78 +41,95 @@
     ) -> None:
         self._clock = clock
         self._software = software
-        self._looks: dict[desired.BackendKey, asyncio.Task[bool]] = {}
+        self._probes: dict[desired.BackendKey, asyncio.Task[bool]] = {}
         #: When servers were first found to have ended.
-        self._ended_at: dict[desired.BackendKey, clock_lib.Instant] = {}
-        self._notes: set[asyncio.Task[None]] = set()
-        self.ledger = crash_suspects.Ledger()
+        self._crashed_at: dict[desired.BackendKey, clock_lib.Instant] = {}
+        self._pending_notes: set[asyncio.Task[None]] = set()
+        self.registry = crash_suspects.SuspectRegistry()
         #: Requests that an operator has cleared.
-        self.exempt: frozenset[crash_suspects.Fingerprint] = frozenset()
+        self.exempt_requests: frozenset[crash_suspects.Fingerprint] = (
+            frozenset()
+        )
         #: Called when there is something new to tell peers.
-        self.changed: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
         #: Called with a request that is refused from now on.
-        self.found: Callable[[crash_suspects.Fingerprint], None] = (
+        self.on_refused: Callable[[crash_suspects.Fingerprint], None] = (
             lambda request: None
         )
 
-    def standing(self, plan: plan_lib.Plan) -> crash_suspects.Standing:
+    def status(self, plan: plan_lib.Plan) -> crash_suspects.SuspectStatus:
         """Return how a request is to be treated now."""
-        if not self._is_known(plan) or plan.fingerprint in self.exempt:
-            return crash_suspects.Standing.FREE
-        return self.ledger.standing(
+        if (
+            not self._has_record(plan)
+            or plan.fingerprint in self.exempt_requests
+        ):
+            return crash_suspects.SuspectStatus.NOT_SUSPECT
+        return self.registry.status(
             plan.fingerprint,
             self._software(plan.service),
             self._clock.monotonic(),
         )
 
-    def against(self, plan: plan_lib.Plan) -> list[crash_suspects.End]:
+    def counted_crashes(
+        self, plan: plan_lib.Plan
+    ) -> list[crash_suspects.ServerCrash]:
         """Return what speaks against a request."""
-        if not self._is_known(plan):
+        if not self._has_record(plan):
             return []
-        return self.ledger.against(
+        return self.registry.counted_crashes(
             plan.fingerprint,
             self._software(plan.service),
             self._clock.monotonic(),
         )
 
-    def _is_known(self, plan: plan_lib.Plan) -> bool:
+    def _has_record(self, plan: plan_lib.Plan) -> bool:
         """Tell whether there is anything about a request.
 
         As long as there is nothing about any, none is even hashed.
         """
-        if not len(self.ledger):
+        if not len(self.registry):
             return False
-        return self.ledger.find(plan.fingerprint) is not None
+        return self.registry.find(plan.fingerprint) is not None
 
-    def lapses(self, ends: list[crash_suspects.End]) -> datetime.timedelta:
+    def time_until_expiry(
+        self, crashes: list[crash_suspects.ServerCrash]
+    ) -> datetime.timedelta:
         """Return the time until the oldest of ``ends`` counts no more.
 
         Then its request may be tried once more, as a suspect.
         """
-        oldest = min(one.at for one in ends)
-        return oldest + crash_suspects.LAPSE - self._clock.monotonic()
+        oldest = min(one.crashed_at for one in crashes)
+        return oldest + crash_suspects.SUSPICION_TTL - self._clock.monotonic()
 
-    def may_go_again(self, plan: plan_lib.Plan, *, broke: bool) -> bool:
+    def may_retry(self, plan: plan_lib.Plan, *, broke: bool) -> bool:
         """Tell whether a request may go to one more server at once.
 
         :param broke: whether the last attempt broke off.
         """
-        if self.standing(plan) is crash_suspects.Standing.REFUSED:
+        if self.status(plan) is crash_suspects.SuspectStatus.REFUSED:
             return False
-        if plan.fingerprint in self.exempt:
+        if plan.fingerprint in self.exempt_requests:
             return True
         # What others know of it comes within a moment, its caller later.
-        return not broke or len(self.against(plan)) < crash_suspects.SURE
+        return (
+            not broke
+            or len(self.counted_crashes(plan))
+            < crash_suspects.MIN_CRASHES_TO_REFUSE
+        )
 
-    def place(
+    def assign_server(
         self, plan: plan_lib.Plan, servers: list[desired.BackendKey]
     ) -> desired.BackendKey | None:
         """Return the server that a suspect should go to."""
-        rivals = self.ledger.rivals(plan.fingerprint)
-        found = crash_suspects.place(plan.fingerprint, rivals, servers)
+        other_suspects = self.registry.suspects_at_same_crashes(
+            plan.fingerprint
+        )
+        found = crash_suspects.assign_server(
+            plan.fingerprint, other_suspects, servers
+        )
         return None if found is None else desired.BackendKey(found)
 
-    async def broke(
+    async def record_broken_attempt(
         self,
         plan: plan_lib.Plan,
         backend: desired.Backend,
@@ -126,28 +143,30 @@
         :param since: when it was sent; what was sent to a server that had
             ended before never ran there.
         """
-        task = asyncio.create_task(self._note(plan, backend, since))
-        self._notes.add(task)
-        task.add_done_callback(self._notes.discard)
+        task = asyncio.create_task(
+            self._judge_broken_attempt(plan, backend, since)
+        )
+        self._pending_notes.add(task)
+        task.add_done_callback(self._pending_notes.discard)
         await asyncio.shield(task)
 
-    async def _note(
+    async def _judge_broken_attempt(
         self,
         plan: plan_lib.Plan,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
-        if not await self._has_ended(backend):
+        if not await self._has_crashed(backend):
             return
         now = self._clock.monotonic()
-        if self._ended_at.setdefault(backend.key, now) < since:
+        if self._crashed_at.setdefault(backend.key, now) < since:
             return
-        end = crash_suspects.End(
+        crash = crash_suspects.ServerCrash(
             backend.key, backend.software, now, now - since
         )
-        if not self.ledger.ended(plan.fingerprint, end, now):
+        if not self.registry.record_crash(plan.fingerprint, crash, now):
             return
-        standing = self.standing(plan)
+        status = self.status(plan)
         logging.warning(
             "server ended under a request",
             extra={
@@ -155,26 +174,26 @@
                 "same": plan.fingerprint.hex(),
                 "service": plan.service,
                 "backend": backend.key,
-                "ends": [one.server for one in self.against(plan)],
-                "standing": standing.value,
+                "ends": [one.server for one in self.counted_crashes(plan)],
+                "standing": status.value,
             },
         )
-        self.changed()
-        if standing is crash_suspects.Standing.REFUSED:
-            self.found(plan.fingerprint)
+        self.on_change()
+        if status is crash_suspects.SuspectStatus.REFUSED:
+            self.on_refused(plan.fingerprint)
 
-    async def _has_ended(self, backend: desired.Backend) -> bool:
+    async def _has_crashed(self, backend: desired.Backend) -> bool:
         """Ask a server's host; once for all whose attempts broke off."""
-        look = self._looks.get(backend.key)
-        if look is None:
-            look = asyncio.create_task(_is_refused(backend))
-            self._looks[backend.key] = look
-            look.add_done_callback(
-                lambda _: self._looks.pop(backend.key, None)
+        probe = self._probes.get(backend.key)
+        if probe is None:
+            probe = asyncio.create_task(_refuses_connections(backend))
+            self._probes[backend.key] = probe
+            probe.add_done_callback(
+                lambda _: self._probes.pop(backend.key, None)
             )
-        return await look
+        return await probe
 
-    def answered(
+    def record_completion(
         self,
         plan: plan_lib.Plan,
         backend: desired.Backend,
@@ -184,13 +203,15 @@
 
         :param since: when it was sent.
         """
-        if self._ended_at.get(backend.key, since) < since:
+        if self._crashed_at.get(backend.key, since) < since:
             # Its host refused a connection for another reason.
-            del self._ended_at[backend.key]
-        if not len(self.ledger):
+            del self._crashed_at[backend.key]
+        if not len(self.registry):
             return
-        self.ledger.answered(backend.key, since)
-        if not self.ledger.cleared(plan.fingerprint, self._clock.monotonic()):
+        self.registry.record_answer(backend.key, since)
+        if not self.registry.record_completion(
+            plan.fingerprint, self._clock.monotonic()
+        ):
             return
         logging.info(
             "suspect cleared",
@@ -200,46 +221,48 @@
                 "backend": backend.key,
             },
         )
-        self.changed()
+        self.on_change()
 
-    def forget_old(self) -> None:
+    def drop_expired(self) -> None:
         """Let lapse what is too old."""
         now = self._clock.monotonic()
-        self.ledger.forget_old(now)
-        for key, at in list(self._ended_at.items()):
-            if at <= now - crash_suspects.LAPSE:
-                del self._ended_at[key]
+        self.registry.drop_expired(now)
+        for key, at in list(self._crashed_at.items()):
+            if at <= now - crash_suspects.SUSPICION_TTL:
+                del self._crashed_at[key]
 
-    def listing(self) -> bytes:
+    def listing_json(self) -> bytes:
         """Return what speaks against which request, as JSON."""
         now = self._clock.monotonic()
         rows = [
             {
-                "same": case.request.hex(),
+                "same": record.request.hex(),
                 "ends": [
                     {
                         "backend": one.server,
                         "software": one.software,
-                        "ago_s": round((now - one.at).total_seconds(), 1),
+                        "ago_s": round(
+                            (now - one.crashed_at).total_seconds(), 1
+                        ),
                     }
-                    for one in case.against
+                    for one in record.crashes_since_cleared
                 ],
-                "exempt": case.request in self.exempt,
+                "exempt": record.request in self.exempt_requests,
             }
-            for case in self.ledger.cases()
-            if case.against
+            for record in self.registry.records()
+            if record.crashes_since_cleared
         ]
         return json.dumps({"suspects": rows}).encode()
 
 
-async def _is_refused(backend: desired.Backend) -> bool:
+async def _refuses_connections(backend: desired.Backend) -> bool:
     """Tell whether nobody listens at a server's address any more.
 
     Silence tells nothing: its host may be cut off.
     """
     try:
         conn = await http1.connect(
-            backend.host, backend.port, timeout_s=_ASK_S
+            backend.host, backend.port, timeout_s=_PROBE_TIMEOUT_S
         )
     except http1.NoConnectionError as exc:
         return exc.refused
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -94,10 +94,10 @@
         self.seen_broken: Callable[[], list[desired.BackendKey]] = list
         #: Backend servers that this process knows to hold their groups back.
         self.seen_slow: Callable[[], list[desired.BackendKey]] = list
-        ledger = world.endings.ledger
+        ledger = world.endings.registry
         self._cases = casenews.CaseNews(ledger, clock)
         self._case_store = casestore.CaseStore(ledger, store, clock)
-        world.endings.found = self._case_store.keep
+        world.endings.on_refused = self._case_store.keep
         store.began = self._era_began
         #: The desired state that the store told first, until it is sure that
         #: no peer has a newer one.
@@ -121,7 +121,7 @@
             settings, store, self.peers, clock=clock, rng=rng
         )
         world.known_peers = self.peers.known
-        world.endings.changed = functools.partial(
+        world.endings.on_change = functools.partial(
             self.peers.changed, urgent=True
         )
         self.news = news_lib.News(
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -17,12 +17,13 @@
 AGE_MOST_MS = 60_000
 _AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=AGE_MOST_MS)]
 #: The same of what speaks against a request; older has lapsed.
-LAPSE_MS = int(crash_suspects.LAPSE.total_seconds() * 1000)
+LAPSE_MS = int(crash_suspects.SUSPICION_TTL.total_seconds() * 1000)
 _LapseMs = Annotated[int, msgspec.Meta(ge=-1, le=LAPSE_MS)]
 _Request = Annotated[
     bytes,
     msgspec.Meta(
-        min_length=crash_suspects.SIZE, max_length=crash_suspects.SIZE
+        min_length=crash_suspects.FINGERPRINT_BYTES,
+        max_length=crash_suspects.FINGERPRINT_BYTES,
     ),
 ]
 #: Longest name of a server's life, and of its software, in characters.
@@ -54,7 +55,8 @@
 
     request: _Request
     ends: Annotated[
-        list[ServerEnd], msgspec.Meta(max_length=crash_suspects.ENDS_MOST)
+        list[ServerEnd],
+        msgspec.Meta(max_length=crash_suspects.MAX_CRASHES_KEPT),
     ]
     cleared_ms: _LapseMs = -1
 
--- a/src/lugcross/edge/plan.py
+++ b/src/lugcross/edge/plan.py
@@ -43,7 +43,7 @@
     @functools.cached_property
     def fingerprint(self) -> crash_suspects.Fingerprint:
         """What all tries of this request have in common."""
-        return crash_suspects.Identity(
+        return crash_suspects.RequestIdentity(
             service=self.service,
             workspace=self.space or "",
             host=self.route.host,
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -91,11 +91,14 @@
         for other reasons too.
         """
         endings = self._world.endings
-        if endings.standing(self._plan) is not crash_suspects.Standing.REFUSED:
+        if (
+            endings.status(self._plan)
+            is not crash_suspects.SuspectStatus.REFUSED
+        ):
             return
-        ends = endings.against(self._plan)
+        ends = endings.counted_crashes(self._plan)
         self._world.figures.suspect_refused(self._plan.service)
-        raise refusal.ends_servers(len(ends), endings.lapses(ends))
+        raise refusal.ends_servers(len(ends), endings.time_until_expiry(ends))
 
     def _verdict(
         self, found: backend_choice.Choice | None, *, back: bool
@@ -170,7 +173,9 @@
             self._changed()
         self._cut_off = attempt.cut_off
         if event in (None, retry_policy.Event.FAILED):
-            self._world.endings.answered(self._plan, backend, self._sent_at)
+            self._world.endings.record_completion(
+                self._plan, backend, self._sent_at
+            )
         begun = self._answer.begun
         self._state = dataclasses.replace(self._state, begun=begun)
         return event
@@ -180,7 +185,9 @@
     ) -> None:
         """Find out whether a server has ended under this request."""
         if event is retry_policy.Event.BROKEN and self._cut_off:
-            await self._world.endings.broke(self._plan, backend, self._sent_at)
+            await self._world.endings.record_broken_attempt(
+                self._plan, backend, self._sent_at
+            )
 
     def _may_go_on(self) -> bool:
         """Tell whether another server is left if this attempt breaks."""
@@ -195,7 +202,7 @@
         if not retry_policy.may_send(self._state):
             return False
         broke = event is retry_policy.Event.BROKEN
-        if not self._world.endings.may_go_again(self._plan, broke=broke):
+        if not self._world.endings.may_retry(self._plan, broke=broke):
             return False
         if not self._state.sent:
             return True
@@ -207,8 +214,8 @@
         return self._world.choose(self._plan.service, self._tried)
 
     def _is_suspect(self) -> bool:
-        standing = self._world.endings.standing(self._plan)
-        return standing is crash_suspects.Standing.SUSPECT
+        standing = self._world.endings.status(self._plan)
+        return standing is crash_suspects.SuspectStatus.SUSPECT
 
     async def _give_up(
         self, action: retry_policy.Action, event: retry_policy.Event
--- a/src/lugcross/edge/settings.py
+++ b/src/lugcross/edge/settings.py
@@ -154,7 +154,7 @@
 
     def __post_init__(self) -> None:
         for one in self.cleared:
-            if len(bytes.fromhex(one)) != crash_suspects.SIZE:
+            if len(bytes.fromhex(one)) != crash_suspects.FINGERPRINT_BYTES:
                 raise ValueError(f"{one!r} is no fingerprint")
 
 
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -100,8 +100,10 @@
         self.rests = server_backoffs_lib.Rests(clock)
         self.pool = pool_lib.Pool(clock)
         self.figures = figures_lib.Figures()
-        self.endings = crash_tracker_lib.Endings(clock, software=self.software)
-        self.endings.exempt = _exempt(settings.suspects)
+        self.endings = crash_tracker_lib.CrashTracker(
+            clock, software=self.software
+        )
+        self.endings.exempt_requests = _exempt(settings.suspects)
         self._serving: dict[ids.ServiceName, _Cached] = {}
 
     def software(self, service: ids.ServiceName) -> frozenset[str]:
@@ -135,7 +137,7 @@
         bounds = settings.bounds
         self.bounds = bounds
         self.uses.weights = settings.shares.weights
-        self.endings.exempt = _exempt(settings.suspects)
+        self.endings.exempt_requests = _exempt(settings.suspects)
         for budget in self._budgets.values():
             budget.allow(
                 ratio=bounds.repeat_ratio,
@@ -324,7 +326,7 @@
             and one.key not in tried
             and not self.loads.ejected(one.key)
         }
-        key = self.endings.place(plan, list(free))
+        key = self.endings.assign_server(plan, list(free))
         if usual is None or key is None:
             return usual
         return backend_choice.Choice(
@@ -384,7 +386,7 @@
 
     def sweep(self) -> None:
         """Forget what belongs to backend servers that are gone."""
-        self.endings.forget_old()
+        self.endings.drop_expired()
         known = {one.key for one in self.backends.all()}
         self.pool.sweep(known)
         self.loads.keep_only(known)
--- a/testing/crash_suspects/test_fingerprint.py
+++ b/testing/crash_suspects/test_fingerprint.py
@@ -7,7 +7,7 @@
 
 from lugcross import crash_suspects
 
-REQUEST = crash_suspects.Identity(
+REQUEST = crash_suspects.RequestIdentity(
     service="s",
     workspace="w",
     host="h",
--- a/testing/crash_suspects/test_registry.py
+++ b/testing/crash_suspects/test_registry.py
@@ -19,173 +19,186 @@
 
 
 def name(num: int) -> crash_suspects.Fingerprint:
-    return crash_suspects.Fingerprint(bytes([num]) * crash_suspects.SIZE)
+    return crash_suspects.Fingerprint(
+        bytes([num]) * crash_suspects.FINGERPRINT_BYTES
+    )
 
 
-def end(
+def crash(
     server: str, when: float, software: str = "v1", ran: float = 0.1
-) -> crash_suspects.End:
-    return crash_suspects.End(server, software, at(when), at(ran))
+) -> crash_suspects.ServerCrash:
+    return crash_suspects.ServerCrash(server, software, at(when), at(ran))
 
 
 A, B, C = name(1), name(2), name(3)
 
 
 @pytest.fixture
-def ledger() -> crash_suspects.Ledger:
-    return crash_suspects.Ledger()
+def registry() -> crash_suspects.SuspectRegistry:
+    return crash_suspects.SuspectRegistry()
 
 
-def _standing(ledger, request, now=100.0, software=SOFTWARE):
-    return ledger.standing(request, software, at(now))
+def _status(registry, request, now=100.0, software=SOFTWARE):
+    return registry.status(request, software, at(now))
 
 
-def _note(ledger, request, *ends):
-    for one in ends:
-        ledger.ended(request, one, one.at)
+def _note(registry, request, *crashes):
+    for one in crashes:
+        registry.record_crash(request, one, one.crashed_at)
 
 
-def test_nothing_is_held_against_who_was_nowhere(ledger):
-    _note(ledger, A, end("s1", 1))
-    assert _standing(ledger, B) is crash_suspects.Standing.FREE
+def test_nothing_is_held_against_who_was_nowhere(registry):
+    _note(registry, A, crash("s1", 1))
+    assert _status(registry, B) is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
-def test_one_end_makes_suspect(ledger):
-    _note(ledger, A, end("s1", 1))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
+def test_one_end_makes_suspect(registry):
+    _note(registry, A, crash("s1", 1))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_two_ends_are_enough_where_nobody_else_was_at_both(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 1.1))
-    _note(ledger, B, end("s1", 1))
-    _note(ledger, C, end("s2", 1.1))
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
-    assert _standing(ledger, B) is crash_suspects.Standing.SUSPECT
+def test_two_ends_are_enough_where_nobody_else_was_at_both(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 1.1))
+    _note(registry, B, crash("s1", 1))
+    _note(registry, C, crash("s2", 1.1))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
+    assert _status(registry, B) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_who_was_at_both_is_tried_once_more(ledger):
+def test_who_was_at_both_is_tried_once_more(registry):
     for request in (A, B):
-        _note(ledger, request, end("s1", 1), end("s2", 5))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
-    ledger.cleared(B, at(7))
-    assert _standing(ledger, B) is crash_suspects.Standing.FREE
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
+        _note(registry, request, crash("s1", 1), crash("s2", 5))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
+    registry.record_completion(B, at(7))
+    assert _status(registry, B) is crash_suspects.SuspectStatus.NOT_SUSPECT
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-def test_two_ends_of_a_rack_that_went_dark_are_not_enough(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 5))
-    _note(ledger, B, end("s3", 5.4))
-    ledger.cleared(B, at(6))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
-    _note(ledger, A, end("s4", 9))
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
+def test_two_ends_of_a_rack_that_went_dark_are_not_enough(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    _note(registry, B, crash("s3", 5.4))
+    registry.record_completion(B, at(6))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
+    _note(registry, A, crash("s4", 9))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-def test_three_ends_are_not_enough_while_servers_end_at_large(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 2), end("s3", 3))
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
+def test_three_ends_are_not_enough_while_servers_end_at_large(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 2), crash("s3", 3))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
     for num in range(4):
-        _note(ledger, B, end(f"t{num}", 2 + num))
-        ledger.cleared(B, at(2.5 + num))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
-    _note(ledger, A, end("s4", 5))
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
+        _note(registry, B, crash(f"t{num}", 2 + num))
+        registry.record_completion(B, at(2.5 + num))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
+    _note(registry, A, crash("s4", 5))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-def test_two_ends_at_other_points_of_its_run_are_not_enough(ledger):
-    _note(ledger, A, end("s1", 1, ran=0.1), end("s2", 5, ran=0.3))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
+def test_two_ends_at_other_points_of_its_run_are_not_enough(registry):
+    _note(registry, A, crash("s1", 1, ran=0.1), crash("s2", 5, ran=0.3))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_copies_that_ran_at_once_count_once(ledger):
+def test_copies_that_ran_at_once_count_once(registry):
     """A request that many send is everywhere when all servers end."""
     _note(
-        ledger,
+        registry,
         A,
-        *(end(f"s{num}", 1 + num / 100, ran=0.5) for num in range(8)),
+        *(crash(f"s{num}", 1 + num / 100, ran=0.5) for num in range(8)),
     )
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
-    _note(ledger, A, end("t1", 3))
-    assert len(ledger.against(A, SOFTWARE, at(4))) == 2
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
+    _note(registry, A, crash("t1", 3))
+    assert len(registry.counted_crashes(A, SOFTWARE, at(4))) == 2
 
 
-def test_one_server_counts_once_whoever_saw_its_end(ledger):
+def test_one_server_counts_once_whoever_saw_its_end(registry):
     for seen in (1.0, 1.2, 4.0):
-        _note(ledger, A, end("s1", seen))
-    assert len(ledger.against(A, SOFTWARE, at(5))) == 1
-    assert ledger.find(A).ends == (end("s1", 1.0),)
+        _note(registry, A, crash("s1", seen))
+    assert len(registry.counted_crashes(A, SOFTWARE, at(5))) == 1
+    assert registry.find(A).crashes == (crash("s1", 1.0),)
 
 
-def test_what_ran_to_its_end_is_cleared_of_all_before(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 5))
-    ledger.cleared(A, at(6))
-    assert _standing(ledger, A) is crash_suspects.Standing.FREE
-    _note(ledger, A, end("s3", 5.5))
-    assert _standing(ledger, A) is crash_suspects.Standing.FREE
-    _note(ledger, A, end("s4", 7))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
+def test_what_ran_to_its_end_is_cleared_of_all_before(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    registry.record_completion(A, at(6))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.NOT_SUSPECT
+    _note(registry, A, crash("s3", 5.5))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.NOT_SUSPECT
+    _note(registry, A, crash("s4", 7))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_other_software_gets_a_chance_of_its_own(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 5))
+def test_other_software_gets_a_chance_of_its_own(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 5))
     new = frozenset(["v2"])
-    assert _standing(ledger, A, software=new) is crash_suspects.Standing.FREE
+    assert (
+        _status(registry, A, software=new)
+        is crash_suspects.SuspectStatus.NOT_SUSPECT
+    )
     both = SOFTWARE | new
     assert (
-        _standing(ledger, A, software=both) is crash_suspects.Standing.REFUSED
+        _status(registry, A, software=both)
+        is crash_suspects.SuspectStatus.REFUSED
     )
 
 
-def test_it_lapses(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 5))
-    later = 5 + crash_suspects.LAPSE.total_seconds()
-    assert _standing(ledger, A, later - 4.5) is crash_suspects.Standing.REFUSED
-    assert _standing(ledger, A, later) is crash_suspects.Standing.FREE
-    ledger.forget_old(at(later))
-    assert not len(ledger)
+def test_it_lapses(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    later = 5 + crash_suspects.SUSPICION_TTL.total_seconds()
+    assert (
+        _status(registry, A, later - 4.5)
+        is crash_suspects.SuspectStatus.REFUSED
+    )
+    assert (
+        _status(registry, A, later) is crash_suspects.SuspectStatus.NOT_SUSPECT
+    )
+    registry.drop_expired(at(later))
+    assert not len(registry)
 
 
-def test_server_that_answers_has_not_ended(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 5))
-    ledger.answered("s2", at(4.9))
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
-    ledger.answered("s2", at(5.1))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
-    _note(ledger, A, end("s2", 5))
-    assert _standing(ledger, A) is crash_suspects.Standing.SUSPECT
+def test_server_that_answers_has_not_ended(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    registry.record_answer("s2", at(4.9))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
+    registry.record_answer("s2", at(5.1))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
+    _note(registry, A, crash("s2", 5))
+    assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_flood_of_other_requests_drives_out_no_proof(ledger):
-    _note(ledger, A, end("s1", 1), end("s2", 5))
-    for num in range(2 * registry_lib.KEPT_MOST):
+def test_flood_of_other_requests_drives_out_no_proof(registry):
+    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    for num in range(2 * registry_lib.MAX_SUSPECTS):
         other = crash_suspects.Fingerprint(
-            num.to_bytes(crash_suspects.SIZE, "big")
+            num.to_bytes(crash_suspects.FINGERPRINT_BYTES, "big")
         )
-        _note(ledger, other, end("s9", 20 + num * 0.001))
-    assert len(ledger) == registry_lib.KEPT_MOST
-    assert _standing(ledger, A) is crash_suspects.Standing.REFUSED
+        _note(registry, other, crash("s9", 20 + num * 0.001))
+    assert len(registry) == registry_lib.MAX_SUSPECTS
+    assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-ENDS = st.builds(end, st.sampled_from(["s1", "s2", "s3"]), st.integers(1, 9))
-CASES = st.builds(
-    lambda ends, cleared: crash_suspects.Case(
+CRASHES = st.builds(
+    crash, st.sampled_from(["s1", "s2", "s3"]), st.integers(1, 9)
+)
+RECORDS = st.builds(
+    lambda crashes, cleared: crash_suspects.SuspectRecord(
         A,
-        tuple({one.server: one for one in ends}.values()),
+        tuple({one.server: one for one in crashes}.values()),
         None if cleared is None else at(cleared),
     ),
-    st.lists(ENDS, max_size=3),
+    st.lists(CRASHES, max_size=3),
     st.none() | st.integers(1, 9),
 )
 
 
-@given(st.lists(CASES, min_size=1, max_size=3))
-def test_news_mean_the_same_in_any_order_and_twice(cases):
+@given(st.lists(RECORDS, min_size=1, max_size=3))
+def test_news_mean_the_same_in_any_order_and_twice(records):
     found = set()
-    for order in itertools.permutations(cases):
-        ledger = crash_suspects.Ledger()
-        for case in (*order, *order):
-            ledger.merge(case, at(10))
-        found.add(ledger.find(A))
+    for order in itertools.permutations(records):
+        registry = crash_suspects.SuspectRegistry()
+        for record in (*order, *order):
+            registry.merge(record, at(10))
+        found.add(registry.find(A))
     assert len(found) == 1
 
 
@@ -194,7 +207,9 @@
     servers = [f"s{num}" for num in range(6)]
     names = [name(num) for num in nums]
     places = [
-        crash_suspects.place(one, [x for x in names if x != one], servers)
+        crash_suspects.assign_server(
+            one, [x for x in names if x != one], servers
+        )
         for one in names
     ]
     assert len(set(places)) == len(names)
@@ -202,7 +217,7 @@
 
 def test_copies_of_one_suspect_meet_at_one_server():
     servers = ["s1", "s2", "s3"]
-    assert crash_suspects.place(A, [], servers) == crash_suspects.place(
-        A, [], servers[::-1]
-    )
-    assert crash_suspects.place(A, [B], []) is None
+    assert crash_suspects.assign_server(
+        A, [], servers
+    ) == crash_suspects.assign_server(A, [], servers[::-1])
+    assert crash_suspects.assign_server(A, [B], []) is None
--- a/testing/edge/test_crash_tracker.py
+++ b/testing/edge/test_crash_tracker.py
@@ -10,7 +10,10 @@
 
 
 def _against(one: rig.Rig) -> list[int]:
-    return [len(case.against) for case in one.world.endings.ledger.cases()]
+    return [
+        len(case.crashes_since_cleared)
+        for case in one.world.endings.registry.records()
+    ]
 
 
 class _Ending:
@@ -64,9 +67,11 @@
         got = []
         for _ in range(times):
             got.append(await one.ask())
-            cases = one.world.endings.ledger.cases()
+            cases = one.world.endings.registry.records()
             if exempt:
-                one.world.endings.exempt = frozenset([cases[0].request])
+                one.world.endings.exempt_requests = frozenset(
+                    [cases[0].request]
+                )
         one.close()
         return got, one, servers
 
@@ -77,8 +82,8 @@
     got, one, _ = _play_ending(1)
     assert got[0].status == 200
     # It ran to its end at the next server, and is cleared.
-    cases = one.world.endings.ledger.cases()
-    assert [len(case.ends) for case in cases] == [1]
+    cases = one.world.endings.registry.records()
+    assert [len(case.crashes) for case in cases] == [1]
     assert _against(one) == [0]
 
 
@@ -89,13 +94,13 @@
 
     got, one = _play(rig.SAFE, resets, rig.answer())
     assert got.status == 200
-    assert one.world.endings.ledger.cases() == []
+    assert one.world.endings.registry.records() == []
 
 
 def test_server_that_answers_with_a_failure_does_not():
     failure = rig.answer(500, b"no")
     _, one = _play(rig.SAFE, failure, failure)
-    assert one.world.endings.ledger.cases() == []
+    assert one.world.endings.registry.records() == []
 
 
 def test_caller_is_told_when_to_come_back_and_that_it_has_not_run():
@@ -104,7 +109,7 @@
     assert got[1].status == 503
     assert b"2 backend servers have ended" in got[1].body
     wait = float(got[1].headers[b"retry-after"])
-    assert 0 < wait <= crash_suspects.LAPSE.total_seconds()
+    assert 0 < wait <= crash_suspects.SUSPICION_TTL.total_seconds()
     assert servers.answered == []
     assert _against(one) == [2]
 
--- a/testing/edge/test_foreign_bytes.py
+++ b/testing/edge/test_foreign_bytes.py
@@ -93,27 +93,29 @@
         beat = messages.decode_datagram(cbor2.dumps(fields))
     except msgspec.ValidationError:
         return
-    ledger = crash_suspects.Ledger()
+    ledger = crash_suspects.SuspectRegistry()
     clock = clock_lib.ManualClock()
     casenews.CaseNews(ledger, clock).hear(beat.suspects)
-    sound = crash_suspects.Fingerprint(b"y" * crash_suspects.SIZE)
+    sound = crash_suspects.Fingerprint(b"y" * crash_suspects.FINGERPRINT_BYTES)
     now = clock.monotonic()
-    standing = ledger.standing(sound, frozenset(["v1"]), now)
-    assert standing is crash_suspects.Standing.FREE
+    standing = ledger.status(sound, frozenset(["v1"]), now)
+    assert standing is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 def test_false_news_of_ends_end_with_the_next_answer():
     """A peer tells that servers ended which answer: nobody is refused."""
     clock = clock_lib.ManualClock()
-    ledger = crash_suspects.Ledger()
+    ledger = crash_suspects.SuspectRegistry()
     news = casenews.CaseNews(ledger, clock)
-    request = crash_suspects.Fingerprint(b"y" * crash_suspects.SIZE)
+    request = crash_suspects.Fingerprint(
+        b"y" * crash_suspects.FINGERPRINT_BYTES
+    )
     ends = [messages.ServerEnd(f"i-{num}", "v1", 0, 5) for num in range(4)]
     told = messages.Suspect(request, ends)
     news.hear([told])
     clock.advance(clock_lib.seconds(1))
     for num in range(4):
-        ledger.answered(f"i-{num}", clock.monotonic())
+        ledger.record_answer(f"i-{num}", clock.monotonic())
     clock.advance(clock_lib.seconds(1))
     news.hear(
         [
@@ -126,8 +128,8 @@
             )
         ]
     )
-    standing = ledger.standing(request, frozenset(["v1"]), clock.monotonic())
-    assert standing is crash_suspects.Standing.FREE
+    standing = ledger.status(request, frozenset(["v1"]), clock.monotonic())
+    assert standing is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 @given(
