--- a/bench/admission.py
+++ b/bench/admission.py
@@ -46,7 +46,9 @@
     world.backends.apply(tail, store_was_away=False)
     keys = [desired.BackendKey(row.key) for row in rows]
     for num in range(peers):
-        world.loads.peer_told(f"n{num}", dict.fromkeys(rng.sample(keys, 5), 1))
+        world.loads.record_peer_requests(
+            f"n{num}", dict.fromkeys(rng.sample(keys, 5), 1)
+        )
     return world
 
 
@@ -54,7 +56,7 @@
     """Look up what one request asks for."""
     found = world.choose(SERVICE, ())
     assert found is not None
-    world.picture(SERVICE, least=found.least)
+    world.picture(SERVICE, least=found.min_requests)
 
 
 def _measure(peers: int, servers: int) -> float:
--- a/bench/control.py
+++ b/bench/control.py
@@ -152,14 +152,14 @@
                 name=ids.BackendName(f"b{num}"),
                 domain=ids.DomainName(f"d{num % 12}"),
                 usable=True,
-                busy=num % 9,
-                sent=0,
+                reported_requests=num % 9,
+                sent_since_report=0,
                 capacity=8,
             )
             for num in range(count)
         ]
         found[f"choice_us_at_{count}"] = _MICRO * slopes.seconds_each(
-            lambda c=candidates: routing.choose(
+            lambda c=candidates: routing.choose_backend(
                 c, home=ids.DomainName("d1"), tried=(), rng=rng
             ),
             count=300,
--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -178,7 +178,7 @@
         if key is None:
             return
         self.served[name, int(now)] += 1
-        world.loads.started(key)
+        world.loads.record_started(key)
         world.uses.began(SERVICE, ids.WorkspaceName(name))
         self.busy += 1
         self.most_busy = max(self.most_busy, self.busy)
@@ -191,7 +191,7 @@
         found = world.choose(SERVICE, ())
         if found is None:
             return None
-        picture = world.picture(SERVICE, least=found.least)
+        picture = world.picture(SERVICE, least=found.min_requests)
         space = desired.Workspace(name=ids.WorkspaceName(name))
         asking = world.asking(ROUTE, SERVICE, space)
         if not self.by_workspace:
@@ -202,7 +202,7 @@
     def _end(
         self, world: world_lib.World, name: str, key: desired.BackendKey
     ) -> None:
-        world.loads.ended(key)
+        world.loads.record_ended(key)
         world.uses.ended(SERVICE, ids.WorkspaceName(name))
         self.busy -= 1
 
@@ -210,7 +210,9 @@
         world = self.worlds[num]
         self._at(self._now + self.news.gap_s, "tell", num)
         when = self._now + self.news.way_s
-        self._at(when, "heard", num, world.loads.own(), world.uses.own())
+        self._at(
+            when, "heard", num, world.loads.own_requests(), world.uses.own()
+        )
 
     def _heard(
         self,
@@ -220,7 +222,7 @@
     ) -> None:
         for other, world in enumerate(self.worlds):
             if other != num:
-                world.loads.peer_told(f"n{num}", running)
+                world.loads.record_peer_requests(f"n{num}", running)
                 world.uses.peer_told(f"n{num}", uses)
 
     def share_served(self, names: set[str], since: int, until: int) -> float:
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -94,13 +94,13 @@
             pool,
             answer_s=engines_lib.REPORT_S,
             heard=self.world.heard,
-            may_send=self.world.rests.may_ask,
+            may_send=self.world.rests.may_send_deferrable,
         )
         orders = engines_lib.Caller(
             pool,
             answer_s=engines_lib.ORDER_S,
             heard=self.world.heard,
-            may_send=self.world.rests.may_disturb,
+            may_send=self.world.rests.take_urgent_allowance,
         )
         urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
         self._duty = duty_lib.Duty(
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -139,7 +139,7 @@
         """
         world = self._world
         plan = self._plan
-        world.loads.started(self._backend.key)
+        world.loads.record_started(self._backend.key)
         world.uses.began(plan.service, plan.space)
         try:
             try:
@@ -150,7 +150,7 @@
             except http1.NoConnectionError as exc:
                 self._failed(str(exc))
                 return retry_policy.Event.UNREACHED
-            if world.rests.rests(self._backend.key):
+            if world.rests.is_active(self._backend.key):
                 # It has asked while this one waited for its connection, for
                 # up to 0.4 s: as many as waited would reach it.
                 world.pool.give(self._backend, conn, None)
@@ -160,8 +160,8 @@
             if not self._told:
                 # Its caller left, or its time was over: a server on trial
                 # would be left alone for good.
-                self._health().unclear()
-            world.loads.ended(self._backend.key)
+                self._health().record_no_result()
+            world.loads.record_ended(self._backend.key)
             world.uses.ended(plan.service, plan.space)
 
     async def _use(self, conn: http1.ClientConn) -> retry_policy.Event | None:
@@ -213,7 +213,7 @@
         types = [v for n, v in answer.headers if n == b"content-type"]
         streams = bool(types) and types[0].startswith(_STREAM)
         if head.success and streams:
-            self._health().accepted()
+            self._health().record_answer_started()
             return await self._pass_events(conn, answer)
         return await self._pass_whole(conn, answer, head)
 
@@ -268,7 +268,7 @@
                 self._backend.key, "another life has its address"
             )
         elif head.rest is None:
-            self._health().turned_away(self._clock.monotonic())
+            self._health().record_refusal(self._clock.monotonic())
         return retry_policy.Event.NOT_RUN
 
     def _check(self, head: platform.AnswerHead) -> None:
@@ -327,16 +327,16 @@
             self._world.paused(self._backend, now - last, limit)
         return now
 
-    def _health(self) -> routing.Health:
+    def _health(self) -> routing.BackendHealth:
         return self._world.loads.health(self._backend.key)
 
     def _worked(self) -> None:
         self._told = True
-        self._health().worked()
+        self._health().record_success()
 
     def _failed(self, why: str) -> None:
         self._told = True
-        ejected = self._health().failed(self._clock.monotonic())
+        ejected = self._health().record_failure(self._clock.monotonic())
         logging.info(
             "backend server failed",
             extra={
--- a/src/lugcross/edge/avoided_servers.py
+++ b/src/lugcross/edge/avoided_servers.py
@@ -15,32 +15,34 @@
 
 #: Age at which what was told counts no more: a few messages were lost, or
 #: whoever told it is gone. Without news a server is tried as usual.
-_STALE = datetime.timedelta(seconds=1.2)
+_REPORT_MAX_AGE = datetime.timedelta(seconds=1.2)
 
 
 @final
-class Outages:
+class AvoidedServers:
     """What this process and its peers tell of some servers."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
-        self._told: dict[
+        self._reports: dict[
             str, tuple[frozenset[desired.BackendKey], clock_lib.Instant]
         ] = {}
         self._servers: frozenset[desired.BackendKey] = frozenset()
         #: Until when what was put together last holds.
-        self._until = datetime.timedelta()
+        self._valid_until = datetime.timedelta()
 
-    def told(self, teller: str, keys: Collection[desired.BackendKey]) -> None:
-        """Take over which servers ``teller`` has seen so."""
+    def report(
+        self, reporter: str, keys: Collection[desired.BackendKey]
+    ) -> None:
+        """Take over which servers ``reporter`` has seen so."""
         now = self._clock.monotonic()
-        before, _ = self._told.get(teller, (frozenset(), now))
+        before, _ = self._reports.get(reporter, (frozenset(), now))
         if not keys:
-            self._told.pop(teller, None)
+            self._reports.pop(reporter, None)
         else:
-            self._told[teller] = frozenset(keys), now
+            self._reports[reporter] = frozenset(keys), now
         if before != frozenset(keys):
-            self._until = now
+            self._valid_until = now
 
     def servers(self) -> frozenset[desired.BackendKey]:
         """Return the servers that anyone tells of.
@@ -48,18 +50,18 @@
         The same object is returned as long as nothing has changed.
         """
         now = self._clock.monotonic()
-        if now >= self._until:
-            self._put_together(now)
+        if now >= self._valid_until:
+            self._rebuild(now)
         return self._servers
 
-    def _put_together(self, now: clock_lib.Instant) -> None:
-        for teller, (_, at) in list(self._told.items()):
-            if now - at >= _STALE:
-                del self._told[teller]
+    def _rebuild(self, now: clock_lib.Instant) -> None:
+        for reporter, (_, at) in list(self._reports.items()):
+            if now - at >= _REPORT_MAX_AGE:
+                del self._reports[reporter]
         found: frozenset[desired.BackendKey] = frozenset().union(
-            *(keys for keys, _ in self._told.values())
+            *(keys for keys, _ in self._reports.values())
         )
         if found != self._servers:
             self._servers = found
-        ends = [at + _STALE for _, at in self._told.values()]
-        self._until = min(ends, default=datetime.timedelta.max)
+        ends = [at + _REPORT_MAX_AGE for _, at in self._reports.values()]
+        self._valid_until = min(ends, default=datetime.timedelta.max)
--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -17,7 +17,7 @@
 
 #: Load that another failure domain must save to be worth the way there,
 #: as a part of a server's slots; its price is bytes and a few ms.
-FAR_COST = 0.17
+OTHER_DOMAIN_COST_RATIO = 0.17
 
 
 @final
@@ -25,45 +25,48 @@
 class Candidate:
     """One backend server as it looks from here.
 
-    :param busy: requests that it probably has.
+    :param requests: requests that it probably has.
     :param ejected: whether it failed lately.
-    :param on_trial: whether it was left alone for a while and has answered
+    :param on_probation: whether it was left alone for a while and has answered
         nothing since.
-    :param closed: whether one request is finding out whether it has rested.
+    :param probing_after_backoff: whether one request is finding out whether
+        it has rested.
     """
 
     backend: desired.Backend
-    busy: int
+    requests: int
     ejected: bool = False
-    on_trial: bool = False
-    closed: bool = False
+    on_probation: bool = False
+    probing_after_backoff: bool = False
 
     @property
     def load(self) -> float:
         """Requests per slot."""
-        return self.busy / self.backend.slots
+        return self.requests / self.backend.slots
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Choice:
+class BackendChoice:
     """The best candidate, and how busy the least busy one is.
 
-    :param least: requests of the least busy candidate, tried or not.
+    :param min_requests: requests of the least busy candidate, tried or not.
     """
 
     best: Candidate
-    least: int
+    min_requests: int
 
 
-def choose(
+def choose_backend(
     candidates: Sequence[Candidate],
     *,
     home: ids.DomainName,
     tried: Collection[desired.BackendKey],
     rng: random.Random,
-) -> Choice | None:
-    """Return the best candidate; none if every one was tried or is closed.
+) -> BackendChoice | None:
+    """Return the best candidate, if there is any.
+
+    There is none if each was tried or is being probed after a backoff.
 
     Ejected ones are used only where nothing else is left. A request that was
     turned away once is not used to try a server again: while a third of all
@@ -71,19 +74,22 @@
     0.024 with it (five processes in virtual time, mean of six seeds).
     """
     left = [
-        c for c in candidates if c.backend.key not in tried and not c.closed
+        c
+        for c in candidates
+        if c.backend.key not in tried and not c.probing_after_backoff
     ]
     sound = [c for c in left if not c.ejected]
     pool = sound or left
     if tried:
-        pool = [c for c in pool if not c.on_trial] or pool
+        pool = [c for c in pool if not c.on_probation] or pool
     if not pool:
         return None
     best = min(
         pool,
         key=lambda c: (
-            c.load + (0.0 if c.backend.domain == home else FAR_COST),
+            c.load
+            + (0.0 if c.backend.domain == home else OTHER_DOMAIN_COST_RATIO),
             rng.random(),
         ),
     )
-    return Choice(best, min(c.busy for c in candidates))
+    return BackendChoice(best, min(c.requests for c in candidates))
--- a/src/lugcross/edge/backend_loads.py
+++ b/src/lugcross/edge/backend_loads.py
@@ -20,20 +20,20 @@
 
 #: Age at which what a peer told of its requests counts no more: a few of
 #: its messages were lost, or it is gone and so are its requests.
-_PEER_STALE = datetime.timedelta(seconds=1.5)
+_PEER_REPORT_MAX_AGE = datetime.timedelta(seconds=1.5)
 #: Age at which a load told in an answer counts no more; about the time
 #: in which a server's requests are replaced by others.
-_TOLD_STALE = datetime.timedelta(milliseconds=500)
+_REPORTED_LOAD_MAX_AGE = datetime.timedelta(milliseconds=500)
 #: Mean age of the news of peers nearby: half of the time between two
 #: datagrams, and the way.
-_NEAR_AGE = datetime.timedelta(milliseconds=30)
+_SAME_DOMAIN_REPORT_AGE = datetime.timedelta(milliseconds=30)
 #: The same of peers in other failure domains.
-_FAR_AGE = datetime.timedelta(milliseconds=105)
+_OTHER_DOMAIN_REPORT_AGE = datetime.timedelta(milliseconds=105)
 
 
 @final
 @dataclasses.dataclass
-class _Told:
+class _ReportedLoad:
     """Requests that an answer told of its server."""
 
     requests: int
@@ -41,7 +41,7 @@
 
 
 @final
-class Loads:
+class BackendLoads:
     """Requests in progress at each backend server, as far as known.
 
     :param service_of: service of a backend server; none if not known.
@@ -58,43 +58,46 @@
         self._clock = clock
         self._service_of = service_of
         self._running: tally_lib.Tally[desired.BackendKey] = tally_lib.Tally(
-            clock, stale=_PEER_STALE
+            clock, stale=_PEER_REPORT_MAX_AGE
         )
-        self._unseen = unreported_requests_lib.Unseen(
-            near=_NEAR_AGE, far=_FAR_AGE
+        self._unreported = unreported_requests_lib.UnreportedRequests(
+            same_domain_age=_SAME_DOMAIN_REPORT_AGE,
+            other_domain_age=_OTHER_DOMAIN_REPORT_AGE,
         )
         #: By backend server; whoever told longest ago comes first.
-        self._told: collections.OrderedDict[desired.BackendKey, _Told] = (
-            collections.OrderedDict()
-        )
-        self._health: dict[desired.BackendKey, routing.Health] = {}
+        self._reported: collections.OrderedDict[
+            desired.BackendKey, _ReportedLoad
+        ] = collections.OrderedDict()
+        self._health: dict[desired.BackendKey, routing.BackendHealth] = {}
 
-    def started(self, key: desired.BackendKey) -> None:
+    def record_started(self, key: desired.BackendKey) -> None:
         """Note that a request was sent from here."""
         self._running.add(key, 1)
-        self.health(key).sent(self._clock.monotonic())
+        self.health(key).record_sent(self._clock.monotonic())
 
-    def ended(self, key: desired.BackendKey) -> None:
+    def record_ended(self, key: desired.BackendKey) -> None:
         """Note that a request sent from here is over."""
         self._running.add(key, -1)
 
-    def told(self, key: desired.BackendKey, load: platform.Load) -> None:
+    def record_reported_load(
+        self, key: desired.BackendKey, load: platform.Load
+    ) -> None:
         """Take over the load that an answer told."""
-        self._told[key] = _Told(
+        self._reported[key] = _ReportedLoad(
             load.running + load.waiting, self._clock.monotonic()
         )
-        self._told.move_to_end(key)
+        self._reported.move_to_end(key)
 
-    def peer_told(
+    def record_peer_requests(
         self,
         node: str,
         running: Mapping[desired.BackendKey, int],
         *,
-        near: bool = True,
+        same_domain: bool = True,
     ) -> None:
         """Take over what a peer has in progress.
 
-        :param near: whether it is of this process's failure domain.
+        :param same_domain: whether it is of this process's failure domain.
         """
         before = self._running.told(node, running)
         if before is None:
@@ -105,70 +108,76 @@
             more = count - before.get(key, 0)
             service = self._service_of(key) if more > 0 else None
             if service is not None:
-                self._unseen.began(service, more, now, near=near)
+                self._unreported.record_started(
+                    service, more, now, same_domain=same_domain
+                )
 
-    def unseen(self, service: ids.ServiceName) -> float:
+    def unreported_requests(self, service: ids.ServiceName) -> float:
         """Return how many requests peers have sent and not told yet."""
-        return self._unseen.of(service, self._clock.monotonic())
+        return self._unreported.estimate(service, self._clock.monotonic())
 
-    def own(self) -> dict[desired.BackendKey, int]:
+    def own_requests(self) -> dict[desired.BackendKey, int]:
         """Return what is in progress from here."""
         return self._running.own()
 
-    def busy(self, key: desired.BackendKey) -> int:
+    def requests_at(self, key: desired.BackendKey) -> int:
         """Return how many requests ``key`` probably has."""
-        return self.busy_each([key])[0]
+        return self.requests_at_each([key])[0]
 
-    def busy_each(self, keys: Iterable[desired.BackendKey]) -> list[int]:
+    def requests_at_each(
+        self, keys: Iterable[desired.BackendKey]
+    ) -> list[int]:
         """Return how many requests each of several servers has."""
         running = self._running.sums()
-        told = self._fresh_told()
+        reported = self._fresh_reports()
         return [
-            max(running.get(key, 0), told[key].requests)
-            if key in told
+            max(running.get(key, 0), reported[key].requests)
+            if key in reported
             else running.get(key, 0)
             for key in keys
         ]
 
-    def busy_all(self, keys: Set[desired.BackendKey]) -> int:
+    def requests_at_all(self, keys: Set[desired.BackendKey]) -> int:
         """Return how many requests several servers probably have."""
         running = self._running.sums()
         total = self._running.total(keys)
-        for key, told in self._fresh_told().items():
+        for key, reported in self._fresh_reports().items():
             if key in keys:
-                total += max(0, told.requests - running.get(key, 0))
+                total += max(0, reported.requests - running.get(key, 0))
         return total
 
-    def _fresh_told(self) -> Mapping[desired.BackendKey, _Told]:
-        limit = self._clock.monotonic() - _TOLD_STALE
-        while self._told:
-            key = next(iter(self._told))
-            if self._told[key].at > limit:
+    def _fresh_reports(self) -> Mapping[desired.BackendKey, _ReportedLoad]:
+        limit = self._clock.monotonic() - _REPORTED_LOAD_MAX_AGE
+        while self._reported:
+            key = next(iter(self._reported))
+            if self._reported[key].at > limit:
                 break
-            del self._told[key]
-        return self._told
+            del self._reported[key]
+        return self._reported
 
-    def health(self, key: desired.BackendKey) -> routing.Health:
+    def health(self, key: desired.BackendKey) -> routing.BackendHealth:
         """Return what was seen of ``key`` from here."""
-        return self._health.setdefault(key, routing.Health())
+        return self._health.setdefault(key, routing.BackendHealth())
 
-    def ejected(self, key: desired.BackendKey) -> bool:
+    def is_ejected(self, key: desired.BackendKey) -> bool:
         """Tell whether requests should go elsewhere."""
         health = self._health.get(key)
-        return health is not None and health.ejected(self._clock.monotonic())
+        return health is not None and health.is_ejected(
+            self._clock.monotonic()
+        )
 
-    def on_trial(self, key: desired.BackendKey) -> bool:
+    def on_probation(self, key: desired.BackendKey) -> bool:
         """Tell whether it was left alone and has answered nothing since."""
         health = self._health.get(key)
-        return health is not None and health.on_trial
+        return health is not None and health.on_probation
 
-    def closed(self, key: desired.BackendKey) -> bool:
+    def is_probing_after_backoff(self, key: desired.BackendKey) -> bool:
         """Tell whether one request is finding out whether it has rested."""
         health = self._health.get(key)
-        return health is not None and health.closed()
+        return health is not None and health.is_probing_after_backoff()
 
     def keep_only(self, known: set[desired.BackendKey]) -> None:
         """Forget servers that are gone."""
-        for table in (self._told, self._health):
+        for table in (self._reported, self._health):
             for key in table.keys() - known:
                 del table[key]
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -282,7 +282,7 @@
             end=self._world.backends.end,
             running={
                 str(key): count
-                for key, count in self._world.loads.own().items()
+                for key, count in self._world.loads.own_requests().items()
             },
             known=known,
             since_ms=0 if self.unfit() else self._since_ms,
@@ -316,12 +316,14 @@
         }
         self._heard_era(positions.Position(beat.end))
         near = beat.domain == self._settings.domain
-        self._world.loads.peer_told(beat.node, running, near=near)
+        self._world.loads.record_peer_requests(
+            beat.node, running, same_domain=near
+        )
         self._world.uses.peer_told(beat.node, beat.uses)
         broken = [desired.BackendKey(key) for key in beat.broken]
-        self._world.outages.told(beat.node, broken)
+        self._world.outages.report(beat.node, broken)
         slow = [desired.BackendKey(key) for key in beat.slow]
-        self._world.slow.told(beat.node, slow)
+        self._world.slow.report(beat.node, slow)
         self._cases.hear(beat.suspects)
         for name in beat.leaving_servers:
             self._world.backends.says_it_leaves(desired.BackendKey(name))
--- a/src/lugcross/edge/looks.py
+++ b/src/lugcross/edge/looks.py
@@ -35,7 +35,7 @@
         engines: platform.Engines,
         groups: groups_lib.Groups,
         clock: clock_lib.Clock,
-        rests: server_backoffs_lib.Rests,
+        rests: server_backoffs_lib.ServerBackoffs,
     ) -> None:
         self._rests = rests
         self._engines = engines
@@ -47,7 +47,9 @@
         self, backends: list[desired.Backend], engine: desired.Engine
     ) -> None:
         """Learn which ranks of which groups some servers are."""
-        backends = [one for one in backends if not self._rests.rests(one.key)]
+        backends = [
+            one for one in backends if not self._rests.is_active(one.key)
+        ]
         if not backends:
             return
         now = self._clock.monotonic()
--- a/src/lugcross/edge/maps.py
+++ b/src/lugcross/edge/maps.py
@@ -136,8 +136,8 @@
         self._note_duty(self._duty.mine())
         if self._had:
             await self._look_at_all()
-        self._world.outages.told(self._node, self.seen_broken())
-        self._world.slow.told(self._node, self.seen_slow())
+        self._world.outages.report(self._node, self.seen_broken())
+        self._world.slow.report(self._node, self.seen_slow())
 
     async def _look_at_all(self) -> None:
         state = self._world.desired
@@ -211,7 +211,7 @@
             "group opened" if group.is_open else "group broken",
             extra={"group": group.name, "epoch": group.epoch},
         )
-        self._world.outages.told(self._node, self.seen_broken())
+        self._world.outages.report(self._node, self.seen_broken())
         self._changed()
 
     async def _plan(
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -101,18 +101,20 @@
         raise refusal.ends_servers(len(ends), endings.time_until_expiry(ends))
 
     def _verdict(
-        self, found: backend_choice.Choice | None, *, back: bool
+        self, found: backend_choice.BackendChoice | None, *, back: bool
     ) -> str | None:
         plan = self._plan
         world = self._world
         return admission.admit(
-            world.picture(plan.service, least=found.least if found else 0),
+            world.picture(
+                plan.service, least=found.min_requests if found else 0
+            ),
             world.full(plan.route, plan.service),
             world.asking(plan.route, plan.service, plan.workspace, back=back),
         )
 
     def _refusal(
-        self, found: backend_choice.Choice | None, verdict: str | None
+        self, found: backend_choice.BackendChoice | None, verdict: str | None
     ) -> refusal.RefusedError:
         if found is not None:
             return refusal.overloaded(verdict or "", self._left(), self._rng)
@@ -208,7 +210,7 @@
             return True
         return self._world.may_repeat(self._plan.service, event)
 
-    def _choose(self) -> backend_choice.Choice | None:
+    def _choose(self) -> backend_choice.BackendChoice | None:
         if self._is_suspect():
             return self._world.choose_apart(self._plan, self._tried)
         return self._world.choose(self._plan.service, self._tried)
--- a/src/lugcross/edge/server_backoffs.py
+++ b/src/lugcross/edge/server_backoffs.py
@@ -11,11 +11,11 @@
 
 #: Urgent messages in one rest: a rank of a group whose pass is held needs to
 #: be armed, and the pass to be released.
-_URGENT_MOST = 2
+_MAX_URGENT_MESSAGES = 2
 
 
 @final
-class Rests:
+class ServerBackoffs:
     """Until when which server wants nothing from this process.
 
     A server that turns a request away may ask whoever sent it for rest. Other
@@ -31,41 +31,43 @@
         self._clock = clock
         self._until: dict[desired.BackendKey, clock_lib.Instant] = {}
         #: How many urgent messages each has had in this rest.
-        self._urgent: collections.Counter[desired.BackendKey] = (
+        self._urgent_sent: collections.Counter[desired.BackendKey] = (
             collections.Counter()
         )
         self._servers: frozenset[desired.BackendKey] = frozenset()
         #: When the first of the rests ends that are known.
         self._next_end = datetime.timedelta.max
 
-    def asked(self, key: desired.BackendKey, rest: datetime.timedelta) -> None:
+    def start(
+        self, key: desired.BackendKey, duration: datetime.timedelta
+    ) -> None:
         """Note that a server has asked for rest, from now on.
 
         One that asked for a longer one before gets that to its end.
         """
-        until = self._clock.monotonic() + rest
+        until = self._clock.monotonic() + duration
         self._until[key] = max(until, self._until.get(key, until))
-        self._put_together()
+        self._rebuild()
 
-    def rests(self, key: desired.BackendKey) -> bool:
+    def is_active(self, key: desired.BackendKey) -> bool:
         """Tell whether a server wants nothing from this process now."""
         return key in self.servers()
 
-    def may_ask(self, key: desired.BackendKey) -> bool:
+    def may_send_deferrable(self, key: desired.BackendKey) -> bool:
         """Tell whether a server may be sent something that can wait."""
-        return not self.rests(key)
+        return not self.is_active(key)
 
-    def may_disturb(self, key: desired.BackendKey) -> bool:
+    def take_urgent_allowance(self, key: desired.BackendKey) -> bool:
         """Take one of the few urgent messages that a rest allows.
 
         The orders that bring a switch of expert maps to its end: while a pass
         is held, no rank of the group serves anybody.
         """
-        if not self.rests(key):
+        if not self.is_active(key):
             return True
-        if self._urgent[key] >= _URGENT_MOST:
+        if self._urgent_sent[key] >= _MAX_URGENT_MESSAGES:
             return False
-        self._urgent[key] += 1
+        self._urgent_sent[key] += 1
         return True
 
     def servers(self) -> frozenset[desired.BackendKey]:
@@ -78,11 +80,11 @@
             for key, until in list(self._until.items()):
                 if until <= now:
                     del self._until[key]
-                    del self._urgent[key]
-            self._put_together()
+                    del self._urgent_sent[key]
+            self._rebuild()
         return self._servers
 
-    def left(
+    def time_left(
         self, keys: Iterable[desired.BackendKey]
     ) -> datetime.timedelta | None:
         """Return the time until the first of ``keys`` has rested, if any."""
@@ -91,7 +93,7 @@
             return None
         return min(ends) - self._clock.monotonic()
 
-    def _put_together(self) -> None:
+    def _rebuild(self) -> None:
         self._next_end = min(
             self._until.values(), default=datetime.timedelta.max
         )
--- a/src/lugcross/edge/sight.py
+++ b/src/lugcross/edge/sight.py
@@ -59,7 +59,7 @@
         self,
         engines: platform.Engines,
         clock: clock_lib.Clock,
-        rests: server_backoffs_lib.Rests,
+        rests: server_backoffs_lib.ServerBackoffs,
     ) -> None:
         self._rests = rests
         self._engines = engines
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -90,14 +90,14 @@
         self.backends = backends_lib.Backends(
             clock, drain=lambda: self.bounds.drain
         )
-        self.loads = backend_loads_lib.Loads(
+        self.loads = backend_loads_lib.BackendLoads(
             clock, service_of=self.backends.service_of
         )
         self.uses = uses_lib.Uses(clock)
         self.uses.weights = settings.shares.weights
-        self.outages = avoided_servers_lib.Outages(clock)
-        self.slow = avoided_servers_lib.Outages(clock)
-        self.rests = server_backoffs_lib.Rests(clock)
+        self.outages = avoided_servers_lib.AvoidedServers(clock)
+        self.slow = avoided_servers_lib.AvoidedServers(clock)
+        self.rests = server_backoffs_lib.ServerBackoffs(clock)
         self.pool = pool_lib.Pool(clock)
         self.figures = figures_lib.Figures()
         self.endings = crash_tracker_lib.CrashTracker(
@@ -180,7 +180,7 @@
         whole = {one.key for one in listed} - self.outages.servers()
         if whole - self.rests.servers():
             return datetime.timedelta()
-        return self.rests.left(whole)
+        return self.rests.time_left(whole)
 
     def heard(
         self, backend: desired.Backend, head: platform.AnswerHead
@@ -188,7 +188,7 @@
         """Take over what a server says of itself beside its answer."""
         key = backend.key
         if head.load is not None:
-            self.loads.told(key, head.load)
+            self.loads.record_reported_load(key, head.load)
         if head.leaving and not head.moved:
             self.backends.says_it_leaves(key)
         if head.rest is None:
@@ -201,11 +201,13 @@
                 "backend": key,
                 "status": head.status,
                 "rest_s": head.rest.total_seconds(),
-                "rested": self.rests.rests(key),
+                "rested": self.rests.is_active(key),
             },
         )
-        self.rests.asked(key, head.rest)
-        self.loads.health(key).rests(self._clock.monotonic() + head.rest)
+        self.rests.start(key, head.rest)
+        self.loads.health(key).record_backoff(
+            self._clock.monotonic() + head.rest
+        )
 
     def picture(
         self, service: ids.ServiceName, *, least: int = 0
@@ -218,9 +220,9 @@
         return admission.Picture(
             servers=len(servers),
             slots=servers.slots,
-            busy=self.loads.busy_all(servers.keys),
+            busy=self.loads.requests_at_all(servers.keys),
             least=least,
-            unseen=self.loads.unseen(service),
+            unseen=self.loads.unreported_requests(service),
         )
 
     def full(self, route: desired.Route, service: ids.ServiceName) -> float:
@@ -287,7 +289,7 @@
             pause,
             self._clock.monotonic(),
             engine=engine,
-            per_engine=self.loads.busy_all(servers.keys) / len(servers),
+            per_engine=self.loads.requests_at_all(servers.keys) / len(servers),
             limit=limit,
         )
 
@@ -295,7 +297,7 @@
         self,
         service: ids.ServiceName,
         tried: Collection[desired.BackendKey],
-    ) -> backend_choice.Choice | None:
+    ) -> backend_choice.BackendChoice | None:
         """Return where a request of ``service`` should go.
 
         All servers are looked at only where those drawn are all tried or
@@ -311,7 +313,7 @@
         self,
         plan: plan_lib.Plan,
         tried: Collection[desired.BackendKey],
-    ) -> backend_choice.Choice | None:
+    ) -> backend_choice.BackendChoice | None:
         """Return where a suspect should go, apart from other suspects."""
         servers = self.serving(plan.service).all
         usual = self._choose(servers, tried)
@@ -319,40 +321,42 @@
             one.key: one
             for one, busy in zip(
                 servers,
-                self.loads.busy_each(one.key for one in servers),
+                self.loads.requests_at_each(one.key for one in servers),
                 strict=True,
             )
             if busy < one.slots
             and one.key not in tried
-            and not self.loads.ejected(one.key)
+            and not self.loads.is_ejected(one.key)
         }
         key = self.endings.assign_server(plan, list(free))
         if usual is None or key is None:
             return usual
-        return backend_choice.Choice(
+        return backend_choice.BackendChoice(
             backend_choice.Candidate(
-                backend=free[key], busy=self.loads.busy(key)
+                backend=free[key], requests=self.loads.requests_at(key)
             ),
-            usual.least,
+            usual.min_requests,
         )
 
     def _choose(
         self,
         servers: Sequence[desired.Backend],
         tried: Collection[desired.BackendKey],
-    ) -> backend_choice.Choice | None:
-        busy = self.loads.busy_each(one.key for one in servers)
+    ) -> backend_choice.BackendChoice | None:
+        busy = self.loads.requests_at_each(one.key for one in servers)
         candidates = [
             backend_choice.Candidate(
                 backend=one,
-                busy=count,
-                ejected=self.loads.ejected(one.key),
-                on_trial=self.loads.on_trial(one.key),
-                closed=self.loads.closed(one.key),
+                requests=count,
+                ejected=self.loads.is_ejected(one.key),
+                on_probation=self.loads.on_probation(one.key),
+                probing_after_backoff=self.loads.is_probing_after_backoff(
+                    one.key
+                ),
             )
             for one, count in zip(servers, busy, strict=True)
         ]
-        return backend_choice.choose(
+        return backend_choice.choose_backend(
             candidates, home=self._home, tried=tried, rng=self._rng
         )
 
--- a/src/lugcross/entry/caller.py
+++ b/src/lugcross/entry/caller.py
@@ -113,7 +113,7 @@
         """Choose where to send ``req`` next, and note why."""
         if req.homes:
             return self._first_home(req, tried)
-        choice = routing.choose(
+        choice = routing.choose_backend(
             self._candidates(req.service),
             home=self._domain,
             tried=tried,
@@ -128,7 +128,7 @@
             result=choice.best.name,
             inputs=tuple(
                 observe.Input(c.name, f"load {c.load:.2f} in {c.domain}")
-                for c in choice.looked_at
+                for c in choice.considered
             ),
         )
         return self._upstream.peer(choice.best.name)
@@ -297,12 +297,12 @@
         if isinstance(event, lifecycle.AgentGone | lifecycle.AgentSilent):
             self._caller.upstream.fault(self._call.peer)
         elif isinstance(event, wire.End):
-            self._call.peer.health.worked()
+            self._call.peer.health.record_success()
         elif isinstance(event, wire.Fail):
             if event.kind in _BACKEND_FAULTS:
                 self._caller.upstream.fault(self._call.peer)
             else:
-                self._call.peer.health.unclear()
+                self._call.peer.health.record_no_result()
 
     def _refuse(
         self, error: errors.RequestError, *, rule: str = ""
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -74,7 +74,7 @@
         self.leaving = ""
         self.sent_since_load = 0
         self.calls: dict[ids.StreamId, Call] = {}
-        self.health = routing.Health()
+        self.health = routing.BackendHealth()
         self.heard_at = clock_lib.Instant()
         self.changed = asyncio.Event()
         self.why_down = "no link yet"
@@ -99,10 +99,10 @@
             usable=self.link is not None
             and not leaving
             and not self.silent(now),
-            busy=self.load.queued + self.load.running,
-            sent=self.sent_since_load,
+            reported_requests=self.load.queued + self.load.running,
+            sent_since_report=self.sent_since_load,
             capacity=self.load.capacity,
-            ejected=self.health.ejected(now),
+            ejected=self.health.is_ejected(now),
             step_ms=self.load.step_ms,
         )
 
@@ -207,7 +207,7 @@
         """Begin a call; :meth:`send` carries its dispatch."""
         call = Call(peer, uid)
         call.opened_at = self._clock.monotonic()
-        peer.health.sent(call.opened_at)
+        peer.health.record_sent(call.opened_at)
         self._number(call)
         call.sent_id = call.id
         return call
@@ -248,11 +248,11 @@
 
     def fault(self, peer: Peer) -> None:
         """Note that a backend server failed a request."""
-        if peer.health.failed(self._clock.monotonic()):
+        if peer.health.record_failure(self._clock.monotonic()):
             self._journal.note(
                 observe.Topic.EJECTION,
                 peer.name,
-                rule=f"{routing.health.FAULTS} faults in a row",
+                rule=f"{routing.health.FAULTS_TO_EJECT} faults in a row",
                 result="ejected",
             )
 
--- a/src/lugcross/routing/__init__.py
+++ b/src/lugcross/routing/__init__.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Where a request goes, and whether it may go again."""
 
+from lugcross.routing.backend_choice import BackendChoice
 from lugcross.routing.backend_choice import Candidate
-from lugcross.routing.backend_choice import Choice
-from lugcross.routing.backend_choice import choose
-from lugcross.routing.health import Health
+from lugcross.routing.backend_choice import choose_backend
+from lugcross.routing.health import BackendHealth
 from lugcross.routing.key_affinity import homes
 from lugcross.routing.rendezvous_hashing import first
 from lugcross.routing.rendezvous_hashing import rank
@@ -13,11 +13,11 @@
 
 __all__ = [
     "Candidate",
-    "Choice",
-    "Health",
+    "BackendChoice",
+    "BackendHealth",
     "RepeatBudget",
     "RetryBudget",
-    "choose",
+    "choose_backend",
     "first",
     "homes",
     "rank",
--- a/src/lugcross/routing/backend_choice.py
+++ b/src/lugcross/routing/backend_choice.py
@@ -15,7 +15,7 @@
 
 #: Load that a request to another failure domain must save to be worth
 #: its way, as a part of a backend server's capacity.
-REMOTE_COST = 0.5
+OTHER_DOMAIN_COST_RATIO = 0.5
 
 
 @final
@@ -23,8 +23,9 @@
 class Candidate:
     """What is known of one backend server.
 
-    :param busy: requests queued and running there when it last told.
-    :param sent: requests sent there since.
+    :param reported_requests: requests queued and running there when it
+        last told.
+    :param sent_since_report: requests sent there since.
     :param ejected: it failed lately; used only if too few are left.
     :param step_ms: time of its engine's last steps; 0 if not known. The
         slowest rank of a group decides it, so a stalled rank shows.
@@ -33,8 +34,8 @@
     name: ids.BackendName
     domain: ids.DomainName
     usable: bool
-    busy: int
-    sent: int
+    reported_requests: int
+    sent_since_report: int
     capacity: int
     ejected: bool = False
     step_ms: float = 0.0
@@ -42,51 +43,53 @@
     @property
     def load(self) -> float:
         """Requests per slot, as far as known."""
-        return (self.busy + self.sent) / max(1, self.capacity)
+        return (self.reported_requests + self.sent_since_report) / max(
+            1, self.capacity
+        )
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Choice:
+class BackendChoice:
     """The backend server chosen, and the others that were looked at."""
 
     best: Candidate
-    looked_at: tuple[Candidate, ...]
+    considered: tuple[Candidate, ...]
 
 
-def choose(
+def choose_backend(
     candidates: Sequence[Candidate],
     *,
     home: ids.DomainName,
     tried: Collection[ids.BackendName],
     rng: random.Random,
-) -> Choice | None:
+) -> BackendChoice | None:
     """Choose where to send a request; none if no place is usable.
 
     :param home: failure domain of this entry host; preferred.
     :param tried: backend servers that refused this request before.
     """
-    usable = _healthy(
+    usable = _without_ejected(
         [c for c in candidates if c.usable and c.name not in tried]
     )
     near = [c for c in usable if c.domain == home]
     far = [c for c in usable if c.domain != home]
-    looked_at = _two_of(near, rng) + _two_of(far, rng)
-    if not looked_at:
+    considered = _sample_two(near, rng) + _sample_two(far, rng)
+    if not considered:
         return None
-    steps = [c.step_ms for c in looked_at if c.step_ms]
+    steps = [c.step_ms for c in considered if c.step_ms]
     fastest = min(steps, default=0.0)
-    best = min(looked_at, key=lambda c: _cost(c, home, fastest))
-    return Choice(best, tuple(looked_at))
+    best = min(considered, key=lambda c: _cost(c, home, fastest))
+    return BackendChoice(best, tuple(considered))
 
 
-def _two_of(
+def _sample_two(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> list[Candidate]:
     return rng.sample(candidates, min(2, len(candidates)))
 
 
-def _healthy(usable: list[Candidate]) -> list[Candidate]:
+def _without_ejected(usable: list[Candidate]) -> list[Candidate]:
     """Leave out ejected ones, unless that would leave under half.
 
     When most seem to fail the fault is likely here or common to all,
@@ -101,4 +104,6 @@
     pace = candidate.step_ms / fastest if known else 1.0
     remote = candidate.domain != home
     # One more than is there: an idle slow engine is still slow.
-    return (candidate.load + 1.0) * pace + (REMOTE_COST if remote else 0.0)
+    return (candidate.load + 1.0) * pace + (
+        OTHER_DOMAIN_COST_RATIO if remote else 0.0
+    )
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -31,7 +31,7 @@
 def _choose(
     *candidates: backend_choice.Candidate, tried: tuple[str, ...] = ()
 ):
-    found = backend_choice.choose(
+    found = backend_choice.choose_backend(
         candidates,
         home=ids.DomainName("d1"),
         tried=[desired.BackendKey(one) for one in tried],
@@ -41,18 +41,20 @@
 
 
 def test_least_busy_is_chosen():
-    one = backend_choice.Candidate(backend=edge_rig.backend("a"), busy=3)
-    two = backend_choice.Candidate(backend=edge_rig.backend("b"), busy=2)
+    one = backend_choice.Candidate(backend=edge_rig.backend("a"), requests=3)
+    two = backend_choice.Candidate(backend=edge_rig.backend("b"), requests=2)
     assert _choose(one, two) == "b"
 
 
 def test_own_domain_is_chosen_unless_it_is_busier_by_more_than_the_way():
-    near = backend_choice.Candidate(backend=edge_rig.backend("near"), busy=2)
+    near = backend_choice.Candidate(
+        backend=edge_rig.backend("near"), requests=2
+    )
     far = backend_choice.Candidate(
-        backend=edge_rig.backend("far", "d2"), busy=2
+        backend=edge_rig.backend("far", "d2"), requests=2
     )
     idle = backend_choice.Candidate(
-        backend=edge_rig.backend("idle", "d2"), busy=0
+        backend=edge_rig.backend("idle", "d2"), requests=0
     )
     assert _choose(near, far) == "near"
     assert _choose(near, idle) == "idle"
@@ -60,9 +62,11 @@
 
 def test_ejected_is_chosen_only_where_nothing_else_is_left():
     bad = backend_choice.Candidate(
-        backend=edge_rig.backend("bad"), busy=0, ejected=True
+        backend=edge_rig.backend("bad"), requests=0, ejected=True
+    )
+    good = backend_choice.Candidate(
+        backend=edge_rig.backend("good"), requests=5
     )
-    good = backend_choice.Candidate(backend=edge_rig.backend("good"), busy=5)
     assert _choose(bad, good) == "good"
     assert _choose(bad, good, tried=("good",)) == "bad"
     assert _choose(bad, good, tried=("good", "bad")) is None
@@ -288,31 +292,31 @@
 
 
 def test_servers_told_broken_are_believed_until_that_is_old(manual_clock):
-    told = avoided_servers.Outages(manual_clock)
+    avoided = avoided_servers.AvoidedServers(manual_clock)
     key = desired.BackendKey("a")
-    told.told("n1", [key])
-    assert told.servers() == {key}
+    avoided.report("n1", [key])
+    assert avoided.servers() == {key}
     manual_clock.advance(datetime.timedelta(seconds=3))
-    assert not told.servers()
+    assert not avoided.servers()
 
 
 def test_servers_told_broken_again_after_silence_are_believed(manual_clock):
-    told = avoided_servers.Outages(manual_clock)
+    avoided = avoided_servers.AvoidedServers(manual_clock)
     key = desired.BackendKey("a")
     for _ in range(2):
-        told.told("n1", [key])
-        assert told.servers() == {key}
+        avoided.report("n1", [key])
+        assert avoided.servers() == {key}
         manual_clock.advance(datetime.timedelta(seconds=3))
-        assert not told.servers()
+        assert not avoided.servers()
 
 
 def test_servers_are_broken_while_anyone_tells_so(manual_clock):
-    told = avoided_servers.Outages(manual_clock)
+    avoided = avoided_servers.AvoidedServers(manual_clock)
     one, two = desired.BackendKey("a"), desired.BackendKey("b")
-    told.told("n1", [one])
-    told.told("n2", [two])
-    told.told("n1", [])
-    assert told.servers() == {two}
+    avoided.report("n1", [one])
+    avoided.report("n2", [two])
+    avoided.report("n1", [])
+    assert avoided.servers() == {two}
 
 
 def _many(near: int, far: int) -> serving.Serving:
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -238,12 +238,12 @@
 
 def test_requests_of_a_silent_peer_count_no_more():
     clock = clock_lib.ManualClock()
-    loads = backend_loads_lib.Loads(clock)
+    loads = backend_loads_lib.BackendLoads(clock)
     key = desired.BackendKey("i-1")
-    loads.peer_told("n2", {key: 3})
-    assert loads.busy(key) == 3
+    loads.record_peer_requests("n2", {key: 3})
+    assert loads.requests_at(key) == 3
     clock.advance(datetime.timedelta(seconds=2))
-    assert loads.busy(key) == 0
+    assert loads.requests_at(key) == 0
 
 
 class _Wire:
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_maps.py
@@ -243,7 +243,7 @@
         await rig.rounds(1)
         rest = 6 * SECOND
         for rank in resting:
-            rig.world.rests.asked(desired.BackendKey(str(rank)), rest)
+            rig.world.rests.start(desired.BackendKey(str(rank)), rest)
         rig.engines.called.clear()
         await rig.rounds(5)
         assert not set(resting) & set(rig.engines.called)
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -98,9 +98,9 @@
 
     async def act(rig, clock):
         # Whichever is chosen by chance, the first one is to tell it.
-        rig.world.outages.told("peer", [OTHER])
+        rig.world.outages.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.world.outages.told("peer", [])
+        rig.world.outages.report("peer", [])
         clock.advance(drain + A_MOMENT)
         for _ in range(3):
             assert (await rig.ask()).status == 200
@@ -184,7 +184,7 @@
         async def take_late(backend, **kwargs):
             conn = await take(backend, **kwargs)
             # Another request is turned away meanwhile.
-            rig.world.rests.asked(backend.key, REST)
+            rig.world.rests.start(backend.key, REST)
             return conn
 
         rig.world.pool.take = take_late
@@ -251,31 +251,31 @@
 
 
 def test_shorter_rest_does_not_end_a_longer_one(manual_clock):
-    rests = server_backoffs_lib.Rests(manual_clock)
-    rests.asked(KEY, REST)
-    rests.asked(KEY, A_MOMENT)
+    rests = server_backoffs_lib.ServerBackoffs(manual_clock)
+    rests.start(KEY, REST)
+    rests.start(KEY, A_MOMENT)
     manual_clock.advance(2 * A_MOMENT)
-    assert rests.rests(KEY)
-    assert rests.left([KEY]) == REST - 2 * A_MOMENT
+    assert rests.is_active(KEY)
+    assert rests.time_left([KEY]) == REST - 2 * A_MOMENT
     manual_clock.advance(REST)
-    assert not rests.rests(KEY)
-    assert rests.left([KEY]) is None
+    assert not rests.is_active(KEY)
+    assert rests.time_left([KEY]) is None
 
 
 def test_server_on_trial_whose_caller_leaves_is_tried_again():
     async def act(rig, clock):
         # Turned away and rested; the trial's caller leaves before its answer.
         health = rig.world.loads.health(KEY)
-        health.rests(clock.monotonic())
+        health.record_backoff(clock.monotonic())
         clock.advance(A_MOMENT)
         reader, writer = await asyncio.open_connection(edge_rig.HOST, rig.port)
         del reader
         writer.write(edge_rig.request())
         await rig.backends[0].asked.wait()
-        assert health.ejected(clock.monotonic())
+        assert health.is_ejected(clock.monotonic())
         writer.close()
         await rig.backends[0].gone.wait()
-        return health.ejected(clock.monotonic())
+        return health.is_ejected(clock.monotonic())
 
     assert not _play([[edge_rig.hang]], act)
 
@@ -292,9 +292,9 @@
     async def act(rig, clock):
         first, second = rig.backends
         # The second one is broken until the first has told that it leaves.
-        rig.world.outages.told("peer", [OTHER])
+        rig.world.outages.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.world.outages.told("peer", [])
+        rig.world.outages.report("peer", [])
         gone = platform.KeyedRecord(ids.Offset(10), "i-0", b"")
         address = f"{edge_rig.HOST}:{first.port}"
         entry = edge_rig.entry("app", address, "d1", state=state)
@@ -371,29 +371,30 @@
     async def act(rig, clock):
         del clock
         assert (await rig.ask()).status == 200
-        return rig.world.rests.rests(KEY)
+        return rig.world.rests.is_active(KEY)
 
     assert _play([[both]], act)
 
 
 def test_new_life_owes_nothing_of_the_old_one(manual_clock):
-    rests = server_backoffs_lib.Rests(manual_clock)
-    rests.asked(desired.BackendKey("i-0 1"), REST)
-    assert not rests.rests(desired.BackendKey("i-0 2"))
+    rests = server_backoffs_lib.ServerBackoffs(manual_clock)
+    rests.start(desired.BackendKey("i-0 1"), REST)
+    assert not rests.is_active(desired.BackendKey("i-0 2"))
 
 
 def test_urgent_messages_in_a_rest_are_two(manual_clock):
-    rests = server_backoffs_lib.Rests(manual_clock)
-    assert all(rests.may_disturb(KEY) for _ in range(9))
-    rests.asked(KEY, REST)
-    assert [rests.may_disturb(KEY) for _ in range(4)] == [True, True] + [
-        False
-    ] * 2
-    assert not rests.may_ask(KEY)
+    rests = server_backoffs_lib.ServerBackoffs(manual_clock)
+    assert all(rests.take_urgent_allowance(KEY) for _ in range(9))
+    rests.start(KEY, REST)
+    assert [rests.take_urgent_allowance(KEY) for _ in range(4)] == [
+        True,
+        True,
+    ] + [False] * 2
+    assert not rests.may_send_deferrable(KEY)
     manual_clock.advance(REST)
-    assert rests.may_ask(KEY)
-    rests.asked(KEY, REST)
-    assert rests.may_disturb(KEY)
+    assert rests.may_send_deferrable(KEY)
+    rests.start(KEY, REST)
+    assert rests.take_urgent_allowance(KEY)
 
 
 def test_first_server_that_has_rested_gets_one_request_at_first():
@@ -418,7 +419,7 @@
 def test_peers_hear_that_a_server_leaves():
     async def act(rig, clock):
         del clock
-        rig.world.outages.told("peer", [OTHER])
+        rig.world.outages.report("peer", [OTHER])
         await rig.ask()
         return rig.world.backends.said_only()
 
--- a/testing/edge/test_unreported_requests.py
+++ b/testing/edge/test_unreported_requests.py
@@ -45,7 +45,7 @@
         self.rng = random.Random(seed)
         self.rate = rate / peers / 1000.0
         self.clock = clock_lib.ManualClock()
-        self.loads = backend_loads_lib.Loads(
+        self.loads = backend_loads_lib.BackendLoads(
             self.clock, service_of=lambda _: SERVICE
         )
         self.peers = [
@@ -61,7 +61,7 @@
                 self._step(num, peer, now)
             if now > 1000 and now % 20 == 0:
                 truth = sum(peer.unseen() for peer in self.peers)
-                seen = self.loads.unseen(SERVICE)
+                seen = self.loads.unreported_requests(SERVICE)
                 self.truth.append(truth)
                 self.errors.append(seen - truth)
 
@@ -73,7 +73,9 @@
             peer.told_at = now
             running = peer.running(now)
             counts = {KEY: running} if running else {}
-            self.loads.peer_told(str(num), counts, near=peer.near)
+            self.loads.record_peer_requests(
+                str(num), counts, same_domain=peer.near
+            )
 
 
 #: Peers, requests a second, and the typical error as a part of the mean. Of
@@ -107,13 +109,13 @@
     fleet = _Fleet(6, 40.0, 1)
     fleet.run(1500)
     fleet.clock.advance(datetime.timedelta(seconds=1))
-    assert fleet.loads.unseen(SERVICE) < 0.01
+    assert fleet.loads.unreported_requests(SERVICE) < 0.01
 
 
 def test_peer_that_was_silent_has_not_begun_all_that_it_has():
     clock = clock_lib.ManualClock()
-    loads = backend_loads_lib.Loads(clock, service_of=lambda _: SERVICE)
-    loads.peer_told("n2", {KEY: 1})
+    loads = backend_loads_lib.BackendLoads(clock, service_of=lambda _: SERVICE)
+    loads.record_peer_requests("n2", {KEY: 1})
     clock.advance(datetime.timedelta(seconds=3))
-    loads.peer_told("n2", {KEY: 30})
-    assert loads.unseen(SERVICE) == 0.0
+    loads.record_peer_requests("n2", {KEY: 30})
+    assert loads.unreported_requests(SERVICE) == 0.0
--- a/testing/routing/test_health.py
+++ b/testing/routing/test_health.py
@@ -7,46 +7,46 @@
 
 
 def test_server_that_turns_away_is_left_alone_for_longer_each_time():
-    one = health.Health()
+    one = health.BackendHealth()
     now = datetime.timedelta()
     pauses = []
     for _ in range(6):
-        one.turned_away(now)
+        one.record_refusal(now)
         begun = now
-        while one.ejected(now):
+        while one.is_ejected(now):
             now += datetime.timedelta(milliseconds=50)
         pauses.append((now - begun).total_seconds())
-        assert one.on_trial
-        one.sent(now)
-        assert one.ejected(now)
-        assert not one.closed()
+        assert one.on_probation
+        one.record_sent(now)
+        assert one.is_ejected(now)
+        assert not one.is_probing_after_backoff()
     assert pauses == [0.1, 0.2, 0.4, 0.8, 0.8, 0.8]
-    one.worked()
-    assert not one.on_trial
-    one.turned_away(now)
-    assert not one.ejected(now + health.AWAY_FIRST)
+    one.record_success()
+    assert not one.on_probation
+    one.record_refusal(now)
+    assert not one.is_ejected(now + health.FIRST_REFUSAL_PAUSE)
 
 
 def test_server_that_begins_to_answer_after_a_rest_gets_others_at_once():
-    one = health.Health()
+    one = health.BackendHealth()
     now = datetime.timedelta()
-    one.rests(now)
-    one.sent(now)
-    assert one.closed()
-    one.accepted()
-    assert not one.closed()
-    assert not one.ejected(now)
-    assert not one.on_trial
+    one.record_backoff(now)
+    one.record_sent(now)
+    assert one.is_probing_after_backoff()
+    one.record_answer_started()
+    assert not one.is_probing_after_backoff()
+    assert not one.is_ejected(now)
+    assert not one.on_probation
 
 
 def test_server_ejected_for_faults_is_on_trial_until_an_answer_ends():
-    one = health.Health()
+    one = health.BackendHealth()
     now = datetime.timedelta()
-    for _ in range(health.FAULTS):
-        one.failed(now)
-    now += health.FIRST
-    one.sent(now)
-    one.accepted()
-    assert one.ejected(now)
-    one.worked()
-    assert not one.ejected(now)
+    for _ in range(health.FAULTS_TO_EJECT):
+        one.record_failure(now)
+    now += health.FIRST_EJECTION
+    one.record_sent(now)
+    one.record_answer_started()
+    assert one.is_ejected(now)
+    one.record_success()
+    assert not one.is_ejected(now)
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -22,8 +22,8 @@
         name=ids.BackendName(name),
         domain=ids.DomainName(domain),
         usable=usable,
-        busy=busy,
-        sent=0,
+        reported_requests=busy,
+        sent_since_report=0,
         capacity=4,
     )
 
@@ -31,7 +31,7 @@
 def choose(
     *candidates: routing.Candidate, tried: tuple[str, ...] = ()
 ) -> str | None:
-    choice = routing.choose(
+    choice = routing.choose_backend(
         candidates,
         home=NEAR,
         tried=[ids.BackendName(name) for name in tried],
@@ -130,38 +130,38 @@
     return datetime.timedelta(seconds=value)
 
 
-def failing(count: int) -> routing.Health:
-    health = routing.Health()
+def failing(count: int) -> routing.BackendHealth:
+    health = routing.BackendHealth()
     for _ in range(count):
-        health.failed(seconds(0))
+        health.record_failure(seconds(0))
     return health
 
 
 def test_faults_in_a_row_eject_and_a_success_between_does_not() -> None:
-    assert not failing(2).ejected(seconds(0))
-    assert failing(3).ejected(seconds(0))
+    assert not failing(2).is_ejected(seconds(0))
+    assert failing(3).is_ejected(seconds(0))
     health = failing(2)
-    health.worked()
-    health.failed(seconds(0))
-    assert not health.ejected(seconds(0))
+    health.record_success()
+    health.record_failure(seconds(0))
+    assert not health.is_ejected(seconds(0))
 
 
 def test_one_probe_decides_about_the_return() -> None:
     health = failing(3)
     later = seconds(2)
-    assert not health.ejected(later)
-    health.sent(later)
-    assert health.ejected(later)
-    health.failed(later)
-    assert health.ejected(seconds(3.9))
-    assert not health.ejected(seconds(4.1))
-    health.sent(seconds(4.1))
-    health.worked()
-    assert not health.ejected(seconds(4.1))
+    assert not health.is_ejected(later)
+    health.record_sent(later)
+    assert health.is_ejected(later)
+    health.record_failure(later)
+    assert health.is_ejected(seconds(3.9))
+    assert not health.is_ejected(seconds(4.1))
+    health.record_sent(seconds(4.1))
+    health.record_success()
+    assert not health.is_ejected(seconds(4.1))
 
 
 def test_probe_that_tells_nothing_lets_another_through() -> None:
     health = failing(3)
-    health.sent(seconds(2))
-    health.unclear()
-    assert not health.ejected(seconds(2))
+    health.record_sent(seconds(2))
+    health.record_no_result()
+    assert not health.is_ejected(seconds(2))
