--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -341,7 +341,9 @@
         if service is None:
             return ruling
         memory = service.once_log_away is cfg.OnceLogAway.MEMORY
-        home = routing.homes(self.store.config, *once.scope_of(dispatch))[:1]
+        home = routing.backends_for_key(
+            self.store.config, *once.scope_of(dispatch)
+        )[:1]
         if not memory or home != [self._settings.backend]:
             return ruling
         self._claimer.note(_claim_of(dispatch))
--- a/src/lugcross/crash_suspects/assignment.py
+++ b/src/lugcross/crash_suspects/assignment.py
@@ -26,7 +26,7 @@
     """
     free = list(servers)
     for one in sorted({*other_suspects, request}):
-        found = routing.first(one.hex(), free or servers)
+        found = routing.rendezvous_first(one.hex(), free or servers)
         if one == request:
             return found
         if found in free:
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -132,7 +132,7 @@
         #: Whether the server, or its host, ended the connection.
         self.cut_off = False
 
-    async def run(self) -> retry_policy.Event | None:
+    async def run(self) -> retry_policy.AttemptOutcome | None:
         """Return none once the caller has the whole answer.
 
         :raises http1.CallerGoneError: when nobody reads it.
@@ -149,12 +149,12 @@
                 )
             except http1.NoConnectionError as exc:
                 self._failed(str(exc))
-                return retry_policy.Event.UNREACHED
+                return retry_policy.AttemptOutcome.UNREACHED
             if world.rests.is_active(self._backend.key):
                 # It has asked while this one waited for its connection, for
                 # up to 0.4 s: as many as waited would reach it.
                 world.pool.give(self._backend, conn, None)
-                return retry_policy.Event.UNREACHED
+                return retry_policy.AttemptOutcome.UNREACHED
             return await self._use(conn)
         finally:
             if not self._told:
@@ -164,7 +164,9 @@
             world.loads.record_ended(self._backend.key)
             world.uses.ended(plan.service, plan.space)
 
-    async def _use(self, conn: http1.ClientConn) -> retry_policy.Event | None:
+    async def _use(
+        self, conn: http1.ClientConn
+    ) -> retry_policy.AttemptOutcome | None:
         whole = False
         try:
             self._send(conn)
@@ -175,7 +177,7 @@
             self.cut_off = ended and not self._unheard
             unheard = "no byte of the request was acknowledged"
             self._failed(unheard if self._unheard else str(exc))
-            return retry_policy.Event.BROKEN
+            return retry_policy.AttemptOutcome.BROKEN
         finally:
             if whole:
                 self._world.pool.give(self._backend, conn, self._keep)
@@ -202,7 +204,7 @@
 
     async def _receive(
         self, conn: http1.ClientConn
-    ) -> retry_policy.Event | None:
+    ) -> retry_policy.AttemptOutcome | None:
         answer, head = await self._heard_answer(conn)
         self._keep = head.keep
         self._world.heard(self._backend, head)
@@ -262,14 +264,16 @@
             await conn.body()
             conn.skip_answer(self._plan.req.method)
 
-    def _not_run(self, head: platform.AnswerHead) -> retry_policy.Event:
+    def _not_run(
+        self, head: platform.AnswerHead
+    ) -> retry_policy.AttemptOutcome:
         if head.moved:
             self._world.backends.forget(
                 self._backend.key, "another life has its address"
             )
         elif head.rest is None:
             self._health().record_refusal(self._clock.monotonic())
-        return retry_policy.Event.NOT_RUN
+        return retry_policy.AttemptOutcome.NOT_RUN
 
     def _check(self, head: platform.AnswerHead) -> None:
         if head.encoded:
@@ -284,16 +288,16 @@
         conn: http1.ClientConn,
         answer: http1.Answer,
         head: platform.AnswerHead,
-    ) -> retry_policy.Event | None:
+    ) -> retry_policy.AttemptOutcome | None:
         body = await conn.body()
         failed = head.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
         if failed or head.status in platform.PROMISES:
             self._failed(f"status {head.status}")
             if head.status in platform.PROMISES:
                 # Without a proof, the status would promise too much.
-                return retry_policy.Event.BROKEN
+                return retry_policy.AttemptOutcome.BROKEN
             self._delivery.hold(answer, body)
-            return retry_policy.Event.FAILED
+            return retry_policy.AttemptOutcome.FAILED
         self._worked()
         if self._delivery.begun:
             raise _BadAnswerError("not a stream, where one was to go on")
@@ -302,7 +306,7 @@
 
     async def _pass_events(
         self, conn: http1.ClientConn, answer: http1.Answer
-    ) -> retry_policy.Event | None:
+    ) -> retry_policy.AttemptOutcome | None:
         splitter = events.Splitter()
         after = self._delivery.last_id if self._delivery.begun else ""
         last: clock_lib.Instant | None = None
--- a/src/lugcross/edge/retry_policy.py
+++ b/src/lugcross/edge/retry_policy.py
@@ -11,10 +11,10 @@
 
 #: Connections that may fail to come up for one request. Nothing was sent,
 #: so only the time spent counts; past this the fault is likely here.
-MAX_UNREACHED = 4
+MAX_FAILED_CONNECTIONS = 4
 
 
-class Event(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How an attempt ended without a whole answer.
 
     ``UNREACHED``: no connection, so that nothing was sent.
@@ -32,79 +32,87 @@
 class Action(enum.Enum):
     """What to do next.
 
-    ``AGAIN``: send to another backend server.
+    ``RETRY``: send to another backend server.
     ``REFUSE``: tell the caller that it has not run.
-    ``UNKNOWN``: tell the caller that it may have run.
+    ``REPORT_UNKNOWN``: tell the caller that it may have run.
     ``PASS_ON``: give the caller the failure as it came.
-    ``CUT``: break the answer off, visibly.
+    ``ABORT_ANSWER``: break the answer off, visibly.
     """
 
-    AGAIN = "again"
+    RETRY = "again"
     REFUSE = "refuse"
-    UNKNOWN = "unknown"
+    REPORT_UNKNOWN = "unknown"
     PASS_ON = "pass-on"
-    CUT = "cut"
+    ABORT_ANSWER = "cut"
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class State:
+class RequestState:
     """What is known of one request.
 
     :param repeatable: whether running it twice does no harm.
-    :param attempts: backend servers that it may be sent to.
-    :param sent: backend servers that it was sent to.
-    :param unreached: connections that failed to come up.
-    :param maybe_ran: whether an attempt may have run.
-    :param begun: whether the caller has part of the answer.
+    :param max_attempts: backend servers that it may be sent to.
+    :param attempts_sent: backend servers that it was sent to.
+    :param failed_connections: connections that failed to come up.
+    :param may_have_run: whether an attempt may have run.
+    :param answer_started: whether the caller has part of the answer.
     """
 
     repeatable: bool
-    attempts: int
-    sent: int = 0
-    unreached: int = 0
-    maybe_ran: bool = False
-    begun: bool = False
-
-
-def after(state: State, event: Event) -> State:
-    """Return the state once an attempt has ended with ``event``."""
-    if event is Event.UNREACHED:
-        return dataclasses.replace(state, unreached=state.unreached + 1)
+    max_attempts: int
+    attempts_sent: int = 0
+    failed_connections: int = 0
+    may_have_run: bool = False
+    answer_started: bool = False
+
+
+def state_after(state: RequestState, outcome: AttemptOutcome) -> RequestState:
+    """Return the state once an attempt has ended with ``outcome``."""
+    if outcome is AttemptOutcome.UNREACHED:
+        return dataclasses.replace(
+            state, failed_connections=state.failed_connections + 1
+        )
     return dataclasses.replace(
         state,
-        sent=state.sent + 1,
-        maybe_ran=state.maybe_ran or event is not Event.NOT_RUN,
+        attempts_sent=state.attempts_sent + 1,
+        may_have_run=state.may_have_run
+        or outcome is not AttemptOutcome.NOT_RUN,
     )
 
 
-def may_send(state: State) -> bool:
+def may_send(state: RequestState) -> bool:
     """Tell whether the request may go to one more backend server."""
-    if state.sent >= state.attempts or state.unreached >= MAX_UNREACHED:
+    if (
+        state.attempts_sent >= state.max_attempts
+        or state.failed_connections >= MAX_FAILED_CONNECTIONS
+    ):
         return False
-    return state.repeatable or not state.maybe_ran
+    return state.repeatable or not state.may_have_run
 
 
-def decide(state: State, event: Event, *, another: bool) -> Action:
-    """Return what to do after ``event``; ``state`` includes it.
+def next_action(
+    state: RequestState, outcome: AttemptOutcome, *, another: bool
+) -> Action:
+    """Return what to do after ``outcome``; ``state`` includes it.
 
     :param another: whether a backend server and the budget are there.
     """
     if another and may_send(state):
-        return Action.AGAIN
-    return give_up(state, event)
+        return Action.RETRY
+    return final_action(state, outcome)
 
 
-def give_up(state: State, event: Event) -> Action:
+def final_action(state: RequestState, outcome: AttemptOutcome) -> Action:
     """Return what to tell the caller when there is no other attempt."""
-    if state.begun:
-        return Action.CUT
-    if event is Event.FAILED:
+    if state.answer_started:
+        return Action.ABORT_ANSWER
+    if outcome is AttemptOutcome.FAILED:
         return Action.PASS_ON
     # A proof that the last attempt did not run proves nothing of an
     # earlier one, unless running it once more does no harm.
-    if state.maybe_ran and not state.repeatable:
-        return Action.UNKNOWN
-    if event is Event.BROKEN:
-        return Action.UNKNOWN
+    if state.may_have_run and not state.repeatable:
+        return Action.REPORT_UNKNOWN
+    if outcome is AttemptOutcome.BROKEN:
+        return Action.REPORT_UNKNOWN
     return Action.REFUSE
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -49,13 +49,15 @@
         self._cut_off = False
         #: When the last attempt was sent.
         self._sent_at = plan.req.at
-        self._state = retry_policy.State(
-            repeatable=plan.route.repeatable, attempts=plan.route.attempts
+        self._state = retry_policy.RequestState(
+            repeatable=plan.route.repeatable, max_attempts=plan.route.attempts
         )
 
     async def run(self) -> None:
         """Send until there is an answer or a reason to give up."""
-        self._world.budget(self._plan.service).asked(self._clock.monotonic())
+        self._world.budget(self._plan.service).record_request(
+            self._clock.monotonic()
+        )
         left = self._left()
         try:
             async with asyncio.timeout(left.total_seconds()):
@@ -141,23 +143,23 @@
                 self._log_answer(backend)
                 return
             self._world.figures.attempt(self._plan.service, event.value)
-            self._state = retry_policy.after(self._state, event)
+            self._state = retry_policy.state_after(self._state, event)
             await self._look_if_ended(event, backend)
             found = self._choose()
-            action = retry_policy.decide(
+            action = retry_policy.next_action(
                 self._state,
                 event,
                 another=found is not None and self._may_repeat(event),
             )
             self._log(event, backend, action)
-            if action is not retry_policy.Action.AGAIN or found is None:
+            if action is not retry_policy.Action.RETRY or found is None:
                 await self._give_up(action, event)
                 return
             backend = found.best.backend
 
     async def _send(
         self, backend: desired.Backend
-    ) -> retry_policy.Event | None:
+    ) -> retry_policy.AttemptOutcome | None:
         attempt = attempt_lib.Attempt(
             self._world,
             self._clock,
@@ -174,39 +176,41 @@
         finally:
             self._changed()
         self._cut_off = attempt.cut_off
-        if event in (None, retry_policy.Event.FAILED):
+        if event in (None, retry_policy.AttemptOutcome.FAILED):
             self._world.endings.record_completion(
                 self._plan, backend, self._sent_at
             )
         begun = self._answer.begun
-        self._state = dataclasses.replace(self._state, begun=begun)
+        self._state = dataclasses.replace(self._state, answer_started=begun)
         return event
 
     async def _look_if_ended(
-        self, event: retry_policy.Event, backend: desired.Backend
+        self, event: retry_policy.AttemptOutcome, backend: desired.Backend
     ) -> None:
         """Find out whether a server has ended under this request."""
-        if event is retry_policy.Event.BROKEN and self._cut_off:
+        if event is retry_policy.AttemptOutcome.BROKEN and self._cut_off:
             await self._world.endings.record_broken_attempt(
                 self._plan, backend, self._sent_at
             )
 
     def _may_go_on(self) -> bool:
         """Tell whether another server is left if this attempt breaks."""
-        broken = retry_policy.after(self._state, retry_policy.Event.BROKEN)
+        broken = retry_policy.state_after(
+            self._state, retry_policy.AttemptOutcome.BROKEN
+        )
         return retry_policy.may_send(broken) and self._choose() is not None
 
-    def _may_repeat(self, event: retry_policy.Event) -> bool:
+    def _may_repeat(self, event: retry_policy.AttemptOutcome) -> bool:
         """Take one repeat from the budget, unless it would be the first.
 
         Only what arrived at a backend server counts against it.
         """
         if not retry_policy.may_send(self._state):
             return False
-        broke = event is retry_policy.Event.BROKEN
+        broke = event is retry_policy.AttemptOutcome.BROKEN
         if not self._world.endings.may_retry(self._plan, broke=broke):
             return False
-        if not self._state.sent:
+        if not self._state.attempts_sent:
             return True
         return self._world.may_repeat(self._plan.service, event)
 
@@ -220,11 +224,11 @@
         return standing is crash_suspects.SuspectStatus.SUSPECT
 
     async def _give_up(
-        self, action: retry_policy.Action, event: retry_policy.Event
+        self, action: retry_policy.Action, event: retry_policy.AttemptOutcome
     ) -> None:
         if action is retry_policy.Action.PASS_ON:
             await self._answer.pass_on()
-        elif action is retry_policy.Action.CUT:
+        elif action is retry_policy.Action.ABORT_ANSWER:
             raise refusal.broken("the answer broke off")
         elif action is retry_policy.Action.REFUSE:
             rest = self._world.rest_left(self._plan.service)
@@ -260,7 +264,7 @@
                 "backend": backend.key,
                 "domain": backend.domain,
                 "status": status,
-                "sent": self._state.sent + 1,
+                "sent": self._state.attempts_sent + 1,
                 "first_ms": None if took is None else round(took / _MS),
                 "whole_ms": round(whole / _MS),
                 "last_id": self._answer.last_id,
@@ -269,7 +273,7 @@
 
     def _log(
         self,
-        event: retry_policy.Event,
+        event: retry_policy.AttemptOutcome,
         backend: desired.Backend,
         action: retry_policy.Action,
     ) -> None:
@@ -280,6 +284,6 @@
                 "backend": backend.key,
                 "event": event.value,
                 "action": action.value,
-                "sent": self._state.sent,
+                "sent": self._state.attempts_sent,
             },
         )
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -76,7 +76,7 @@
         self._clock = clock
         self._rng = rng
         self._home = ids.DomainName(settings.domain)
-        self._budgets: dict[ids.ServiceName, routing.RepeatBudget] = {}
+        self._budgets: dict[ids.ServiceName, routing.WindowedRetryBudget] = {}
         self._returns: dict[str, admission.Returns] = {}
         self._paces: dict[ids.ServiceName, pace_lib.Pace] = {}
         #: Called with each pause between two events of a stream.
@@ -139,7 +139,7 @@
         self.uses.weights = settings.shares.weights
         self.endings.exempt_requests = _exempt(settings.suspects)
         for budget in self._budgets.values():
-            budget.allow(
+            budget.configure(
                 ratio=bounds.repeat_ratio,
                 window_s=bounds.repeat_window_s,
                 slack=bounds.repeat_slack,
@@ -360,12 +360,12 @@
             candidates, home=self._home, tried=tried, rng=self._rng
         )
 
-    def budget(self, service: ids.ServiceName) -> routing.RepeatBudget:
+    def budget(self, service: ids.ServiceName) -> routing.WindowedRetryBudget:
         """Return this process's part of the repeats of ``service``."""
         found = self._budgets.get(service)
         if found is None:
             bounds = self.bounds
-            found = routing.RepeatBudget(
+            found = routing.WindowedRetryBudget(
                 ratio=bounds.repeat_ratio,
                 window_s=bounds.repeat_window_s,
                 slack=bounds.repeat_slack,
@@ -374,17 +374,17 @@
         return found
 
     def may_repeat(
-        self, service: ids.ServiceName, event: retry_policy.Event
+        self, service: ids.ServiceName, event: retry_policy.AttemptOutcome
     ) -> bool:
         """Take one repeat of ``service`` from the budget, if it has one.
 
         A refusal often comes from all servers at once, and its caller can
         come back; a broken answer is lost, so that more is kept for it.
         """
-        refused = event is retry_policy.Event.NOT_RUN
-        return self.budget(service).spend(
+        refused = event is retry_policy.AttemptOutcome.NOT_RUN
+        return self.budget(service).try_spend(
             self._clock.monotonic(),
-            part=_REFUSED_PART if refused else 1.0,
+            usable_ratio=_REFUSED_PART if refused else 1.0,
             peers=self.known_peers(),
         )
 
--- a/src/lugcross/entry/caller.py
+++ b/src/lugcross/entry/caller.py
@@ -104,7 +104,7 @@
         :raises errors.RequestError: when there is no whole answer; what
             was yielded before is then only a part.
         """
-        self._budget(req.service).earn()
+        self._budget(req.service).record_request()
         return _Run(self, req).parts()
 
     def choose(
@@ -141,7 +141,7 @@
 
     def may_retry(self, req: Request) -> bool:
         """Take a retry from the budget of the request's service."""
-        return self._budget(req.service).spend()
+        return self._budget(req.service).try_spend()
 
     def left(self, req: Request) -> datetime.timedelta:
         """Return the time until the caller's deadline."""
--- a/src/lugcross/entry/http.py
+++ b/src/lugcross/entry/http.py
@@ -243,7 +243,9 @@
         space = ids.WorkspaceName(who.workspace.name)
         name = ids.ServiceName(service.name)
         config = self._store.config
-        homes = routing.homes(config, space, name, key) if key else []
+        homes = (
+            routing.backends_for_key(config, space, name, key) if key else []
+        )
         return {
             "id": req_id,
             "workspace": space,
--- a/src/lugcross/membership/backend_subset.py
+++ b/src/lugcross/membership/backend_subset.py
@@ -24,7 +24,7 @@
     are covered and few links move when a backend server comes or goes.
     """
     by_name = {backend.name: backend for backend in backends}
-    order = [by_name[name] for name in routing.rank(node, by_name)]
+    order = [by_name[name] for name in routing.rendezvous_order(node, by_name)]
     near = [backend for backend in order if backend.domain == domain]
     far = [backend for backend in order if backend.domain != domain]
     near_links = max(round(links * NEAR_PART), links - len(far))
--- a/src/lugcross/membership/duty_holders.py
+++ b/src/lugcross/membership/duty_holders.py
@@ -120,7 +120,7 @@
         held = self._held.get(duty)
         if held is not None and self._serves(held, node, incarnation, live):
             return None
-        if routing.first(f"duty\0{duty}", live) != node:
+        if routing.rendezvous_first(f"duty\0{duty}", live) != node:
             return None
         after = held.fence if held else Fence(0)
         return DutyClaim(duty, node, incarnation, after)
--- a/src/lugcross/membership/log_relays.py
+++ b/src/lugcross/membership/log_relays.py
@@ -53,5 +53,5 @@
 
     def is_relay(self) -> bool:
         """Tell whether this entry host reads the log for the others."""
-        order = routing.rank(f"relay\0{self._domain}", self.live())
+        order = routing.rendezvous_order(f"relay\0{self._domain}", self.live())
         return self._node in order[:RELAYS]
--- a/src/lugcross/routing/__init__.py
+++ b/src/lugcross/routing/__init__.py
@@ -5,20 +5,20 @@
 from lugcross.routing.backend_choice import Candidate
 from lugcross.routing.backend_choice import choose_backend
 from lugcross.routing.health import BackendHealth
-from lugcross.routing.key_affinity import homes
-from lugcross.routing.rendezvous_hashing import first
-from lugcross.routing.rendezvous_hashing import rank
+from lugcross.routing.key_affinity import backends_for_key
+from lugcross.routing.rendezvous_hashing import rendezvous_first
+from lugcross.routing.rendezvous_hashing import rendezvous_order
 from lugcross.routing.retry_budget import RetryBudget
-from lugcross.routing.windowed_retry_budget import RepeatBudget
+from lugcross.routing.windowed_retry_budget import WindowedRetryBudget
 
 __all__ = [
     "Candidate",
     "BackendChoice",
     "BackendHealth",
-    "RepeatBudget",
+    "WindowedRetryBudget",
     "RetryBudget",
     "choose_backend",
-    "first",
-    "homes",
-    "rank",
+    "rendezvous_first",
+    "backends_for_key",
+    "rendezvous_order",
 ]
--- a/src/lugcross/routing/key_affinity.py
+++ b/src/lugcross/routing/key_affinity.py
@@ -6,7 +6,7 @@
 from lugcross.routing import rendezvous_hashing
 
 
-def homes(
+def backends_for_key(
     config: cfg.Config,
     workspace: ids.WorkspaceName,
     service: ids.ServiceName,
@@ -18,7 +18,7 @@
     preference: the claim in the log decides who may run it.
     """
     backends = config.by_service.get(service, ())
-    return rendezvous_hashing.rank(
+    return rendezvous_hashing.rendezvous_order(
         f"{workspace}\0{service}\0{key}",
         [ids.BackendName(backend.name) for backend in backends],
     )
--- a/src/lugcross/routing/rendezvous_hashing.py
+++ b/src/lugcross/routing/rendezvous_hashing.py
@@ -6,10 +6,10 @@
 
 import xxhash
 
-_N = TypeVar("_N", bound=str)
+_Name = TypeVar("_Name", bound=str)
 
 
-def rank(key: str, names: Iterable[_N]) -> list[_N]:
+def rendezvous_order(key: str, names: Iterable[_Name]) -> list[_Name]:
     """Return ``names``, best first for ``key``.
 
     When a name goes, only the keys that it was best for move.
@@ -17,7 +17,7 @@
     return sorted(names, key=lambda name: (-_score(key, name), name))
 
 
-def first(key: str, names: Iterable[_N]) -> _N | None:
+def rendezvous_first(key: str, names: Iterable[_Name]) -> _Name | None:
     """Return the best of ``names`` for ``key``, if there are any."""
     return max(names, key=lambda name: (_score(key, name), name), default=None)
 
--- a/src/lugcross/routing/windowed_retry_budget.py
+++ b/src/lugcross/routing/windowed_retry_budget.py
@@ -14,17 +14,17 @@
 
 #: Part of the allowed ratio that is spent. The rest covers what is in
 #: flight at a window's edges, where requests and repeats fall apart.
-_SPENT_PART = 0.8
+_SPENT_RATIO = 0.8
 #: Part of the slack that is spent; processes that start or that nobody
 #: has heard of yet share in it too.
-_SLACK_PART = 0.5
+_SLACK_RATIO = 0.5
 #: Repeats that a process may send in a window before it has earned any:
 #: a lost connection of its first requests must not fail them.
-_FREE = 1
+_FREE_RETRIES = 1
 
 
 @final
-class RepeatBudget:
+class WindowedRetryBudget:
     """Repeats of one service from one process.
 
     :param ratio: repeats allowed for each request.
@@ -35,37 +35,47 @@
     def __init__(
         self, *, ratio: float, window_s: float, slack: float = 0.0
     ) -> None:
-        self.allow(ratio=ratio, window_s=window_s, slack=slack)
-        self._asked: collections.deque[clock_lib.Instant] = collections.deque()
-        self._spent: collections.deque[clock_lib.Instant] = collections.deque()
+        self.configure(ratio=ratio, window_s=window_s, slack=slack)
+        self._request_times: collections.deque[clock_lib.Instant] = (
+            collections.deque()
+        )
+        self._retry_times: collections.deque[clock_lib.Instant] = (
+            collections.deque()
+        )
 
-    def allow(self, *, ratio: float, window_s: float, slack: float) -> None:
+    def configure(
+        self, *, ratio: float, window_s: float, slack: float
+    ) -> None:
         """Change what is allowed; what was spent stays counted."""
-        self._slack = slack * _SLACK_PART
-        self._ratio = ratio * _SPENT_PART
+        self._slack = slack * _SLACK_RATIO
+        self._ratio = ratio * _SPENT_RATIO
         self._window = datetime.timedelta(seconds=window_s)
 
-    def asked(self, now: clock_lib.Instant) -> None:
+    def record_request(self, now: clock_lib.Instant) -> None:
         """Note one request of a caller."""
-        self._asked.append(now)
+        self._request_times.append(now)
 
-    def spend(
-        self, now: clock_lib.Instant, *, part: float = 1.0, peers: int = 0
+    def try_spend(
+        self,
+        now: clock_lib.Instant,
+        *,
+        usable_ratio: float = 1.0,
+        peers: int = 0,
     ) -> bool:
         """Take one repeat; tell whether there was one.
 
-        :param part: part of the budget that repeats of this sort may
+        :param usable_ratio: part of the budget that repeats of this sort may
             use, so that others find some left.
         :param peers: other processes that may exist, heard or not; with
             none known the slack stays untouched, since there may be some.
         """
-        for moments in (self._asked, self._spent):
+        for moments in (self._request_times, self._retry_times):
             while moments and now - moments[0] > self._window:
                 moments.popleft()
-        earned = _FREE + self._ratio * len(self._asked)
+        earned = _FREE_RETRIES + self._ratio * len(self._request_times)
         if peers:
             earned += self._slack / (peers + 1)
-        if len(self._spent) + 1 > max(1.0, earned * part):
+        if len(self._retry_times) + 1 > max(1.0, earned * usable_ratio):
             return False
-        self._spent.append(now)
+        self._retry_times.append(now)
         return True
--- a/testing/edge/test_reload.py
+++ b/testing/edge/test_reload.py
@@ -85,7 +85,7 @@
     service = edge_rig.SAFE.shares[0].service
     budget = rig.world.budget(service)
     now = rig.clock.monotonic()
-    while budget.spend(now):
+    while budget.try_spend(now):
         pass
     rig.world.allow(edge_rig.settings())
-    assert not rig.world.budget(service).spend(now)
+    assert not rig.world.budget(service).try_spend(now)
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -98,18 +98,18 @@
 def test_key_moves_only_when_its_own_home_goes() -> None:
     names = [ids.BackendName(f"b{num}") for num in range(20)]
     for num in range(200):
-        home = routing.first(f"key{num}", names)
+        home = routing.rendezvous_first(f"key{num}", names)
         others = [n for n in names if n != "b7"]
-        after = routing.first(f"key{num}", others)
+        after = routing.rendezvous_first(f"key{num}", others)
         assert after == home or home == "b7"
 
 
 def test_retries_stay_a_part_of_the_requests() -> None:
-    budget = routing.RetryBudget(ratio=0.1, saved=5.0)
+    budget = routing.RetryBudget(ratio=0.1, max_saved=5.0)
     spent = 0
     for _ in range(1000):
-        budget.earn()
-        spent += budget.spend()
+        budget.record_request()
+        spent += budget.try_spend()
     assert spent <= 105
 
 
--- a/testing/routing/test_windowed_retry_budget.py
+++ b/testing/routing/test_windowed_retry_budget.py
@@ -18,7 +18,7 @@
     )
 )
 def test_repeats_of_any_window_stay_within_the_ratio(steps):
-    budget = routing.RepeatBudget(ratio=RATIO, window_s=WINDOW)
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW)
     now = 0.0
     asked: list[float] = []
     spent: list[float] = []
@@ -26,9 +26,9 @@
         now += gap
         moment = datetime.timedelta(seconds=now)
         if asks:
-            budget.asked(moment)
+            budget.record_request(moment)
             asked.append(now)
-        elif budget.spend(moment):
+        elif budget.try_spend(moment):
             spent.append(now)
             assert _repeats(spent, now) <= 1 + RATIO * _in(asked, now, 1)
         # Requests leave a window that goes on past its last repeat; they
@@ -49,44 +49,52 @@
 def test_requests_may_leave_the_window_after_its_last_repeat():
     # At 9 s the second repeat is allowed by seven requests; at 11 s the
     # window still holds both repeats, and two of the requests.
-    budget = routing.RepeatBudget(ratio=RATIO, window_s=WINDOW)
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW)
     for now in (0, 0, 0, 0, 0, 1):
-        budget.asked(datetime.timedelta(seconds=now))
-    assert budget.spend(datetime.timedelta(seconds=3))
-    budget.asked(datetime.timedelta(seconds=7))
-    assert budget.spend(datetime.timedelta(seconds=9))
-    assert not budget.spend(datetime.timedelta(seconds=11))
+        budget.record_request(datetime.timedelta(seconds=now))
+    assert budget.try_spend(datetime.timedelta(seconds=3))
+    budget.record_request(datetime.timedelta(seconds=7))
+    assert budget.try_spend(datetime.timedelta(seconds=9))
+    assert not budget.try_spend(datetime.timedelta(seconds=11))
 
 
 def test_budget_is_there_again_once_its_window_has_passed():
-    budget = routing.RepeatBudget(ratio=RATIO, window_s=WINDOW)
-    assert budget.spend(datetime.timedelta())
-    assert not budget.spend(datetime.timedelta(seconds=5))
-    assert budget.spend(datetime.timedelta(seconds=11))
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW)
+    assert budget.try_spend(datetime.timedelta())
+    assert not budget.try_spend(datetime.timedelta(seconds=5))
+    assert budget.try_spend(datetime.timedelta(seconds=11))
 
 
 def test_slack_is_shared_among_all_processes_that_may_exist():
     budgets = [
-        routing.RepeatBudget(ratio=RATIO, window_s=WINDOW, slack=80)
+        routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW, slack=80)
         for _ in range(8)
     ]
     now = datetime.timedelta()
     spent = sum(
-        budget.spend(now, peers=7) for budget in budgets for _ in range(100)
+        budget.try_spend(now, peers=7)
+        for budget in budgets
+        for _ in range(100)
     )
     assert 8 < spent <= 80
 
 
 def test_process_that_knows_no_peers_leaves_the_slack_alone():
-    budget = routing.RepeatBudget(ratio=RATIO, window_s=WINDOW, slack=80)
+    budget = routing.WindowedRetryBudget(
+        ratio=RATIO, window_s=WINDOW, slack=80
+    )
     now = datetime.timedelta()
-    assert sum(budget.spend(now) for _ in range(100)) == 1
+    assert sum(budget.try_spend(now) for _ in range(100)) == 1
 
 
 def test_refused_requests_leave_repeats_for_broken_answers():
-    budget = routing.RepeatBudget(ratio=RATIO, window_s=WINDOW, slack=80)
+    budget = routing.WindowedRetryBudget(
+        ratio=RATIO, window_s=WINDOW, slack=80
+    )
     now = datetime.timedelta()
-    refused = sum(budget.spend(now, part=0.5, peers=3) for _ in range(99))
-    broken = sum(budget.spend(now, peers=3) for _ in range(99))
+    refused = sum(
+        budget.try_spend(now, usable_ratio=0.5, peers=3) for _ in range(99)
+    )
+    broken = sum(budget.try_spend(now, peers=3) for _ in range(99))
     assert refused >= 1
     assert broken >= refused
