--- a/bench/config.py
+++ b/bench/config.py
@@ -72,8 +72,8 @@
     pairs = []
     for num in range(entries):
         node = ids.NodeName(f"e{seed}-{num}")
-        chosen = membership.subset(
-            node, ids.DomainName(f"d{num % 12}"), backends, links=40
+        chosen = membership.choose_backend_subset(
+            node, ids.DomainName(f"d{num % 12}"), backends, max_links=40
         )
         pairs += [(str(node), one.name) for one in chosen]
     return pairs
--- a/bench/control.py
+++ b/bench/control.py
@@ -166,8 +166,11 @@
         )
     backends = [_backend(num) for num in range(760)]
     found["subset_ms_at_760"] = 1000 * slopes.seconds_each(
-        lambda: membership.subset(
-            ids.NodeName("e"), ids.DomainName("domain-1"), backends, links=24
+        lambda: membership.choose_backend_subset(
+            ids.NodeName("e"),
+            ids.DomainName("domain-1"),
+            backends,
+            max_links=24,
         ),
         count=20,
     )
--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -159,7 +159,7 @@
         )
         if where.hosts:
             hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
-            watch = membership.HostWatch(
+            watch = membership.HostListWatcher(
                 hosts, self._on_hosts, every_s=_HOSTS_EVERY_S
             )
             app.add(
--- a/src/lugcross/agent/dispatcher.py
+++ b/src/lugcross/agent/dispatcher.py
@@ -44,7 +44,7 @@
         self,
         *,
         incarnation: ids.Incarnation,
-        weight: shares.fair_queue.Weight,
+        weight: shares.fair_queue.GroupWeight,
         capacity: int = 1,
     ) -> None:
         self.capacity = capacity
@@ -318,7 +318,7 @@
     ) -> None:
         if not used:
             return
-        self._queue.settle(exchange.ticket, used)
+        self._queue.correct_charge(exchange.ticket, used)
         if took > datetime.timedelta():
             speed = used / took.total_seconds() * self.capacity
             self._speed += _SPEED_GAIN * (speed - self._speed)
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -64,7 +64,7 @@
         urgent.
     """
 
-    claim: shares.Claim | None = None
+    claim: shares.WorkspaceUse | None = None
     back: bool = False
     behind: int = 0
 
@@ -95,9 +95,13 @@
     whole = full * picture.servers
     room = _places(picture, whole, asking) - picture.busy - picture.unseen
     has_room = room >= 1.0 and picture.least < max(full, 1.0)
-    if has_room and (claim is None or claim.fits(room)):
+    if has_room and (claim is None or claim.may_take_place(room)):
         return None
-    if claim is not None and claim.is_below(whole) and picture.has_slot():
+    if (
+        claim is not None
+        and claim.is_within_share(whole)
+        and picture.has_slot()
+    ):
         return None
     if has_room:
         return "its workspace has more than its share of a full service"
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -172,6 +172,6 @@
         places = self._world.full(plan.route, plan.service) * picture.servers
         return {
             "workspace": plan.space,
-            "use": claim.use,
-            "share": round(claim.share(places), 1),
+            "use": claim.in_progress,
+            "share": round(claim.fair_share(places), 1),
         }
--- a/src/lugcross/edge/uses.py
+++ b/src/lugcross/edge/uses.py
@@ -93,7 +93,7 @@
 
     def claim(
         self, service: ids.ServiceName, space: ids.WorkspaceName
-    ) -> shares.Claim:
+    ) -> shares.WorkspaceUse:
         """Return what a workspace has of a service, and may have."""
         sums = self._of(service).sums()
         asking = len(sums) + (space not in sums)
@@ -102,10 +102,10 @@
             for name, weight in self.weights.items()
             if name in sums or name == space
         )
-        return shares.Claim(
-            use=sums.get(space, 0),
+        return shares.WorkspaceUse(
+            in_progress=sums.get(space, 0),
             weight=self.weights.get(space, 1.0),
-            weights=asking + more,
+            total_weight=asking + more,
         )
 
     def by_service(
--- a/src/lugcross/entry/app.py
+++ b/src/lugcross/entry/app.py
@@ -224,7 +224,7 @@
         if not where.hosts:
             return
         hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
-        watch = membership.HostWatch(
+        watch = membership.HostListWatcher(
             hosts, self._on_hosts, every_s=_HOSTS_EVERY_S
         )
         app.add(app_lib.Hook(name="hosts", start=watch.start, stop=watch.stop))
@@ -303,11 +303,11 @@
             backends = config.by_service[name]
             # A repeat must find the agent that has claimed its key.
             links = self._settings.links if service.repeatable else None
-            chosen = membership.subset(
+            chosen = membership.choose_backend_subset(
                 self._node,
                 self._domain,
                 backends,
-                links=links or len(backends),
+                max_links=links or len(backends),
             )
             wanted.update({backend.name: backend for backend in chosen})
         return list(wanted.values())
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -153,7 +153,7 @@
     ) -> None:
         self._loop = loop
         self._feed = cfg.Feed(store)
-        self._neighbours = membership.Neighbours(node, domain)
+        self._neighbours = membership.SeenEntryHosts(node, domain)
         self._tell_relay: Callable[[bool], None] = lambda relay: None
         self._clock = clock
         self._journal = journal
@@ -331,14 +331,14 @@
             peer.link = None
             self._feed.on_link_lost(link)
             self._neighbours.on_link_lost(link)
-            self._tell_relay(self._neighbours.is_relay())
+            self._tell_relay(self._neighbours.is_log_relay())
             peer.why_down = "the link was lost"
             self._lose_calls(peer)
 
     def _receive(self, peer: Peer, link: wire.Link, msg: wire.Message) -> None:
         if isinstance(msg, wire.Entries):
             self._neighbours.on_entries(link, msg.seen)
-            self._tell_relay(self._neighbours.is_relay())
+            self._tell_relay(self._neighbours.is_log_relay())
             return
         peer.receive(msg, self._clock.monotonic())
         self._post_all(self._feed.on_message(link, msg))
--- a/src/lugcross/membership/__init__.py
+++ b/src/lugcross/membership/__init__.py
@@ -1,32 +1,32 @@
 # SPDX-License-Identifier: Apache-2.0
 """Which hosts are there, and which to keep links to."""
 
-from lugcross.membership.backend_subset import subset
-from lugcross.membership.duty_holders import decode as decode_duty
-from lugcross.membership.duty_holders import Duties
+from lugcross.membership.backend_subset import choose_backend_subset
+from lugcross.membership.duty_holders import decode_duty_claim
 from lugcross.membership.duty_holders import DutyClaim
+from lugcross.membership.duty_holders import DutyHolder
+from lugcross.membership.duty_holders import DutyHolders
 from lugcross.membership.duty_holders import DutyName
-from lugcross.membership.duty_holders import encode as encode_duty
-from lugcross.membership.duty_holders import Fence
-from lugcross.membership.duty_holders import FenceGuard
-from lugcross.membership.duty_holders import Holding
-from lugcross.membership.host_list_watcher import HostWatch
-from lugcross.membership.host_list_watcher import leaving_names
-from lugcross.membership.log_relays import Neighbours
-from lugcross.membership.log_relays import RELAYS
+from lugcross.membership.duty_holders import encode_duty_claim
+from lugcross.membership.duty_holders import FencingToken
+from lugcross.membership.duty_holders import FencingTokenGuard
+from lugcross.membership.host_list_watcher import HostListWatcher
+from lugcross.membership.host_list_watcher import leaving_node_names
+from lugcross.membership.log_relays import RELAYS_PER_DOMAIN
+from lugcross.membership.log_relays import SeenEntryHosts
 
 __all__ = [
-    "RELAYS",
-    "HostWatch",
-    "Neighbours",
-    "leaving_names",
-    "subset",
-    "Duties",
+    "RELAYS_PER_DOMAIN",
+    "HostListWatcher",
+    "SeenEntryHosts",
+    "leaving_node_names",
+    "choose_backend_subset",
+    "DutyHolders",
     "DutyClaim",
     "DutyName",
-    "Fence",
-    "FenceGuard",
-    "Holding",
-    "decode_duty",
-    "encode_duty",
+    "FencingToken",
+    "FencingTokenGuard",
+    "DutyHolder",
+    "decode_duty_claim",
+    "encode_duty_claim",
 ]
--- a/src/lugcross/membership/backend_subset.py
+++ b/src/lugcross/membership/backend_subset.py
@@ -8,17 +8,17 @@
 from lugcross import routing
 
 #: Part of the links that goes to the own failure domain, if it can.
-NEAR_PART = 2 / 3
+SAME_DOMAIN_RATIO = 2 / 3
 
 
-def subset(
+def choose_backend_subset(
     node: ids.NodeName,
     domain: ids.DomainName,
     backends: Iterable[cfg.BackendServer],
     *,
-    links: int,
+    max_links: int,
 ) -> list[cfg.BackendServer]:
-    """Return at most ``links`` backend servers of one service.
+    """Return at most ``max_links`` backend servers of one service.
 
     Each entry host gets another part, by rendezvous hash, so that all
     are covered and few links move when a backend server comes or goes.
@@ -27,6 +27,8 @@
     order = [by_name[name] for name in routing.rendezvous_order(node, by_name)]
     near = [backend for backend in order if backend.domain == domain]
     far = [backend for backend in order if backend.domain != domain]
-    near_links = max(round(links * NEAR_PART), links - len(far))
+    near_links = max(
+        round(max_links * SAME_DOMAIN_RATIO), max_links - len(far)
+    )
     chosen = near[:near_links]
-    return chosen + far[: links - len(chosen)]
+    return chosen + far[: max_links - len(chosen)]
--- a/src/lugcross/membership/duty_holders.py
+++ b/src/lugcross/membership/duty_holders.py
@@ -2,7 +2,7 @@
 """Duties with one holder, by claims in the log that are never renewed.
 
 The newest claim of a duty in the log's order holds it, and its offset is
-the fence. A holder that was paused and wakes up carries an old fence,
+the fencing token. A holder that was paused and wakes up carries an old token,
 which everything that it gives orders to refuses. Claims cost an append
 only when a holder is lost, where a renewed lease would cost one for each
 duty every few seconds.
@@ -21,44 +21,44 @@
 from lugcross import routing
 
 #: Name of the stream that carries claims of duties.
-STREAM = "duties"
+CLAIM_STREAM = "duties"
 
 #: Name of a duty, such as the placement of one model group.
 DutyName = NewType("DutyName", str)
 #: Offset of the claim by which a duty is held; grows with each holder.
-Fence = NewType("Fence", int)
+FencingToken = NewType("FencingToken", int)
 
 
 @final
 class DutyClaim(msgspec.Struct, frozen=True, array_like=True):
     """One node takes a duty.
 
-    :param after: fence that the node saw; a claim on top of a newer one
-        has no effect, so that of two at once the first holds it.
+    :param previous_token: fencing token that the node saw; a claim on top of a
+        newer one has no effect, so that of two at once the first holds it.
     """
 
     duty: DutyName
     node: ids.NodeName
     incarnation: ids.Incarnation
-    after: Fence
+    previous_token: FencingToken
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Holding:
+class DutyHolder:
     """Who holds a duty, and since which offset."""
 
     node: ids.NodeName
     incarnation: ids.Incarnation
-    fence: Fence
+    token: FencingToken
 
 
-def encode(claim: DutyClaim) -> bytes:
+def encode_duty_claim(claim: DutyClaim) -> bytes:
     """Return the record that carries ``claim``."""
     return record.dump(claim)
 
 
-def decode(data: bytes) -> DutyClaim:
+def decode_duty_claim(data: bytes) -> DutyClaim:
     """Return the claim that a record carries.
 
     :raises errors.ChangeError: when it is malformed.
@@ -67,11 +67,11 @@
 
 
 @final
-class Duties:
+class DutyHolders:
     """Who holds which duty, from the records of the stream in order."""
 
     def __init__(self) -> None:
-        self._held: dict[DutyName, Holding] = {}
+        self._held: dict[DutyName, DutyHolder] = {}
         self.offset = ids.Offset(0)
 
     def apply(self, offset: ids.Offset, data: bytes) -> None:
@@ -88,17 +88,17 @@
             )
         self.offset = offset
         try:
-            claim = decode(data)
+            claim = decode_duty_claim(data)
         except errors.ChangeError:
             return
         held = self._held.get(claim.duty)
-        if claim.after != (held.fence if held else 0):
+        if claim.previous_token != (held.token if held else 0):
             return
-        self._held[claim.duty] = Holding(
-            claim.node, claim.incarnation, Fence(offset)
+        self._held[claim.duty] = DutyHolder(
+            claim.node, claim.incarnation, FencingToken(offset)
         )
 
-    def holder(self, duty: DutyName) -> Holding | None:
+    def holder(self, duty: DutyName) -> DutyHolder | None:
         """Return who holds a duty, if anybody does."""
         return self._held.get(duty)
 
@@ -118,16 +118,18 @@
         :param live: nodes that are seen, ``node`` among them.
         """
         held = self._held.get(duty)
-        if held is not None and self._serves(held, node, incarnation, live):
+        if held is not None and self._still_holds(
+            held, node, incarnation, live
+        ):
             return None
         if routing.rendezvous_first(f"duty\0{duty}", live) != node:
             return None
-        after = held.fence if held else Fence(0)
-        return DutyClaim(duty, node, incarnation, after)
+        previous_token = held.token if held else FencingToken(0)
+        return DutyClaim(duty, node, incarnation, previous_token)
 
-    def _serves(
+    def _still_holds(
         self,
-        held: Holding,
+        held: DutyHolder,
         node: ids.NodeName,
         incarnation: ids.Incarnation,
         live: Collection[ids.NodeName],
@@ -139,21 +141,21 @@
 
 
 @final
-class FenceGuard:
+class FencingTokenGuard:
     """Refuses orders of holders that were superseded.
 
-    An agent keeps one for an engine that does not check fences itself.
+    An agent keeps one for an engine that does not check tokens itself.
 
-    :param floor: fence below which nothing is taken. An agent that was
-        restarted remembers none, and takes its floor from the log.
+    :param minimum: token below which nothing is taken. An agent that was
+        restarted remembers none, and takes its minimum from the log.
     """
 
-    def __init__(self, floor: Fence = Fence(0)) -> None:
-        self._highest = floor
+    def __init__(self, minimum: FencingToken = FencingToken(0)) -> None:
+        self._highest = minimum
 
-    def admit(self, fence: Fence) -> bool:
-        """Tell whether an order with ``fence`` may be carried out."""
-        if fence < self._highest:
+    def admit(self, token: FencingToken) -> bool:
+        """Tell whether an order with ``token`` may be carried out."""
+        if token < self._highest:
             return False
-        self._highest = fence
+        self._highest = token
         return True
--- a/src/lugcross/membership/host_list_watcher.py
+++ b/src/lugcross/membership/host_list_watcher.py
@@ -12,18 +12,22 @@
 from lugcross import logservice
 
 #: Called with the names of the nodes whose hosts are leaving.
-Listener = Callable[[frozenset[str]], None]
+LeavingNodesListener = Callable[[frozenset[str]], None]
 
 
 @final
-class HostWatch:
+class HostListWatcher:
     """Thread that reads the list now and then.
 
     :param every_s: time between two reads, in seconds, before jitter.
     """
 
     def __init__(
-        self, hosts: logservice.HostList, listener: Listener, *, every_s: float
+        self,
+        hosts: logservice.HostList,
+        listener: LeavingNodesListener,
+        *,
+        every_s: float,
     ) -> None:
         self._hosts = hosts
         self._listener = listener
@@ -45,7 +49,7 @@
         known: frozenset[str] = frozenset()
         while not self._stopping.is_set():
             try:
-                leaving = leaving_names(self._hosts.read())
+                leaving = leaving_node_names(self._hosts.read())
                 if leaving != known:
                     known = leaving
                     self._listener(leaving)
@@ -57,7 +61,7 @@
             self._stopping.wait(self._every_s * random.uniform(0.5, 1.5))
 
 
-def leaving_names(hosts: tuple[logservice.Host, ...]) -> frozenset[str]:
+def leaving_node_names(hosts: tuple[logservice.Host, ...]) -> frozenset[str]:
     """Return the names of the nodes whose hosts are leaving."""
     return frozenset(
         host.name
--- a/src/lugcross/membership/log_relays.py
+++ b/src/lugcross/membership/log_relays.py
@@ -10,11 +10,11 @@
 from lugcross import wire
 
 #: Relays of one failure domain; two, so that one may be frozen.
-RELAYS = 2
+RELAYS_PER_DOMAIN = 2
 
 
 @final
-class Neighbours:
+class SeenEntryHosts:
     """Entry hosts of the own failure domain that have links to agents.
 
     Agents see a dead entry host at once by its links, long before the
@@ -36,7 +36,7 @@
         """Forget what was told on a link."""
         self._seen.pop(link, None)
 
-    def live(self) -> frozenset[ids.NodeName]:
+    def live_in_domain(self) -> frozenset[ids.NodeName]:
         """Return all entry hosts of the domain that are seen."""
         near = (one for one in self.all() if one.domain == self._domain)
         return frozenset((self._node, *(one.node for one in near)))
@@ -51,7 +51,9 @@
                     newest[one.node] = one
         return [newest[name] for name in sorted(newest)]
 
-    def is_relay(self) -> bool:
+    def is_log_relay(self) -> bool:
         """Tell whether this entry host reads the log for the others."""
-        order = routing.rendezvous_order(f"relay\0{self._domain}", self.live())
-        return self._node in order[:RELAYS]
+        order = routing.rendezvous_order(
+            f"relay\0{self._domain}", self.live_in_domain()
+        )
+        return self._node in order[:RELAYS_PER_DOMAIN]
--- a/src/lugcross/shares/dynamic_limit.py
+++ b/src/lugcross/shares/dynamic_limit.py
@@ -30,32 +30,35 @@
 #: of a load that is too much leaves three to five of 70 places idle: 0.854 of
 #: such a day's requests were served, 0.881 with 16, 0.885 with 32 and 0.893
 #: with no limit (two plays each).
-PER_FREE = 16.0
+REQUESTS_PER_FREE_PLACE = 16.0
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Claim:
+class WorkspaceUse:
     """What one workspace has of a service, and may have.
 
-    :param use: its requests in progress, at all processes.
+    :param in_progress: its requests in progress, at all processes.
     :param weight: its weight; 1 unless settings say otherwise.
-    :param weights: sum of the weights of all workspaces with requests in
+    :param total_weight: sum of the weights of all workspaces with requests in
         progress, this one included.
     """
 
-    use: int
+    in_progress: int
     weight: float = 1.0
-    weights: float = 1.0
+    total_weight: float = 1.0
 
-    def share(self, places: float) -> float:
+    def fair_share(self, places: float) -> float:
         """Return its part of ``places`` if all that ask want more."""
-        return places * self.weight / self.weights
+        return places * self.weight / self.total_weight
 
-    def fits(self, room: float) -> bool:
-        """Tell whether it may take one of ``room`` free places."""
-        return self.use < PER_FREE * self.weight * room
+    def may_take_place(self, free_places: float) -> bool:
+        """Tell whether it may take one of ``free_places``."""
+        return (
+            self.in_progress
+            < REQUESTS_PER_FREE_PLACE * self.weight * free_places
+        )
 
-    def is_below(self, places: float) -> bool:
+    def is_within_share(self, places: float) -> bool:
         """Tell whether one more request is within its share."""
-        return self.use + 1 <= self.share(places)
+        return self.in_progress + 1 <= self.fair_share(places)
--- a/src/lugcross/shares/fair_queue.py
+++ b/src/lugcross/shares/fair_queue.py
@@ -16,7 +16,7 @@
 from lugcross import ids
 
 #: Returns the weight of a group; above 0 even for unknown groups.
-Weight = Callable[[ids.GroupName], float]
+GroupWeight = Callable[[ids.GroupName], float]
 
 
 @final
@@ -38,24 +38,26 @@
     """Tags of one group or workspace in the virtual time of its level."""
 
     def __init__(self) -> None:
-        self.start = 0.0
-        self.debt = 0.0
+        self.start_tag = 0.0
+        self.pending_charge = 0.0
 
-    def wake(self, virtual: float) -> None:
+    def activate(self, virtual_time: float) -> None:
         # Idle time earns no credit, or a group that wakes could starve
         # the others; a debt still open is paid first.
-        self.start = max(self.start, virtual) + self.debt
-        self.debt = 0.0
+        self.start_tag = (
+            max(self.start_tag, virtual_time) + self.pending_charge
+        )
+        self.pending_charge = 0.0
 
     def charge(self, amount: float) -> None:
-        self.start += amount
+        self.start_tag += amount
 
 
 @final
 class _Group:
     def __init__(self) -> None:
         self.flow = _Flow()
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.flows: dict[ids.WorkspaceName, _Flow] = {}
         self.waiting: dict[ids.WorkspaceName, collections.deque[Ticket]] = {}
 
@@ -67,9 +69,9 @@
     :param weight: the configured share of a group.
     """
 
-    def __init__(self, weight: Weight) -> None:
+    def __init__(self, weight: GroupWeight) -> None:
         self._weight = weight
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._groups: dict[ids.GroupName, _Group] = {}
         self._tickets: dict[str, Ticket] = {}
         self.waiting_cost = 0
@@ -81,11 +83,11 @@
         """Let ``ticket`` wait for its turn."""
         group = self._groups.setdefault(ticket.group, _Group())
         if not group.waiting:
-            group.flow.wake(self._virtual)
+            group.flow.activate(self._virtual_time)
         flow = group.flows.setdefault(ticket.workspace, _Flow())
         line = group.waiting.get(ticket.workspace)
         if line is None:
-            flow.wake(group.virtual)
+            flow.activate(group.virtual_time)
             line = group.waiting[ticket.workspace] = collections.deque()
         line.append(ticket)
         self._tickets[ticket.uid] = ticket
@@ -95,19 +97,21 @@
         """Take the ticket whose turn it is and charge its estimate."""
         name = min(
             (name for name, group in self._groups.items() if group.waiting),
-            key=lambda name: self._groups[name].flow.start,
+            key=lambda name: self._groups[name].flow.start_tag,
             default=None,
         )
         if name is None:
             return None
         group = self._groups[name]
-        space = min(group.waiting, key=lambda name: group.flows[name].start)
+        space = min(
+            group.waiting, key=lambda name: group.flows[name].start_tag
+        )
         ticket = group.waiting[space][0]
-        self._virtual = group.flow.start
-        group.virtual = group.flows[space].start
+        self._virtual_time = group.flow.start_tag
+        group.virtual_time = group.flows[space].start_tag
         group.flow.charge(ticket.cost / self._weight(name))
         group.flows[space].charge(float(ticket.cost))
-        self._forget(ticket)
+        self._remove(ticket)
         return ticket
 
     def remove(self, uid: str) -> bool:
@@ -115,10 +119,10 @@
         ticket = self._tickets.get(uid)
         if ticket is None:
             return False
-        self._forget(ticket)
+        self._remove(ticket)
         return True
 
-    def settle(self, ticket: Ticket, used: int) -> None:
+    def correct_charge(self, ticket: Ticket, used: int) -> None:
         """Correct the charge of a taken ticket to what it really used.
 
         :param used: work done, in tokens.
@@ -127,12 +131,12 @@
         if group is None:
             return
         error = used - ticket.cost
-        _correct(group.flow, error / self._weight(ticket.group), group.waiting)
+        _adjust(group.flow, error / self._weight(ticket.group), group.waiting)
         flow = group.flows.get(ticket.workspace)
         if flow is not None:
-            _correct(flow, float(error), ticket.workspace in group.waiting)
+            _adjust(flow, float(error), ticket.workspace in group.waiting)
 
-    def _forget(self, ticket: Ticket) -> None:
+    def _remove(self, ticket: Ticket) -> None:
         del self._tickets[ticket.uid]
         self.waiting_cost -= ticket.cost
         group = self._groups[ticket.group]
@@ -142,10 +146,10 @@
             del group.waiting[ticket.workspace]
 
 
-def _correct(flow: _Flow, amount: float, backlogged: object) -> None:
+def _adjust(flow: _Flow, amount: float, backlogged: object) -> None:
     if backlogged:
         flow.charge(amount)
     else:
         # Kept until it wakes: short requests sent one by one would
         # otherwise escape the correction.
-        flow.debt = max(0.0, flow.debt + amount)
+        flow.pending_charge = max(0.0, flow.pending_charge + amount)
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -270,18 +270,18 @@
     def relays_among(live: list[ids.NodeName]) -> list[str]:
         found = []
         for name in live:
-            near = membership.Neighbours(name, domain)
+            near = membership.SeenEntryHosts(name, domain)
             near.on_entries("l1", [seen(one) for one in live[:4]])
             near.on_entries("l2", [seen(one) for one in live[2:]])
-            if near.is_relay():
+            if near.is_log_relay():
                 found.append(name)
         return found
 
     first = relays_among(names)
-    assert len(first) == membership.RELAYS
+    assert len(first) == membership.RELAYS_PER_DOMAIN
     left = [name for name in names if name != first[0]]
     after = relays_among(left)
-    assert len(after) == membership.RELAYS
+    assert len(after) == membership.RELAYS_PER_DOMAIN
     assert first[1] in after
 
 
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -103,9 +103,9 @@
     st.floats(0.5, 4.0),
 )
 def test_who_may_have_one_more_may_have_fewer(use, room, weight):
-    claim = shares.Claim(use=use, weight=weight)
-    less = shares.Claim(use=max(0, use - 1), weight=weight)
-    assert less.fits(room) or not claim.fits(room)
+    claim = shares.WorkspaceUse(in_progress=use, weight=weight)
+    less = shares.WorkspaceUse(in_progress=max(0, use - 1), weight=weight)
+    assert less.may_take_place(room) or not claim.may_take_place(room)
 
 
 @given(
@@ -114,7 +114,9 @@
 )
 def test_shares_of_all_that_ask_make_up_the_whole(weights, places):
     parts = [
-        shares.Claim(use=0, weight=one, weights=sum(weights)).share(places)
+        shares.WorkspaceUse(
+            in_progress=0, weight=one, total_weight=sum(weights)
+        ).fair_share(places)
         for one in weights
     ]
     assert sum(parts) == pytest.approx(places)
@@ -133,17 +135,17 @@
     there.began(SERVICE, A)
     here.peer_told("n2", there.own())
     here.began(SERVICE, B)
-    assert here.claim(SERVICE, A).use == 2
-    assert here.claim(SERVICE, A).weights == 2.0
+    assert here.claim(SERVICE, A).in_progress == 2
+    assert here.claim(SERVICE, A).total_weight == 2.0
     here.peer_told("n2", {})
-    assert here.claim(SERVICE, A).use == 0
+    assert here.claim(SERVICE, A).in_progress == 0
 
 
 def test_weight_of_the_settings_counts():
     found = _uses(a=3.0)
     found.began(SERVICE, B)
-    assert found.claim(SERVICE, A).share(40.0) == 30.0
-    assert found.claim(SERVICE, B).share(40.0) == 40.0
+    assert found.claim(SERVICE, A).fair_share(40.0) == 30.0
+    assert found.claim(SERVICE, B).fair_share(40.0) == 40.0
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf")], ids=str)
@@ -165,7 +167,7 @@
 def test_number_that_nobody_knows_changes_nothing():
     found = _uses()
     found.peer_told("n2", {12345: 9})
-    assert found.claim(SERVICE, A).use == 0
+    assert found.claim(SERVICE, A).in_progress == 0
 
 
 def _asking(**fields) -> admission.Asking:
@@ -179,8 +181,8 @@
 
 
 def test_workspace_below_its_share_goes_past_what_is_full_up_to_the_slots():
-    below = shares.Claim(use=1, weights=10.0)
-    over = shares.Claim(use=40, weights=10.0)
+    below = shares.WorkspaceUse(in_progress=1, total_weight=10.0)
+    over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     full = _picture(64)
     assert admission.admit(full, 4.0, _asking(claim=below)) is None
     assert admission.admit(full, 4.0, _asking(claim=over))
@@ -189,7 +191,7 @@
 
 
 def test_refusal_tells_a_surge_from_a_full_service():
-    over = shares.Claim(use=40, weights=10.0)
+    over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     assert "its workspace" in (
         admission.admit(_picture(62), 4.0, _asking(claim=over)) or ""
     )
--- a/testing/membership/test_duty_holders.py
+++ b/testing/membership/test_duty_holders.py
@@ -19,48 +19,48 @@
         DUTY,
         ids.NodeName(node),
         ids.Incarnation(f"{node}-{life}"),
-        membership.Fence(after),
+        membership.FencingToken(after),
     )
 
 
-def duties(*claims: membership.DutyClaim) -> membership.Duties:
-    found = membership.Duties()
+def duty_holders(*claims: membership.DutyClaim) -> membership.DutyHolders:
+    found = membership.DutyHolders()
     for offset, one in enumerate(claims, start=1):
-        found.apply(ids.Offset(offset), membership.encode_duty(one))
+        found.apply(ids.Offset(offset), membership.encode_duty_claim(one))
     return found
 
 
 def test_first_of_two_claims_at_once_holds_the_duty() -> None:
-    holding = duties(claim("e1", 0), claim("e2", 0)).holder(DUTY)
+    holding = duty_holders(claim("e1", 0), claim("e2", 0)).holder(DUTY)
     assert holding is not None
-    assert (holding.node, holding.fence) == ("e1", 1)
+    assert (holding.node, holding.token) == ("e1", 1)
 
 
 def test_claim_on_top_of_the_holders_takes_over_with_a_higher_fence() -> None:
-    holding = duties(claim("e1", 0), claim("e2", 1)).holder(DUTY)
+    holding = duty_holders(claim("e1", 0), claim("e2", 1)).holder(DUTY)
     assert holding is not None
-    assert (holding.node, holding.fence) == ("e2", 2)
+    assert (holding.node, holding.token) == ("e2", 2)
 
 
 def test_duty_stays_while_its_holder_is_seen() -> None:
-    found = duties(claim("e1", 0))
+    found = duty_holders(claim("e1", 0))
     for node in NODES:
         incarnation = ids.Incarnation(f"{node}-1")
         assert found.next_claim(DUTY, node, incarnation, NODES) is None
 
 
 def test_restarted_holder_claims_anew_or_another_does() -> None:
-    found = duties(claim("e1", 0))
+    found = duty_holders(claim("e1", 0))
     claims = [
         found.next_claim(DUTY, ids.NodeName("e1"), ids.Incarnation("x"), live)
         for live in (NODES, NODES[:1])
     ]
     assert claims[1] is not None
-    assert claims[1].after == 1
+    assert claims[1].previous_token == 1
 
 
 def test_exactly_one_of_the_live_takes_a_lost_duty() -> None:
-    found = duties(claim("gone", 0))
+    found = duty_holders(claim("gone", 0))
     claims = [
         found.next_claim(DUTY, node, ids.Incarnation("x"), NODES)
         for node in NODES
@@ -69,7 +69,7 @@
 
 
 def test_malformed_record_is_stepped_over_and_a_gap_is_not() -> None:
-    found = duties(claim("e1", 0))
+    found = duty_holders(claim("e1", 0))
     found.apply(ids.Offset(2), b"\xff")
     assert found.offset == 2
     with pytest.raises(errors.ReplayGapError):
@@ -82,9 +82,9 @@
     def __init__(self) -> None:
         super().__init__()
         self.log: list[bytes] = []
-        self.views = {node: membership.Duties() for node in NODES}
+        self.views = {node: membership.DutyHolders() for node in NODES}
         self.lives = dict.fromkeys(NODES, 1)
-        self.guard = membership.FenceGuard()
+        self.guard = membership.FencingTokenGuard()
         self.admitted: list[int] = []
 
     def incarnation(self, node: ids.NodeName) -> ids.Incarnation:
@@ -101,7 +101,7 @@
             DUTY, node, self.incarnation(node), others | {node}
         )
         if one is not None:
-            self.log.append(membership.encode_duty(one))
+            self.log.append(membership.encode_duty_claim(one))
 
     @stateful.rule(node=st.sampled_from(NODES))
     def read(self, node: ids.NodeName) -> None:
@@ -111,7 +111,7 @@
     @stateful.rule(node=st.sampled_from(NODES))
     def restart(self, node: ids.NodeName) -> None:
         self.lives[node] += 1
-        self.views[node] = membership.Duties()
+        self.views[node] = membership.DutyHolders()
 
     @stateful.rule(node=st.sampled_from(NODES))
     def order(self, node: ids.NodeName) -> None:
@@ -119,9 +119,9 @@
         held = self.views[node].holder(DUTY)
         if held is None or held.incarnation != self.incarnation(node):
             return
-        if self.guard.admit(held.fence):
-            assert held.fence >= max(self.admitted, default=0)
-            self.admitted.append(held.fence)
+        if self.guard.admit(held.token):
+            assert held.token >= max(self.admitted, default=0)
+            self.admitted.append(held.token)
 
     @stateful.invariant()
     def views_at_one_offset_agree(self) -> None:
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -70,7 +70,9 @@
 def links(
     node: str, backends: list[cfg.BackendServer], count: int
 ) -> set[str]:
-    chosen = membership.subset(ids.NodeName(node), NEAR, backends, links=count)
+    chosen = membership.choose_backend_subset(
+        ids.NodeName(node), NEAR, backends, max_links=count
+    )
     assert len(chosen) == min(count, len(backends))
     return {one.name for one in chosen}
 
--- a/testing/shares/test_fair_queue.py
+++ b/testing/shares/test_fair_queue.py
@@ -92,7 +92,7 @@
         assert one is not None
         true = 40 if one.group == "y" else 10
         used[one.group] += true
-        queue.settle(one, true)
+        queue.correct_charge(one, true)
     assert used["y"] == pytest.approx(used["z"], rel=0.1)
 
 
