--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -91,14 +91,14 @@
         fleet = crash_rig.Fleet(
             patch, 3, 2, servers=10, attempts=ATTEMPTS, seed=seed
         )
-        fleet.ending.add(ENDING)
+        fleet.crashing_bodies.add(ENDING)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
         with fleet.under_load(LOAD):
             for _ in range(int(SECONDS / gap_s)):
                 await asyncio.sleep(gap_s * fleet.rng.uniform(0.5, 1.5))
                 fleet.ask(fleet.rng.choice(list(fleet.nodes)), ENDING)
-        await asyncio.sleep(2 * crash_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
 
@@ -110,7 +110,7 @@
     ends, innocent, lost = [], set(), []
     for seed in range(1, seeds + 1):
         fleet = _play(seed, gap_s)
-        ends.append(len(fleet.ends_of(ENDING)))
+        ends.append(len(fleet.crash_times(ENDING)))
         others = [one for one in fleet.answers if one.body != ENDING]
         refused = (o.body for o in others if b"have ended while" in o.text)
         innocent |= {(seed, body) for body in refused}
--- a/testing/edge/test_crash_tracker.py
+++ b/testing/edge/test_crash_tracker.py
@@ -9,14 +9,14 @@
 from lugcross import crash_suspects
 
 
-def _against(one: rig.Rig) -> list[int]:
+def _counted_crashes(one: rig.Rig) -> list[int]:
     return [
-        len(case.crashes_since_cleared)
-        for case in one.world.endings.registry.records()
+        len(record.crashes_since_cleared)
+        for record in one.world.endings.registry.records()
     ]
 
 
-class _Ending:
+class _CrashingServers:
     """Servers of which the first ones that run a request end."""
 
     def __init__(self, one: rig.Rig, count: int) -> None:
@@ -52,7 +52,7 @@
     return asyncio.run(main())
 
 
-def _play_ending(ends, *, times=1, exempt=False):
+def _play_crashes(crashes, *, times=1, exempt=False):
     """Return what a caller got each time, and the rig and its servers.
 
     :param exempt: whether an operator clears the request after its first try.
@@ -61,16 +61,16 @@
     async def main():
         # Runs of no length are alike, however busy this machine is.
         one = rig.Rig(clock_lib.ManualClock())
-        servers = _Ending(one, ends)
+        servers = _CrashingServers(one, crashes)
         await one.start(*([servers.script(num)] for num in range(3)))
         one.adopt(rig.SAFE)
         got = []
         for _ in range(times):
             got.append(await one.ask())
-            cases = one.world.endings.registry.records()
+            records = one.world.endings.registry.records()
             if exempt:
                 one.world.endings.exempt_requests = frozenset(
-                    [cases[0].request]
+                    [records[0].request]
                 )
         one.close()
         return got, one, servers
@@ -79,12 +79,12 @@
 
 
 def test_server_that_ends_counts_against_what_it_ran():
-    got, one, _ = _play_ending(1)
+    got, one, _ = _play_crashes(1)
     assert got[0].status == 200
     # It ran to its end at the next server, and is cleared.
-    cases = one.world.endings.registry.records()
-    assert [len(case.crashes) for case in cases] == [1]
-    assert _against(one) == [0]
+    records = one.world.endings.registry.records()
+    assert [len(record.crashes) for record in records] == [1]
+    assert _counted_crashes(one) == [0]
 
 
 def test_server_that_resets_and_lives_does_not():
@@ -104,17 +104,17 @@
 
 
 def test_caller_is_told_when_to_come_back_and_that_it_has_not_run():
-    got, one, servers = _play_ending(2, times=2)
+    got, one, servers = _play_crashes(2, times=2)
     assert got[0].status == 502
     assert got[1].status == 503
     assert b"2 backend servers have ended" in got[1].body
     wait = float(got[1].headers[b"retry-after"])
     assert 0 < wait <= crash_suspects.SUSPICION_TTL.total_seconds()
     assert servers.answered == []
-    assert _against(one) == [2]
+    assert _counted_crashes(one) == [2]
 
 
 def test_request_that_an_operator_has_cleared_is_not_refused():
-    got, _, servers = _play_ending(2, times=2, exempt=True)
+    got, _, servers = _play_crashes(2, times=2, exempt=True)
     assert [one.status for one in got] == [502, 200]
     assert len(servers.answered) == 1
--- a/testing/edge/test_crashing_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -29,17 +29,17 @@
 #: Until every process has read the store and heard of the others, s.
 SETTLED_S = 4.0
 #: Ordinary requests a second: six in ten of all places are taken.
-LOAD = 36.0
+LOAD_PER_S = 36.0
 CONTACT_S = edge_rig.BOUNDS.contact.total_seconds()
-ENDING = b"ends who runs it"
+CRASHING_BODY = b"ends who runs it"
 
 
 #: Moments at which faults strike, in seconds from the first try: just before
 #: and after the ends that decide.
-MOMENTS = (0.0, 0.15, 0.3, 1.2)
+FAULT_MOMENTS_S = (0.0, 0.15, 0.3, 1.2)
 
 
-def _come_again(
+def _resend(
     fleet: crash_rig.Fleet, gap_s: float, seconds: float
 ) -> Coroutine[Any, Any, None]:
     """Let the request come to processes drawn at random."""
@@ -47,14 +47,14 @@
     async def come() -> None:
         for _ in range(int(seconds / gap_s)):
             await asyncio.sleep(gap_s * fleet.rng.uniform(0.5, 1.5))
-            fleet.ask(fleet.rng.choice(list(fleet.nodes)), ENDING)
+            fleet.ask(fleet.rng.choice(list(fleet.nodes)), CRASHING_BODY)
 
     return come()
 
 
 def _run(
     monkeypatch,
-    day: Callable[[crash_rig.Fleet], Coroutine[Any, Any, None]],
+    scenario: Callable[[crash_rig.Fleet], Coroutine[Any, Any, None]],
     *,
     seed: int = 1,
     attempts: int = 2,
@@ -66,25 +66,25 @@
         fleet = crash_rig.Fleet(
             monkeypatch, 3, 2, servers=10, attempts=attempts, seed=seed
         )
-        fleet.ending.add(ENDING)
+        fleet.crashing_bodies.add(CRASHING_BODY)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
-            await day(fleet)
-        await asyncio.sleep(2 * crash_rig.WORK_S)
+        with fleet.under_load(LOAD_PER_S):
+            await scenario(fleet)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
 
     return virtual_time.run(main())
 
 
-def _play(
+def _run_resends(
     monkeypatch, seed: int, gap_s: float, attempts: int
 ) -> crash_rig.Fleet:
     """Let the request come again every ``gap_s`` for half a minute."""
     return _run(
         monkeypatch,
-        lambda fleet: _come_again(fleet, gap_s, 30.0),
+        lambda fleet: _resend(fleet, gap_s, 30.0),
         seed=seed,
         attempts=attempts,
     )
@@ -94,42 +94,42 @@
     return [
         one.body
         for one in fleet.answers
-        if one.body != ENDING and b"have ended while" in one.text
+        if one.body != CRASHING_BODY and b"have ended while" in one.text
     ]
 
 
 def test_request_that_ends_servers_is_stopped(monkeypatch):
-    ended = {}
+    crashes = {}
     late = {}
     for play in itertools.product((1, 2), (0.2, 1.0, 3.0), (2, 4)):
-        fleet = _play(monkeypatch, *play)
-        ended[play] = len(fleet.ends_of(ENDING))
-        late[play] = fleet.sends_after_third(ENDING)
-    assert max(ended.values()) <= 3, ended
+        fleet = _run_resends(monkeypatch, *play)
+        crashes[play] = len(fleet.crash_times(CRASHING_BODY))
+        late[play] = fleet.sends_after_third_crash(CRASHING_BODY)
+    assert max(crashes.values()) <= 3, crashes
     assert not any(late.values()), late
 
 
 def test_who_ran_beside_it_is_not_refused(monkeypatch):
     for seed in (3, 4, 5):
-        fleet = _play(monkeypatch, seed, 1.0, 4)
+        fleet = _run_resends(monkeypatch, seed, 1.0, 4)
         assert _refused_innocents(fleet) == []
 
 
 def test_process_that_saw_it_may_be_killed_at_any_moment(monkeypatch):
-    for moment, seed in itertools.product(MOMENTS, (1, 2)):
+    for moment, seed in itertools.product(FAULT_MOMENTS_S, (1, 2)):
 
-        async def day(fleet: crash_rig.Fleet, moment=moment) -> None:
-            fleet.ask("n0-0", ENDING)
+        async def scenario(fleet: crash_rig.Fleet, moment=moment) -> None:
+            fleet.ask("n0-0", CRASHING_BODY)
             await asyncio.sleep(moment)
             await fleet.restart("n0-0")
-            await _come_again(fleet, 0.5, 15.0)
+            await _resend(fleet, 0.5, 15.0)
 
-        fleet = _run(monkeypatch, day, seed=seed)
-        assert len(fleet.ends_of(ENDING)) <= 3
-        assert fleet.sends_after_third(ENDING) == 0
+        fleet = _run(monkeypatch, scenario, seed=seed)
+        assert len(fleet.crash_times(CRASHING_BODY)) <= 3
+        assert fleet.sends_after_third_crash(CRASHING_BODY) == 0
 
 
-def _killed(fleet: crash_rig.Fleet, name: str) -> Coroutine[Any, Any, None]:
+def _kill(fleet: crash_rig.Fleet, name: str) -> Coroutine[Any, Any, None]:
     return fleet.restart(name)
 
 
@@ -137,30 +137,30 @@
     fleet.cut_off(name)
 
 
-async def _turned_away(fleet: crash_rig.Fleet, name: str) -> None:
+async def _turn_away(fleet: crash_rig.Fleet, name: str) -> None:
     fleet.turn_away(name)
 
 
-FAULTS = (_killed, _cut_off, _turned_away)
-STRUCK = list(
+FAULTS = (_kill, _cut_off, _turn_away)
+NODE_FAULTS = list(
     itertools.product(FAULTS, ("n0-0", "n0-1", "n0-2", "n1-0", "n1-1"))
 )
-PAIRS = [
+FAULT_PAIRS = [
     (one, two)
-    for one, two in itertools.combinations(STRUCK, 2)
+    for one, two in itertools.combinations(NODE_FAULTS, 2)
     if one[1] != two[1]
 ]
 #: How many placings are left out between two where not all are played; all
 #: 90 at each moment: ``ENDING_MODEL=all pytest THIS-FILE``.
-STEP = 1 if os.environ.get("ENDING_MODEL") == "all" else 11
+PAIR_STEP = 1 if os.environ.get("ENDING_MODEL") == "all" else 11
 #: Placing in which a process went on after the third end of all: two others
 #: were cut off, and one of the three had ended behind the cut. Ends at 4.09,
 #: 4.19 (told to nobody outside) and 4.89; a send at 8.49.
-UNTOLD = 51
+PAIR_WITH_UNREPORTED_CRASH = 51
 #: Placing in which four were needed: behind two cuts the request ended four
 #: servers that those outside saw end without it. Sends of those outside at
 #: 4.00, 4.10, 5.93 and, with i-3, i-5, i-7 and i-9 ended besides, 12.19.
-AT_LARGE = 66
+PAIR_NEEDING_FOUR_CRASHES = 66
 
 
 def test_any_two_faults_at_the_moment_of_an_end(monkeypatch):
@@ -171,27 +171,33 @@
     behind a cut is seen outside as servers that end at large, so that one
     more is needed; counted with all that ended there, three sends may be late.
     """
-    for moment in MOMENTS[1:3]:
-        for num in sorted({*range(0, len(PAIRS), STEP), UNTOLD, AT_LARGE}):
-            pair = PAIRS[num]
-
-            async def day(fleet, moment=moment, pair=pair) -> None:
-                fleet.ask("n0-0", ENDING)
+    for moment in FAULT_MOMENTS_S[1:3]:
+        for num in sorted(
+            {
+                *range(0, len(FAULT_PAIRS), PAIR_STEP),
+                PAIR_WITH_UNREPORTED_CRASH,
+                PAIR_NEEDING_FOUR_CRASHES,
+            }
+        ):
+            pair = FAULT_PAIRS[num]
+
+            async def scenario(fleet, moment=moment, pair=pair) -> None:
+                fleet.ask("n0-0", CRASHING_BODY)
                 await asyncio.sleep(moment)
                 for fault, name in pair:
                     await fault(fleet, name)
-                await _come_again(fleet, 0.5, 10.0)
+                await _resend(fleet, 0.5, 10.0)
 
-            fleet = _run(monkeypatch, day, seed=num + 1)
+            fleet = _run(monkeypatch, scenario, seed=num + 1)
             cut = {name for fault, name in pair if fault is _cut_off}
-            sends = [one for one in fleet.sends if one.body == ENDING]
+            sends = [one for one in fleet.sends if one.body == CRASHING_BODY]
             others = [one for one in sends if one.node not in cut]
-            killed = sum(fault is _killed for fault, _ in pair)
+            killed = sum(fault is _kill for fault, _ in pair)
             at_large = 1 if cut else 0
             assert len(others) <= 3 + killed + at_large, pair
-            late = fleet.sends_after_third(ENDING, leave_out=cut)
+            late = fleet.sends_after_third_crash(CRASHING_BODY, leave_out=cut)
             assert late <= at_large, pair
-            ends = fleet.ends_of(ENDING)
+            ends = fleet.crash_times(CRASHING_BODY)
             since = ends[2] + CONTACT_S if len(ends) > 2 else math.inf
             assert sum(one.at > since for one in others) <= 3, pair
 
@@ -199,64 +205,66 @@
 def test_process_that_was_cut_off_learns_of_it(monkeypatch):
     """Cut off it ends as many as one that knows nothing, and then no more."""
 
-    async def day(fleet: crash_rig.Fleet) -> None:
+    async def scenario(fleet: crash_rig.Fleet) -> None:
         fleet.cut_off("n1-1")
-        await _come_again(fleet, 0.5, 8.0)
+        await _resend(fleet, 0.5, 8.0)
         fleet.reach_again("n1-1")
         await asyncio.sleep(edge_rig.BOUNDS.contact.total_seconds())
         before = len(fleet.sends)
         for name in fleet.nodes:
-            fleet.ask(name, ENDING)
+            fleet.ask(name, CRASHING_BODY)
         await asyncio.sleep(1.0)
-        late = [one for one in fleet.sends[before:] if one.body == ENDING]
+        late = [
+            one for one in fleet.sends[before:] if one.body == CRASHING_BODY
+        ]
         assert late == []
 
-    fleet = _run(monkeypatch, day)
-    assert len(fleet.ends_of(ENDING)) <= 6
+    fleet = _run(monkeypatch, scenario)
+    assert len(fleet.crash_times(CRASHING_BODY)) <= 6
 
 
 def test_copies_at_all_processes_at_once_end_one_server_more(monkeypatch):
     """What nobody has heard of ends a server each; then one for all."""
 
-    async def day(fleet: crash_rig.Fleet) -> None:
+    async def scenario(fleet: crash_rig.Fleet) -> None:
         for name in fleet.nodes:
-            fleet.ask(name, ENDING)
+            fleet.ask(name, CRASHING_BODY)
         await asyncio.sleep(1.0)
-        await _come_again(fleet, 0.5, 15.0)
+        await _resend(fleet, 0.5, 15.0)
 
     for seed in (1, 2, 3):
-        fleet = _run(monkeypatch, day, seed=seed, attempts=4)
-        assert len(fleet.ends_of(ENDING)) <= len(fleet.nodes) + 1
-        assert fleet.sends_after_third(ENDING) == 0
+        fleet = _run(monkeypatch, scenario, seed=seed, attempts=4)
+        assert len(fleet.crash_times(CRASHING_BODY)) <= len(fleet.nodes) + 1
+        assert fleet.sends_after_third_crash(CRASHING_BODY) == 0
 
 
 def test_all_processes_lose_power_at_once(monkeypatch):
-    async def day(fleet: crash_rig.Fleet) -> None:
-        await _come_again(fleet, 0.5, 8.0)
-        await fleet.lose_power()
+    async def scenario(fleet: crash_rig.Fleet) -> None:
+        await _resend(fleet, 0.5, 8.0)
+        await fleet.restart_all()
         await asyncio.sleep(SETTLED_S)
-        await _come_again(fleet, 0.5, 8.0)
+        await _resend(fleet, 0.5, 8.0)
 
     for seed in (1, 2, 3):
-        fleet = _run(monkeypatch, day, seed=seed)
-        assert len(fleet.ends_of(ENDING)) <= 3
+        fleet = _run(monkeypatch, scenario, seed=seed)
+        assert len(fleet.crash_times(CRASHING_BODY)) <= 3
 
 
 def test_what_many_send_is_not_refused_when_all_servers_end(monkeypatch):
     """Copies of one request run everywhere, and every server ends at once."""
     popular = b"what many send"
 
-    async def day(fleet: crash_rig.Fleet) -> None:
+    async def scenario(fleet: crash_rig.Fleet) -> None:
         for num in range(100):
             await asyncio.sleep(0.1)
             fleet.ask(fleet.rng.choice(list(fleet.nodes)), popular)
             if num == 30:
                 for server in fleet.servers:
-                    fleet.end(server)
+                    fleet.crash(server)
         await asyncio.sleep(2.0)
 
-    fleet = _run(monkeypatch, day)
-    assert len(fleet.ends_at) == len(fleet.servers)
+    fleet = _run(monkeypatch, scenario)
+    assert len(fleet.crashes) == len(fleet.servers)
     assert _refused_innocents(fleet) == []
     late = [one for one in fleet.answers if one.body == popular][-5:]
     assert [one.status for one in late] == [200] * 5
@@ -268,11 +276,11 @@
 ):
     for seed in (1, 2):
 
-        async def day(fleet: crash_rig.Fleet) -> None:
-            crashes = asyncio.create_task(fleet.crashes(gap_s, most))
+        async def scenario(fleet: crash_rig.Fleet) -> None:
+            crashes = asyncio.create_task(fleet.crash_repeatedly(gap_s, most))
             await asyncio.sleep(25.0)
             crashes.cancel()
 
-        fleet = _run(monkeypatch, day, seed=seed, attempts=4)
-        assert len(fleet.ends_at) > most
+        fleet = _run(monkeypatch, scenario, seed=seed, attempts=4)
+        assert len(fleet.crashes) > most
         assert _refused_innocents(fleet) == []
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -35,31 +35,31 @@
 
 KEY = desired.BackendKey("i-0")
 OTHER = desired.BackendKey("i-1")
-REST_S = 3.0
-REST = datetime.timedelta(seconds=REST_S)
+BACKOFF_S = 3.0
+BACKOFF = datetime.timedelta(seconds=BACKOFF_S)
 SECOND = datetime.timedelta(seconds=1)
 A_MOMENT = datetime.timedelta(milliseconds=100)
 #: What was on its way may still arrive this long after a server has asked.
-CROSSING_S = 0.5
+IN_FLIGHT_S = 0.5
 #: Requests that may arrive all the same, by what servers' owners allow.
-CROSSING_MOST = 2
+MAX_IN_FLIGHT = 2
 #: Until every process has read the store and heard of the others, s.
 SETTLED_S = 4.0
 #: Ordinary requests a second: four in ten of all places.
-LOAD = 36.0
-SHED_S = 9.0
+LOAD_PER_S = 36.0
+OVERLOAD_S = 9.0
 #: Repeats that all processes may send in ten seconds beyond a fifth of what
 #: callers send.
-REPEATS = 90
+REPEAT_SLACK = 90
 #: Requests that were served of the wave while nobody went by refusals.
-SERVED_BEFORE = 2478
+MIN_SERVED = 2478
 #: Part of the requests from which on users want an alert.
-REFUSED_MOST = 0.1
+MAX_REFUSED_RATIO = 0.1
 
-AWAY = edge_rig.answer(
+TURNS_AWAY = edge_rig.answer(
     503, b"", b"Not-Executed: 1", b"Retry-After: 3", seal=False
 )
-GOOD = edge_rig.answer()
+SUCCEEDS = edge_rig.answer()
 
 
 def _play(scripts, act, one=edge_rig.SAFE):
@@ -84,12 +84,12 @@
             assert (await rig.ask()).status == 200
             clock.advance(A_MOMENT)
         assert len(rig.backends[0].seen) == 1
-        clock.advance(REST)
+        clock.advance(BACKOFF)
         for _ in range(5):
             assert (await rig.ask()).status == 200
         return len(rig.backends[0].seen)
 
-    assert _play([[AWAY] + [GOOD] * 5, [GOOD] * 10], act) > 1
+    assert _play([[TURNS_AWAY] + [SUCCEEDS] * 5, [SUCCEEDS] * 10], act) > 1
 
 
 def test_server_that_says_it_leaves_gets_nothing_past_the_drain_bound():
@@ -106,19 +106,19 @@
             assert (await rig.ask()).status == 200
         return [len(one.seen) for one in rig.backends]
 
-    assert _play([[leaves] * 4, [GOOD] * 3], act) == [1, 3]
+    assert _play([[leaves] * 4, [SUCCEEDS] * 3], act) == [1, 3]
 
 
 def _late_sends(
-    fleet: crash_rig.Fleet, rest_s: float = REST_S
+    fleet: crash_rig.Fleet, rest_s: float = BACKOFF_S
 ) -> dict[tuple[str, str], int]:
     """Return the most that any server got in a rest, by who sent it."""
     pairs = collections.defaultdict(list)
-    for one in fleet.away:
+    for one in fleet.refusals:
         pairs[one.node, one.server].append(one.at)
     most = {
         pair: max(
-            sum(at + CROSSING_S < late <= at + rest_s for late in moments)
+            sum(at + IN_FLIGHT_S < late <= at + rest_s for late in moments)
             for at in moments
         )
         for pair, moments in pairs.items()
@@ -131,12 +131,12 @@
     fleet = crash_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
     for node in fleet.nodes.values():
         node.world.bounds = msgspec.structs.replace(
-            edge_rig.BOUNDS, repeat_slack=REPEATS
+            edge_rig.BOUNDS, repeat_slack=REPEAT_SLACK
         )
     return fleet
 
 
-def _shed(monkeypatch, seed: int, share: float) -> crash_rig.Fleet:
+def _shed_load(monkeypatch, seed: int, share: float) -> crash_rig.Fleet:
     """Let a part of the servers turn everything away for some seconds."""
 
     async def main():
@@ -144,16 +144,16 @@
         fleet = _fleet(monkeypatch, seed, servers=16)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
+        with fleet.under_load(LOAD_PER_S):
             await asyncio.sleep(1.0)
             some = fleet.rng.sample(fleet.servers, int(share * 16))
             for one in some:
-                one.rest_s = REST_S
-            await asyncio.sleep(SHED_S)
+                one.backoff_s = BACKOFF_S
+            await asyncio.sleep(OVERLOAD_S)
             for one in some:
-                one.rest_s = None
-            await asyncio.sleep(REST_S)
-        await asyncio.sleep(2 * crash_rig.WORK_S)
+                one.backoff_s = None
+            await asyncio.sleep(BACKOFF_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
 
@@ -164,15 +164,15 @@
     late = {}
     refused = {}
     for seed, share in itertools.product((1, 2, 3), (0.3, 0.7)):
-        fleet = _shed(monkeypatch, seed, share)
+        fleet = _shed_load(monkeypatch, seed, share)
         late[seed, share] = max(_late_sends(fleet).values(), default=0)
         answers = collections.Counter(one.status for one in fleet.answers)
         refused[seed, share] = answers[503] / answers.total()
-    assert max(late.values()) <= CROSSING_MOST, late
+    assert max(late.values()) <= MAX_IN_FLIGHT, late
     # With a third of the servers away the others have room for all. The red
     # code refused 0.43 to 0.53 of the requests.
     few = [part for (_, share), part in refused.items() if share == 0.3]
-    assert max(few) < REFUSED_MOST, refused
+    assert max(few) < MAX_REFUSED_RATIO, refused
 
 
 def test_request_that_waits_for_its_connection_is_not_sent_into_a_rest():
@@ -184,7 +184,7 @@
         async def take_late(backend, **kwargs):
             conn = await take(backend, **kwargs)
             # Another request is turned away meanwhile.
-            rig.world.rests.start(backend.key, REST)
+            rig.world.rests.start(backend.key, BACKOFF)
             return conn
 
         rig.world.pool.take = take_late
@@ -192,10 +192,10 @@
         assert not first.seen
         return got
 
-    got = _play([[GOOD]], act)
+    got = _play([[SUCCEEDS]], act)
     assert got.status == 503
     # As soon as the server has rested, and spread over a moment.
-    assert REST_S - 0.1 < float(got.headers[b"retry-after"]) < REST_S + 1
+    assert BACKOFF_S - 0.1 < float(got.headers[b"retry-after"]) < BACKOFF_S + 1
 
 
 def test_caller_is_told_when_the_first_server_has_rested():
@@ -210,7 +210,7 @@
         assert [len(one.seen) for one in rig.backends] == [1, 1]
         return first, second
 
-    for got in _play([[AWAY], [away]], act):
+    for got in _play([[TURNS_AWAY], [away]], act):
         assert got.status == 503
         assert b"asked for rest" in got.body
         assert 2.4 <= float(got.headers[b"retry-after"]) < 3.3
@@ -251,15 +251,15 @@
 
 
 def test_shorter_rest_does_not_end_a_longer_one(manual_clock):
-    rests = server_backoffs_lib.ServerBackoffs(manual_clock)
-    rests.start(KEY, REST)
-    rests.start(KEY, A_MOMENT)
+    backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
+    backoffs.start(KEY, BACKOFF)
+    backoffs.start(KEY, A_MOMENT)
     manual_clock.advance(2 * A_MOMENT)
-    assert rests.is_active(KEY)
-    assert rests.time_left([KEY]) == REST - 2 * A_MOMENT
-    manual_clock.advance(REST)
-    assert not rests.is_active(KEY)
-    assert rests.time_left([KEY]) is None
+    assert backoffs.is_active(KEY)
+    assert backoffs.time_left([KEY]) == BACKOFF - 2 * A_MOMENT
+    manual_clock.advance(BACKOFF)
+    assert not backoffs.is_active(KEY)
+    assert backoffs.time_left([KEY]) is None
 
 
 def test_server_on_trial_whose_caller_leaves_is_tried_again():
@@ -280,7 +280,7 @@
     assert not _play([[edge_rig.hang]], act)
 
 
-SAYS = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
+SAYS_LEAVING = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
 
 
 @pytest.mark.parametrize(
@@ -307,7 +307,7 @@
             assert (await rig.ask()).status == 200
         return len(first.seen), len(second.seen)
 
-    assert _play([[SAYS] * 6, [GOOD] * 5], act) == (1, 5)
+    assert _play([[SAYS_LEAVING] * 6, [SUCCEEDS] * 5], act) == (1, 5)
 
 
 def test_last_server_that_leaves_is_used_for_a_while():
@@ -317,7 +317,7 @@
         clock.advance(edge_rig.BOUNDS.drain)
         return (await rig.ask()).status, len(rig.backends[0].seen)
 
-    assert _play([[SAYS] * 3], act) == (503, 2)
+    assert _play([[SAYS_LEAVING] * 3], act) == (503, 2)
 
 
 def test_answer_of_another_life_tells_nothing_of_this_one():
@@ -329,7 +329,7 @@
         await rig.ask()
         return rig.world.backends._said
 
-    assert not _play([[moved], [GOOD]], act)
+    assert not _play([[moved], [SUCCEEDS]], act)
 
 
 @pytest.mark.parametrize(
@@ -355,7 +355,7 @@
             clock.advance(A_MOMENT)
         return len(rig.backends[0].seen)
 
-    assert _play([[script], [GOOD] * 6], act) == 1
+    assert _play([[script], [SUCCEEDS] * 6], act) == 1
 
 
 def test_late_answer_to_an_earlier_request_counts(play):
@@ -366,7 +366,7 @@
 
     async def both(seen, writer):
         await late(seen, writer)
-        await GOOD(seen, writer)
+        await SUCCEEDS(seen, writer)
 
     async def act(rig, clock):
         del clock
@@ -377,30 +377,30 @@
 
 
 def test_new_life_owes_nothing_of_the_old_one(manual_clock):
-    rests = server_backoffs_lib.ServerBackoffs(manual_clock)
-    rests.start(desired.BackendKey("i-0 1"), REST)
-    assert not rests.is_active(desired.BackendKey("i-0 2"))
+    backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
+    backoffs.start(desired.BackendKey("i-0 1"), BACKOFF)
+    assert not backoffs.is_active(desired.BackendKey("i-0 2"))
 
 
 def test_urgent_messages_in_a_rest_are_two(manual_clock):
-    rests = server_backoffs_lib.ServerBackoffs(manual_clock)
-    assert all(rests.take_urgent_allowance(KEY) for _ in range(9))
-    rests.start(KEY, REST)
-    assert [rests.take_urgent_allowance(KEY) for _ in range(4)] == [
+    backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
+    assert all(backoffs.take_urgent_allowance(KEY) for _ in range(9))
+    backoffs.start(KEY, BACKOFF)
+    assert [backoffs.take_urgent_allowance(KEY) for _ in range(4)] == [
         True,
         True,
     ] + [False] * 2
-    assert not rests.may_send_deferrable(KEY)
-    manual_clock.advance(REST)
-    assert rests.may_send_deferrable(KEY)
-    rests.start(KEY, REST)
-    assert rests.take_urgent_allowance(KEY)
+    assert not backoffs.may_send_deferrable(KEY)
+    manual_clock.advance(BACKOFF)
+    assert backoffs.may_send_deferrable(KEY)
+    backoffs.start(KEY, BACKOFF)
+    assert backoffs.take_urgent_allowance(KEY)
 
 
 def test_first_server_that_has_rested_gets_one_request_at_first():
     async def act(rig, clock):
         await rig.ask()
-        clock.advance(REST)
+        clock.advance(BACKOFF)
         trial = asyncio.create_task(rig.ask())
         await rig.backends[0].asked.wait()
         while len(rig.backends[0].seen) < 2:
@@ -409,7 +409,9 @@
         trial.cancel()
         return others, len(rig.backends[0].seen)
 
-    others, seen = _play([[AWAY, edge_rig.hang, GOOD, GOOD, GOOD]], act)
+    others, seen = _play(
+        [[TURNS_AWAY, edge_rig.hang, SUCCEEDS, SUCCEEDS, SUCCEEDS]], act
+    )
     assert seen == 2
     for got in others:
         assert got.status == 503
@@ -423,29 +425,29 @@
         await rig.ask()
         return rig.world.backends.said_only()
 
-    assert _play([[SAYS], [GOOD]], act) == [KEY]
+    assert _play([[SAYS_LEAVING], [SUCCEEDS]], act) == [KEY]
 
 
-def _wave(monkeypatch, seed: int, rest_s: float | None):
+def _overload_waves(monkeypatch, seed: int, rest_s: float | None):
     """Overload few servers, which turn away what they have no slot for."""
 
     async def main():
         random.seed(seed)
         fleet = _fleet(monkeypatch, seed, servers=10)
         for one in fleet.servers:
-            one.rest_when_full_s = rest_s
+            one.backoff_when_full_s = rest_s
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
+        with fleet.under_load(LOAD_PER_S):
             for count in (1, 2, 10):
                 some = fleet.rng.sample(fleet.servers, count)
                 for one in some:
                     one.slots = 2
                 await asyncio.sleep(4.0)
                 for one in some:
-                    one.slots = crash_rig.SLOTS
+                    one.slots = crash_rig.SLOTS_PER_SERVER
                 await asyncio.sleep(4.0)
-        await asyncio.sleep(2 * crash_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
 
@@ -455,7 +457,7 @@
 def test_rest_at_one_server_is_none_at_each_by_turns(monkeypatch):
     served = {}
     for seed, rest_s in itertools.product((1, 2, 3), (None, 1.0)):
-        fleet = _wave(monkeypatch, seed, rest_s)
+        fleet = _overload_waves(monkeypatch, seed, rest_s)
         answers = collections.Counter(one.status for one in fleet.answers)
         served[seed, rest_s] = answers[200]
         if rest_s:
@@ -463,10 +465,10 @@
     # As many at least as were served with the same seeds, without rests, by
     # the code that sent to these servers again at once; 2487 now.
     with_rest = sum(n for (_, rest_s), n in served.items() if rest_s)
-    assert with_rest >= SERVED_BEFORE, served
+    assert with_rest >= MIN_SERVED, served
 
 
-def _turn_away(monkeypatch, seed: int) -> float:
+def _refused_ratio(monkeypatch, seed: int) -> float:
     """Return the part refused while a third takes nothing, without a time."""
 
     async def main():
@@ -474,11 +476,11 @@
         fleet = _fleet(monkeypatch, seed, servers=16)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
+        with fleet.under_load(LOAD_PER_S):
             for one in fleet.rng.sample(fleet.servers, 5):
                 one.slots = 0
-            await asyncio.sleep(SHED_S)
-        await asyncio.sleep(2 * crash_rig.WORK_S)
+            await asyncio.sleep(OVERLOAD_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         answers = collections.Counter(one.status for one in fleet.answers)
         return answers[503] / answers.total()
@@ -489,5 +491,5 @@
 def test_servers_that_only_turn_away_do_not_draw_the_load(monkeypatch):
     # They look idle, too: 0.84 to 0.85 were refused while that counted, 0.38
     # to 0.40 since they are left alone for up to 0.8 s after each refusal.
-    refused = [_turn_away(monkeypatch, seed) for seed in (1, 2, 3)]
-    assert max(refused) < REFUSED_MOST, refused
+    refused = [_refused_ratio(monkeypatch, seed) for seed in (1, 2, 3)]
+    assert max(refused) < MAX_REFUSED_RATIO, refused
--- a/testing/edge/test_unreported_requests.py
+++ b/testing/edge/test_unreported_requests.py
@@ -21,20 +21,20 @@
 SERVICE = ids.ServiceName("s")
 KEY = desired.BackendKey("i-1")
 #: Time from one beat to the next, nearby and to other domains.
-NEAR_MS, FAR_MS = 50, 200
-LIFE_MS = 1700
+SAME_DOMAIN_GAP_MS, OTHER_DOMAIN_GAP_MS = 50, 200
+REQUEST_MS = 1700
 
 
 @dataclasses.dataclass
 class _Peer:
-    near: bool
+    same_domain: bool
     starts: list[int]
     told_at: int = 0
 
     def running(self, at: int) -> int:
-        return sum(1 for one in self.starts if at - LIFE_MS < one <= at)
+        return sum(1 for one in self.starts if at - REQUEST_MS < one <= at)
 
-    def unseen(self) -> int:
+    def unreported(self) -> int:
         return sum(1 for one in self.starts if one > self.told_at)
 
 
@@ -49,7 +49,7 @@
             self.clock, service_of=lambda _: SERVICE
         )
         self.peers = [
-            _Peer(near=num % 5 == 0, starts=[]) for num in range(peers)
+            _Peer(same_domain=num % 5 == 0, starts=[]) for num in range(peers)
         ]
         self.errors: list[float] = []
         self.truth: list[int] = []
@@ -60,7 +60,7 @@
             for num, peer in enumerate(self.peers):
                 self._step(num, peer, now)
             if now > 1000 and now % 20 == 0:
-                truth = sum(peer.unseen() for peer in self.peers)
+                truth = sum(peer.unreported() for peer in self.peers)
                 seen = self.loads.unreported_requests(SERVICE)
                 self.truth.append(truth)
                 self.errors.append(seen - truth)
@@ -68,13 +68,13 @@
     def _step(self, num: int, peer: _Peer, now: int) -> None:
         if self.rng.random() < self.rate:
             peer.starts.append(now)
-        gap = NEAR_MS if peer.near else FAR_MS
+        gap = SAME_DOMAIN_GAP_MS if peer.same_domain else OTHER_DOMAIN_GAP_MS
         if (now + 7 * num) % gap == 0:
             peer.told_at = now
             running = peer.running(now)
             counts = {KEY: running} if running else {}
             self.loads.record_peer_requests(
-                str(num), counts, same_domain=peer.near
+                str(num), counts, same_domain=peer.same_domain
             )
 
 
--- a/testing/routing/test_windowed_retry_budget.py
+++ b/testing/routing/test_windowed_retry_budget.py
@@ -9,7 +9,7 @@
 from lugcross import routing
 
 RATIO = 0.2
-WINDOW = 10.0
+WINDOW_S = 10.0
 
 
 @given(
@@ -18,7 +18,7 @@
     )
 )
 def test_repeats_of_any_window_stay_within_the_ratio(steps):
-    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW)
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     now = 0.0
     asked: list[float] = []
     spent: list[float] = []
@@ -30,26 +30,30 @@
             asked.append(now)
         elif budget.try_spend(moment):
             spent.append(now)
-            assert _repeats(spent, now) <= 1 + RATIO * _in(asked, now, 1)
+            assert _retries_in_window(
+                spent, now
+            ) <= 1 + RATIO * _requests_within(asked, now, 1)
         # Requests leave a window that goes on past its last repeat; they
         # are in the one before it.
-        assert _repeats(spent, now) <= 1 + RATIO * _in(asked, now, 2)
+        assert _retries_in_window(spent, now) <= 1 + RATIO * _requests_within(
+            asked, now, 2
+        )
 
 
-def _repeats(spent: list[float], now: float) -> int:
+def _retries_in_window(spent: list[float], now: float) -> int:
     """Return how many repeats lie in the last window."""
-    return sum(1 for time in spent if now - time < WINDOW)
+    return sum(1 for time in spent if now - time < WINDOW_S)
 
 
-def _in(asked: list[float], now: float, windows: int) -> int:
+def _requests_within(asked: list[float], now: float, windows: int) -> int:
     """Return how many requests lie in the last windows, edges included."""
-    return sum(1 for time in asked if now - time <= windows * WINDOW)
+    return sum(1 for time in asked if now - time <= windows * WINDOW_S)
 
 
 def test_requests_may_leave_the_window_after_its_last_repeat():
     # At 9 s the second repeat is allowed by seven requests; at 11 s the
     # window still holds both repeats, and two of the requests.
-    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW)
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     for now in (0, 0, 0, 0, 0, 1):
         budget.record_request(datetime.timedelta(seconds=now))
     assert budget.try_spend(datetime.timedelta(seconds=3))
@@ -59,7 +63,7 @@
 
 
 def test_budget_is_there_again_once_its_window_has_passed():
-    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW)
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     assert budget.try_spend(datetime.timedelta())
     assert not budget.try_spend(datetime.timedelta(seconds=5))
     assert budget.try_spend(datetime.timedelta(seconds=11))
@@ -67,7 +71,7 @@
 
 def test_slack_is_shared_among_all_processes_that_may_exist():
     budgets = [
-        routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW, slack=80)
+        routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S, slack=80)
         for _ in range(8)
     ]
     now = datetime.timedelta()
@@ -81,7 +85,7 @@
 
 def test_process_that_knows_no_peers_leaves_the_slack_alone():
     budget = routing.WindowedRetryBudget(
-        ratio=RATIO, window_s=WINDOW, slack=80
+        ratio=RATIO, window_s=WINDOW_S, slack=80
     )
     now = datetime.timedelta()
     assert sum(budget.try_spend(now) for _ in range(100)) == 1
@@ -89,7 +93,7 @@
 
 def test_refused_requests_leave_repeats_for_broken_answers():
     budget = routing.WindowedRetryBudget(
-        ratio=RATIO, window_s=WINDOW, slack=80
+        ratio=RATIO, window_s=WINDOW_S, slack=80
     )
     now = datetime.timedelta()
     refused = sum(
--- a/testing/support/crash_rig.py
+++ b/testing/support/crash_rig.py
@@ -26,21 +26,21 @@
 from lugcross import platform
 
 #: How long an ordinary request runs, in seconds.
-WORK_S = 1.0
+REQUEST_S = 1.0
 #: How long a server runs a request that ends it, in seconds.
-ENDS_AFTER_S = 0.09
+CRASH_AFTER_S = 0.09
 #: From the end of a server until its next life, in seconds.
-BACK_S = 3.0
+RESTART_S = 3.0
 #: From the end of a server until its entry goes, in seconds.
-LAPSE_S = 2.0
-SLOTS = 6
-_WAY_S = 0.001
+ENTRY_REMOVED_AFTER_S = 2.0
+SLOTS_PER_SERVER = 6
+_LATENCY_S = 0.001
 _SERVER_PORT = 80
 #: How often an ordinary caller tries, and when it comes back, in seconds.
-_TRIES = 3
-_BACK_AFTER_S = (0.2, 1.0)
+_MAX_TRIES = 3
+_RETRY_DELAY_RANGE_S = (0.2, 1.0)
 #: The process that carries the request of a task.
-_NODE = contextvars.ContextVar("node", default="")
+_current_node = contextvars.ContextVar("node", default="")
 _KEYS = ("key-a", "key-b", "key-c")
 
 
@@ -80,13 +80,13 @@
     up: bool = False
     running: int = 0
     #: What it answers instead of running requests, in seconds of rest.
-    rest_s: float | None = None
+    backoff_s: float | None = None
     #: For how long it asks for rest where it has no slot, in seconds.
-    rest_when_full_s: float | None = None
-    slots: int = SLOTS
+    backoff_when_full_s: float | None = None
+    slots: int = SLOTS_PER_SERVER
     #: Whether it says in its answers that it is leaving.
     leaving: bool = False
-    ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    crashed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     @property
     def host(self) -> str:
@@ -113,7 +113,7 @@
     text: bytes = b""
 
 
-class _Conn:
+class _FakeConn:
     """Takes the place of :class:`lugcross.http1.ClientConn`."""
 
     closing = False
@@ -122,7 +122,7 @@
     def __init__(self, fleet: "Fleet", server: Server) -> None:
         self._fleet = fleet
         self._server = server
-        self._life = server.name
+        self._server_name = server.name
         self.reusable = True
 
     def unheard(self) -> bool:
@@ -134,38 +134,38 @@
         self._body = body
 
     async def answer(self) -> http1.Answer:
-        await asyncio.sleep(_WAY_S)
+        await asyncio.sleep(_LATENCY_S)
         server = self._server
-        if not server.up or server.name != self._life:
+        if not server.up or server.name != self._server_name:
             raise self._broken()
         if self._headers[b"expected-instance"].decode() != server.name:
             return self._answer(421, (b"not-executed", b"1"))
-        if server.rest_s is not None:
-            return self._turn_away(server.rest_s)
+        if server.backoff_s is not None:
+            return self._turn_away(server.backoff_s)
         if server.running >= server.slots:
-            return self._turn_away(server.rest_when_full_s)
-        self._fleet.reached(self._body, server)
-        ended = server.ended
+            return self._turn_away(server.backoff_when_full_s)
+        self._fleet.record_send(self._body, server)
+        crashed = server.crashed
         server.running += 1
         try:
-            async with asyncio.timeout(self._fleet.work_s(self._body)):
-                await ended.wait()
+            async with asyncio.timeout(self._fleet.run_s(self._body)):
+                await crashed.wait()
         except TimeoutError:
-            if self._fleet.ends(self._body):
-                self._fleet.end(server)
+            if self._fleet.is_crashing(self._body):
+                self._fleet.crash(server)
         finally:
             server.running -= 1
-        if ended.is_set():
-            await asyncio.sleep(_WAY_S)
+        if crashed.is_set():
+            await asyncio.sleep(_LATENCY_S)
             raise self._broken()
         return self._answer(200, (b"response-seal", b"s"))
 
-    def _turn_away(self, rest_s: float | None) -> http1.Answer:
+    def _turn_away(self, backoff_s: float | None) -> http1.Answer:
         proof = (b"not-executed", b"1")
-        if rest_s is None:
+        if backoff_s is None:
             return self._answer(503, proof)
-        self._fleet.turned_away(self._body, self._server)
-        return self._answer(503, proof, (b"retry-after", b"%g" % rest_s))
+        self._fleet.record_refusal(self._body, self._server)
+        return self._answer(503, proof, (b"retry-after", b"%g" % backoff_s))
 
     def _broken(self) -> http1.BrokenError:
         self.reusable = False
@@ -185,7 +185,7 @@
         self.closing = True
 
 
-class _Exchange:
+class _RecordedExchange:
     """Takes what a caller is told."""
 
     def __init__(self, answer: Answer) -> None:
@@ -200,7 +200,7 @@
 
 
 class Fleet(fleet_rig.Fleet):
-    """Processes and servers; the bodies ``ending`` end who runs them."""
+    """Processes and servers; ``crashing_bodies`` end who runs them."""
 
     def __init__(
         self,
@@ -211,11 +211,11 @@
         seed: int = 1,
     ) -> None:
         super().__init__(monkeypatch, *domains)
-        self.ending: set[bytes] = set()
+        self.crashing_bodies: set[bytes] = set()
         self.sends: list[Send] = []
         #: Requests that servers turned away and asked for rest.
-        self.away: list[Send] = []
-        self.ends_at: list[tuple[float, str]] = []
+        self.refusals: list[Send] = []
+        self.crashes: list[tuple[float, str]] = []
         self.answers: list[Answer] = []
         self._ids = itertools.count()
         self._ordinary: set[asyncio.Task[None]] = set()
@@ -228,44 +228,44 @@
             platform.OPERATOR_TOPIC, platform.DESIRED_KEY, _desired(attempts)
         )
         for one in self.servers:
-            self._begin(one)
+            self._start_server(one)
 
-    def _begin(self, server: Server) -> None:
+    def _start_server(self, server: Server) -> None:
         server.name = f"i-{next(self._ids)}"
         server.up = True
         server.running = 0
-        server.ended = asyncio.Event()
+        server.crashed = asyncio.Event()
         value = edge_rig.entry(
             "app",
             f"{server.host}:{_SERVER_PORT}",
             f"d{server.place % 2}",
-            slots=SLOTS,
+            slots=SLOTS_PER_SERVER,
         )
         self.store.standin.append(platform.BACKENDS_TOPIC, server.name, value)
 
-    def end(self, server: Server) -> None:
+    def crash(self, server: Server) -> None:
         """End a server as a crash does; it is back after some seconds."""
         if not server.up:
             return
         loop = asyncio.get_running_loop()
         server.up = False
-        server.ended.set()
-        self.ends_at.append((loop.time(), server.name))
+        server.crashed.set()
+        self.crashes.append((loop.time(), server.name))
         loop.call_later(
-            LAPSE_S,
+            ENTRY_REMOVED_AFTER_S,
             self.store.standin.append,
             platform.BACKENDS_TOPIC,
             server.name,
             b"",
         )
-        loop.call_later(BACK_S, self._begin, server)
+        loop.call_later(RESTART_S, self._start_server, server)
 
-    async def crashes(self, gap_s: float, most: int) -> None:
+    async def crash_repeatedly(self, gap_s: float, count: int) -> None:
         """End some servers again and again, whatever they run."""
         while True:
             await asyncio.sleep(gap_s * self.rng.uniform(0.5, 1.5))
-            for one in self.rng.sample(self.servers, most):
-                self.end(one)
+            for one in self.rng.sample(self.servers, count):
+                self.crash(one)
 
     async def restart(self, name: str) -> None:
         """Kill a process with all that it carries, and start it again."""
@@ -273,49 +273,49 @@
             task.cancel()
         await super().restart(name)
 
-    async def lose_power(self) -> None:
+    async def restart_all(self) -> None:
         """Start all processes anew, knowing nothing of before."""
         for name in list(self.nodes):
             await self.restart(name)
 
-    def ends(self, body: bytes) -> bool:
+    def is_crashing(self, body: bytes) -> bool:
         """Tell whether a request ends who runs it."""
-        return body in self.ending
+        return body in self.crashing_bodies
 
-    def work_s(self, body: bytes) -> float:
+    def run_s(self, body: bytes) -> float:
         """Return how long a request runs."""
-        return ENDS_AFTER_S if self.ends(body) else WORK_S
+        return CRASH_AFTER_S if self.is_crashing(body) else REQUEST_S
 
-    def reached(self, body: bytes, server: Server) -> None:
+    def record_send(self, body: bytes, server: Server) -> None:
         """Note that a server has begun a request."""
         now = asyncio.get_running_loop().time()
-        self.sends.append(Send(now, body, _NODE.get(), server.name))
+        self.sends.append(Send(now, body, _current_node.get(), server.name))
 
-    def turned_away(self, body: bytes, server: Server) -> None:
+    def record_refusal(self, body: bytes, server: Server) -> None:
         """Note that a server wants no request for a while."""
         now = asyncio.get_running_loop().time()
-        self.away.append(Send(now, body, _NODE.get(), server.name))
+        self.refusals.append(Send(now, body, _current_node.get(), server.name))
 
     async def _connect(self, host: str, port: int, *, timeout_s: float):
         server = self._by_host.get(host)
         if server is None:
             return await self.store.connect(host, port, timeout_s=timeout_s)
-        await asyncio.sleep(_WAY_S)
+        await asyncio.sleep(_LATENCY_S)
         if not server.up:
             refused = ConnectionRefusedError("refused")
             raise http1.NoConnectionError("refused", remedy="-") from refused
-        return _Conn(self, server)
+        return _FakeConn(self, server)
 
     def ask(self, node: str, body: bytes, key: str = _KEYS[0]) -> None:
         """Send a request to a process; its answer comes to ``answers``."""
-        task = asyncio.create_task(self._carry(node, body, key))
+        task = asyncio.create_task(self._run_request(node, body, key))
         mine = self._tasks.setdefault(node, set())
         mine.add(task)
         task.add_done_callback(mine.discard)
 
-    async def _carry(self, name: str, body: bytes, key: str) -> Answer:
+    async def _run_request(self, name: str, body: bytes, key: str) -> Answer:
         clock = virtual_time.LoopClock()
-        _NODE.set(name)
+        _current_node.set(name)
         node = self.nodes[name]
         headers = [
             (b"host", b"h"),
@@ -339,17 +339,19 @@
             clock=clock,
             rng=self.rng,
         )
-        await runner.handle(_Exchange(answer), req)
+        await runner.handle(_RecordedExchange(answer), req)
         self.answers.append(answer)
         return answer
 
-    async def _come_back(self, name: str, body: bytes, key: str) -> None:
+    async def _send_until_served(
+        self, name: str, body: bytes, key: str
+    ) -> None:
         """Send an ordinary request again until it is served."""
-        for _ in range(_TRIES):
-            answer = await self._carry(name, body, key)
+        for _ in range(_MAX_TRIES):
+            answer = await self._run_request(name, body, key)
             if answer.status == http.HTTPStatus.OK:
                 return
-            await asyncio.sleep(self.rng.uniform(*_BACK_AFTER_S))
+            await asyncio.sleep(self.rng.uniform(*_RETRY_DELAY_RANGE_S))
             name = self.rng.choice(list(self.nodes))
 
     async def ordinary_load(self, per_s: float) -> None:
@@ -359,7 +361,7 @@
             name = self.rng.choice(list(self.nodes))
             key = self.rng.choice(_KEYS)
             task = asyncio.create_task(
-                self._come_back(name, b"ordinary %d" % num, key)
+                self._send_until_served(name, b"ordinary %d" % num, key)
             )
             self._ordinary.add(task)
             task.add_done_callback(self._ordinary.discard)
@@ -373,7 +375,7 @@
         finally:
             task.cancel()
 
-    def ends_of(
+    def crash_times(
         self, body: bytes, *, leave_out: Collection[str] = ()
     ) -> list[float]:
         """Return when servers ended under a request, first one first.
@@ -385,16 +387,16 @@
             for one in self.sends
             if one.body == body and one.node not in leave_out
         }
-        return [at for at, name in self.ends_at if name in ran]
+        return [at for at, name in self.crashes if name in ran]
 
-    def sends_after_third(
+    def sends_after_third_crash(
         self, body: bytes, *, leave_out: Collection[str] = ()
     ) -> int:
         """Return its sends later than the bound after its third end.
 
         :param leave_out: processes whose sends do not count.
         """
-        ends = self.ends_of(body, leave_out=leave_out)
+        ends = self.crash_times(body, leave_out=leave_out)
         if len(ends) < 3:
             return 0
         contact: datetime.timedelta = edge_rig.BOUNDS.contact
