--- a/testing/crash_suspects/test_fingerprint.py
+++ b/testing/crash_suspects/test_fingerprint.py
@@ -34,12 +34,12 @@
     ],
     ids=lambda change: next(iter(change)),
 )
-def test_anything_else_is_another_request(change):
+def test_any_changed_field_changes_the_fingerprint(change):
     other = dataclasses.replace(REQUEST, **change)
     assert other.fingerprint() != REQUEST.fingerprint()
 
 
-def test_nothing_moves_between_the_parts():
+def test_bytes_moved_between_fields_change_the_fingerprint():
     one = dataclasses.replace(REQUEST, target=b"/ab", body=b"c")
     two = dataclasses.replace(REQUEST, target=b"/a", body=b"bc")
     assert one.fingerprint() != two.fingerprint()
--- a/testing/crash_suspects/test_registry.py
+++ b/testing/crash_suspects/test_registry.py
@@ -47,17 +47,17 @@
         registry.record_crash(request, one, one.crashed_at)
 
 
-def test_nothing_is_held_against_who_was_nowhere(registry):
+def test_request_that_ran_on_no_crashed_server_is_not_suspect(registry):
     _note(registry, A, crash("s1", 1))
     assert _status(registry, B) is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
-def test_one_end_makes_suspect(registry):
+def test_one_crash_makes_suspect(registry):
     _note(registry, A, crash("s1", 1))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_two_ends_are_enough_where_nobody_else_was_at_both(registry):
+def test_two_crashes_suffice_where_no_other_request_ran_at_both(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 1.1))
     _note(registry, B, crash("s1", 1))
     _note(registry, C, crash("s2", 1.1))
@@ -65,7 +65,7 @@
     assert _status(registry, B) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_who_was_at_both_is_tried_once_more(registry):
+def test_requests_that_ran_at_both_crashes_are_tried_once_more(registry):
     for request in (A, B):
         _note(registry, request, crash("s1", 1), crash("s2", 5))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
@@ -74,7 +74,7 @@
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-def test_two_ends_of_a_rack_that_went_dark_are_not_enough(registry):
+def test_two_crashes_in_a_rack_outage_are_not_enough(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 5))
     _note(registry, B, crash("s3", 5.4))
     registry.record_completion(B, at(6))
@@ -83,7 +83,7 @@
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-def test_three_ends_are_not_enough_while_servers_end_at_large(registry):
+def test_three_crashes_are_not_enough_while_many_servers_crash(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 2), crash("s3", 3))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
     for num in range(4):
@@ -94,7 +94,7 @@
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
-def test_two_ends_at_other_points_of_its_run_are_not_enough(registry):
+def test_two_crashes_after_different_run_times_are_not_enough(registry):
     _note(registry, A, crash("s1", 1, ran=0.1), crash("s2", 5, ran=0.3))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
@@ -111,14 +111,14 @@
     assert len(registry.counted_crashes(A, SOFTWARE, at(4))) == 2
 
 
-def test_one_server_counts_once_whoever_saw_its_end(registry):
+def test_one_server_counts_once_whoever_saw_its_crash(registry):
     for seen in (1.0, 1.2, 4.0):
         _note(registry, A, crash("s1", seen))
     assert len(registry.counted_crashes(A, SOFTWARE, at(5))) == 1
     assert registry.find(A).crashes == (crash("s1", 1.0),)
 
 
-def test_what_ran_to_its_end_is_cleared_of_all_before(registry):
+def test_completed_request_is_cleared_of_earlier_crashes(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 5))
     registry.record_completion(A, at(6))
     assert _status(registry, A) is crash_suspects.SuspectStatus.NOT_SUSPECT
@@ -128,7 +128,7 @@
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_other_software_gets_a_chance_of_its_own(registry):
+def test_other_software_version_is_judged_separately(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 5))
     new = frozenset(["v2"])
     assert (
@@ -142,7 +142,7 @@
     )
 
 
-def test_it_lapses(registry):
+def test_suspicion_expires(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 5))
     later = 5 + crash_suspects.SUSPICION_TTL.total_seconds()
     assert (
@@ -156,7 +156,7 @@
     assert not len(registry)
 
 
-def test_server_that_answers_has_not_ended(registry):
+def test_server_that_answers_has_not_crashed(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 5))
     registry.record_answer("s2", at(4.9))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
@@ -166,7 +166,7 @@
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
-def test_flood_of_other_requests_drives_out_no_proof(registry):
+def test_flood_of_other_requests_evicts_no_refused_request(registry):
     _note(registry, A, crash("s1", 1), crash("s2", 5))
     for num in range(2 * registry_lib.MAX_SUSPECTS):
         other = crash_suspects.Fingerprint(
@@ -192,7 +192,7 @@
 
 
 @given(st.lists(RECORDS, min_size=1, max_size=3))
-def test_news_mean_the_same_in_any_order_and_twice(records):
+def test_merge_is_commutative_and_idempotent(records):
     found = set()
     for order in itertools.permutations(records):
         registry = crash_suspects.SuspectRegistry()
@@ -203,7 +203,7 @@
 
 
 @given(st.lists(st.integers(0, 15), unique=True, min_size=1, max_size=6))
-def test_suspects_of_the_same_ends_are_tried_apart(nums):
+def test_suspects_of_the_same_crashes_get_different_servers(nums):
     servers = [f"s{num}" for num in range(6)]
     names = [name(num) for num in nums]
     places = [
@@ -215,7 +215,7 @@
     assert len(set(places)) == len(names)
 
 
-def test_copies_of_one_suspect_meet_at_one_server():
+def test_copies_of_one_suspect_get_the_same_server():
     servers = ["s1", "s2", "s3"]
     assert crash_suspects.assign_server(
         A, [], servers
--- a/testing/edge/test_crash_tracker.py
+++ b/testing/edge/test_crash_tracker.py
@@ -78,7 +78,7 @@
     return asyncio.run(main())
 
 
-def test_server_that_ends_counts_against_what_it_ran():
+def test_server_crash_counts_against_the_request_it_ran():
     got, one, _ = _play_crashes(1)
     assert got[0].status == 200
     # It ran to its end at the next server, and is cleared.
@@ -87,7 +87,7 @@
     assert _counted_crashes(one) == [0]
 
 
-def test_server_that_resets_and_lives_does_not():
+def test_reset_by_a_live_server_does_not_count():
     async def resets(seen, writer):
         del seen
         writer.transport.abort()
@@ -97,7 +97,7 @@
     assert one.world.endings.registry.records() == []
 
 
-def test_server_that_answers_with_a_failure_does_not():
+def test_failure_answer_does_not_count():
     failure = rig.answer(500, b"no")
     _, one = _play(rig.SAFE, failure, failure)
     assert one.world.endings.registry.records() == []
@@ -114,7 +114,7 @@
     assert _counted_crashes(one) == [2]
 
 
-def test_request_that_an_operator_has_cleared_is_not_refused():
+def test_exempt_request_is_not_refused():
     got, _, servers = _play_crashes(2, times=2, exempt=True)
     assert [one.status for one in got] == [502, 200]
     assert len(servers.answered) == 1
--- a/testing/edge/test_crashing_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -98,7 +98,7 @@
     ]
 
 
-def test_request_that_ends_servers_is_stopped(monkeypatch):
+def test_request_that_crashes_servers_is_stopped(monkeypatch):
     crashes = {}
     late = {}
     for play in itertools.product((1, 2), (0.2, 1.0, 3.0), (2, 4)):
@@ -109,7 +109,7 @@
     assert not any(late.values()), late
 
 
-def test_who_ran_beside_it_is_not_refused(monkeypatch):
+def test_requests_running_beside_it_are_not_refused(monkeypatch):
     for seed in (3, 4, 5):
         fleet = _run_resends(monkeypatch, seed, 1.0, 4)
         assert _refused_innocents(fleet) == []
@@ -163,7 +163,7 @@
 PAIR_NEEDING_FOUR_CRASHES = 66
 
 
-def test_any_two_faults_at_the_moment_of_an_end(monkeypatch):
+def test_any_two_faults_at_the_moment_of_a_crash(monkeypatch):
     """Whoever is not cut off sends it to no more than three servers.
 
     A process that is cut off finds out by itself, and one that is killed
@@ -223,7 +223,7 @@
     assert len(fleet.crash_times(CRASHING_BODY)) <= 6
 
 
-def test_copies_at_all_processes_at_once_end_one_server_more(monkeypatch):
+def test_copies_at_all_processes_at_once_crash_one_server_more(monkeypatch):
     """What nobody has heard of ends a server each; then one for all."""
 
     async def scenario(fleet: crash_rig.Fleet) -> None:
@@ -250,7 +250,7 @@
         assert len(fleet.crash_times(CRASHING_BODY)) <= 3
 
 
-def test_what_many_send_is_not_refused_when_all_servers_end(monkeypatch):
+def test_popular_request_is_not_refused_when_all_servers_crash(monkeypatch):
     """Copies of one request run everywhere, and every server ends at once."""
     popular = b"what many send"
 
@@ -271,7 +271,7 @@
 
 
 @pytest.mark.parametrize(("gap_s", "most"), [(1.0, 1), (4.0, 4), (6.0, 10)])
-def test_servers_that_end_by_themselves_get_nobody_refused(
+def test_unrelated_server_crashes_get_no_request_refused(
     monkeypatch, gap_s, most
 ):
     for seed in (1, 2):
--- a/testing/edge/test_retry_policy.py
+++ b/testing/edge/test_retry_policy.py
@@ -44,7 +44,7 @@
 
 
 @given(EVENTS, st.integers(1, 4))
-def test_unrepeatable_goes_nowhere_once_it_may_have_run(events, attempts):
+def test_unrepeatable_is_not_retried_once_it_may_have_run(events, attempts):
     _, _, used = _play(events, repeatable=False, attempts=attempts)
     proved = (
         retry_policy.AttemptOutcome.NOT_RUN,
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("event", list(retry_policy.AttemptOutcome))
-def test_answer_that_has_begun_is_cut_and_never_replaced(event):
+def test_started_answer_is_aborted_and_never_replaced(event):
     state = retry_policy.RequestState(
         repeatable=True,
         max_attempts=2,
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -78,7 +78,7 @@
     return asyncio.run(main())
 
 
-def test_server_that_asks_for_rest_gets_nothing_until_it_is_over():
+def test_server_gets_no_request_during_its_backoff():
     async def act(rig, clock):
         for _ in range(5):
             assert (await rig.ask()).status == 200
@@ -175,7 +175,7 @@
     assert max(few) < MAX_REFUSED_RATIO, refused
 
 
-def test_request_that_waits_for_its_connection_is_not_sent_into_a_rest():
+def test_request_waiting_for_its_connection_is_not_sent_during_a_backoff():
     async def act(rig, clock):
         del clock
         first = rig.backends[0]
@@ -198,7 +198,7 @@
     assert BACKOFF_S - 0.1 < float(got.headers[b"retry-after"]) < BACKOFF_S + 1
 
 
-def test_caller_is_told_when_the_first_server_has_rested():
+def test_caller_is_told_when_the_first_backoff_ends():
     away = edge_rig.answer(
         503, b"", b"Not-Executed: 1", b"Retry-After: 2.5", seal=False
     )
@@ -233,24 +233,24 @@
         pytest.param(b"", None, id="empty"),
     ],
 )
-def test_rest_is_read_as_seconds(value, rest_s):
+def test_retry_after_is_read_as_seconds(value, rest_s):
     head = platform.read_answer_head(503, [(b"retry-after", value)])
     assert head.rest == (rest_s and datetime.timedelta(seconds=rest_s))
 
 
 @pytest.mark.parametrize("status", [200, 202, 302, 404, 421])
-def test_who_could_serve_does_not_ask_for_rest(status):
+def test_retry_after_is_ignored_for_other_statuses(status):
     headers = [(b"retry-after", b"3")]
     assert platform.read_answer_head(status, headers).rest is None
 
 
 @pytest.mark.parametrize("status", [429, 500, 503, 504])
-def test_longest_of_several_rests_counts(status):
+def test_longest_of_several_retry_after_headers_counts(status):
     told = [(b"retry-after", one) for one in (b"1", b"soon", b"4", b"2")]
     assert platform.read_answer_head(status, told).rest == 4 * SECOND
 
 
-def test_shorter_rest_does_not_end_a_longer_one(manual_clock):
+def test_shorter_backoff_does_not_end_a_longer_one(manual_clock):
     backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
     backoffs.start(KEY, BACKOFF)
     backoffs.start(KEY, A_MOMENT)
@@ -262,7 +262,7 @@
     assert backoffs.time_left([KEY]) is None
 
 
-def test_server_on_trial_whose_caller_leaves_is_tried_again():
+def test_server_on_probation_is_probed_again_after_its_caller_leaves():
     async def act(rig, clock):
         # Turned away and rested; the trial's caller leaves before its answer.
         health = rig.world.loads.health(KEY)
@@ -286,7 +286,7 @@
 @pytest.mark.parametrize(
     "state", ["ready", "draining"], ids=["list-is-old", "list-knows"]
 )
-def test_what_the_list_says_does_not_undo_that_a_server_leaves(state):
+def test_backend_list_does_not_undo_that_a_server_leaves(state):
     drain = edge_rig.BOUNDS.drain
 
     async def act(rig, clock):
@@ -320,7 +320,7 @@
     assert _play([[SAYS_LEAVING] * 3], act) == (503, 2)
 
 
-def test_answer_of_another_life_tells_nothing_of_this_one():
+def test_leaving_header_of_another_incarnation_is_ignored():
     moved = edge_rig.answer(
         421, b"", b"Not-Executed: 1", b"Server-Leaving: 1", seal=False
     )
@@ -348,7 +348,7 @@
         ),
     ],
 )
-def test_whatever_answer_asks_for_rest_it_is_given(script):
+def test_any_failure_answer_can_start_a_backoff(script):
     async def act(rig, clock):
         for _ in range(6):
             await rig.ask()
@@ -376,13 +376,13 @@
     assert _play([[both]], act)
 
 
-def test_new_life_owes_nothing_of_the_old_one(manual_clock):
+def test_new_incarnation_does_not_inherit_the_backoff(manual_clock):
     backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
     backoffs.start(desired.BackendKey("i-0 1"), BACKOFF)
     assert not backoffs.is_active(desired.BackendKey("i-0 2"))
 
 
-def test_urgent_messages_in_a_rest_are_two(manual_clock):
+def test_two_urgent_messages_are_allowed_during_a_backoff(manual_clock):
     backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
     assert all(backoffs.take_urgent_allowance(KEY) for _ in range(9))
     backoffs.start(KEY, BACKOFF)
@@ -397,7 +397,7 @@
     assert backoffs.take_urgent_allowance(KEY)
 
 
-def test_first_server_that_has_rested_gets_one_request_at_first():
+def test_server_gets_one_probe_after_its_backoff():
     async def act(rig, clock):
         await rig.ask()
         clock.advance(BACKOFF)
@@ -454,7 +454,9 @@
     return virtual_time.run(main())
 
 
-def test_rest_at_one_server_is_none_at_each_by_turns(monkeypatch):
+def test_backoffs_of_single_servers_do_not_lower_the_number_served(
+    monkeypatch,
+):
     served = {}
     for seed, rest_s in itertools.product((1, 2, 3), (None, 1.0)):
         fleet = _overload_waves(monkeypatch, seed, rest_s)
--- a/testing/edge/test_unreported_requests.py
+++ b/testing/edge/test_unreported_requests.py
@@ -105,14 +105,14 @@
     assert typical < most * mean
 
 
-def test_nothing_is_unseen_after_a_rest():
+def test_nothing_is_unreported_after_an_idle_second():
     fleet = _Fleet(6, 40.0, 1)
     fleet.run(1500)
     fleet.clock.advance(datetime.timedelta(seconds=1))
     assert fleet.loads.unreported_requests(SERVICE) < 0.01
 
 
-def test_peer_that_was_silent_has_not_begun_all_that_it_has():
+def test_requests_of_a_silent_peer_do_not_count_as_new():
     clock = clock_lib.ManualClock()
     loads = backend_loads_lib.BackendLoads(clock, service_of=lambda _: SERVICE)
     loads.record_peer_requests("n2", {KEY: 1})
--- a/testing/membership/test_duty_holders.py
+++ b/testing/membership/test_duty_holders.py
@@ -36,7 +36,7 @@
     assert (holding.node, holding.token) == ("e1", 1)
 
 
-def test_claim_on_top_of_the_holders_takes_over_with_a_higher_fence() -> None:
+def test_claim_on_top_of_the_holders_takes_over_with_a_higher_token() -> None:
     holding = duty_holders(claim("e1", 0), claim("e2", 1)).holder(DUTY)
     assert holding is not None
     assert (holding.node, holding.token) == ("e2", 2)
--- a/testing/routing/test_health.py
+++ b/testing/routing/test_health.py
@@ -6,7 +6,7 @@
 from lugcross.routing import health
 
 
-def test_server_that_turns_away_is_left_alone_for_longer_each_time():
+def test_refusal_pause_doubles_up_to_its_maximum():
     one = health.BackendHealth()
     now = datetime.timedelta()
     pauses = []
@@ -27,7 +27,7 @@
     assert not one.is_ejected(now + health.FIRST_REFUSAL_PAUSE)
 
 
-def test_server_that_begins_to_answer_after_a_rest_gets_others_at_once():
+def test_probe_after_backoff_ends_when_the_answer_starts():
     one = health.BackendHealth()
     now = datetime.timedelta()
     one.record_backoff(now)
@@ -39,7 +39,7 @@
     assert not one.on_probation
 
 
-def test_server_ejected_for_faults_is_on_trial_until_an_answer_ends():
+def test_server_ejected_for_faults_is_on_probation_until_an_answer_completes():
     one = health.BackendHealth()
     now = datetime.timedelta()
     for _ in range(health.FAULTS_TO_EJECT):
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -97,7 +97,7 @@
     assert "f0" in links("e", near + far, 24)
 
 
-def test_key_moves_only_when_its_own_home_goes() -> None:
+def test_key_moves_only_when_its_first_backend_is_removed() -> None:
     names = [ids.BackendName(f"b{num}") for num in range(20)]
     for num in range(200):
         home = routing.rendezvous_first(f"key{num}", names)
@@ -106,7 +106,7 @@
         assert after == home or home == "b7"
 
 
-def test_retries_stay_a_part_of_the_requests() -> None:
+def test_retries_stay_within_the_ratio_of_requests() -> None:
     budget = routing.RetryBudget(ratio=0.1, max_saved=5.0)
     spent = 0
     for _ in range(1000):
@@ -148,7 +148,7 @@
     assert not health.is_ejected(seconds(0))
 
 
-def test_one_probe_decides_about_the_return() -> None:
+def test_one_probe_decides_whether_ejection_ends() -> None:
     health = failing(3)
     later = seconds(2)
     assert not health.is_ejected(later)
@@ -162,7 +162,7 @@
     assert not health.is_ejected(seconds(4.1))
 
 
-def test_probe_that_tells_nothing_lets_another_through() -> None:
+def test_probe_without_result_lets_another_through() -> None:
     health = failing(3)
     health.record_sent(seconds(2))
     health.record_no_result()
--- a/testing/routing/test_windowed_retry_budget.py
+++ b/testing/routing/test_windowed_retry_budget.py
@@ -17,7 +17,7 @@
         st.tuples(st.floats(0, 2), st.booleans()), min_size=1, max_size=300
     )
 )
-def test_repeats_of_any_window_stay_within_the_ratio(steps):
+def test_retries_of_any_window_stay_within_the_ratio(steps):
     budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     now = 0.0
     asked: list[float] = []
@@ -50,7 +50,7 @@
     return sum(1 for time in asked if now - time <= windows * WINDOW_S)
 
 
-def test_requests_may_leave_the_window_after_its_last_repeat():
+def test_requests_may_leave_the_window_after_its_last_retry():
     # At 9 s the second repeat is allowed by seven requests; at 11 s the
     # window still holds both repeats, and two of the requests.
     budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
@@ -62,7 +62,7 @@
     assert not budget.try_spend(datetime.timedelta(seconds=11))
 
 
-def test_budget_is_there_again_once_its_window_has_passed():
+def test_budget_is_available_again_after_its_window():
     budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     assert budget.try_spend(datetime.timedelta())
     assert not budget.try_spend(datetime.timedelta(seconds=5))
@@ -83,7 +83,7 @@
     assert 8 < spent <= 80
 
 
-def test_process_that_knows_no_peers_leaves_the_slack_alone():
+def test_process_without_known_peers_uses_no_slack():
     budget = routing.WindowedRetryBudget(
         ratio=RATIO, window_s=WINDOW_S, slack=80
     )
@@ -91,7 +91,7 @@
     assert sum(budget.try_spend(now) for _ in range(100)) == 1
 
 
-def test_refused_requests_leave_repeats_for_broken_answers():
+def test_refused_requests_leave_retries_for_broken_answers():
     budget = routing.WindowedRetryBudget(
         ratio=RATIO, window_s=WINDOW_S, slack=80
     )
--- a/testing/shares/test_fair_queue.py
+++ b/testing/shares/test_fair_queue.py
@@ -36,7 +36,7 @@
     return got
 
 
-def test_rival_with_longer_requests_gets_no_more_than_its_share(
+def test_group_with_longer_requests_gets_no_more_than_its_share(
     queue: shares.FairQueue,
 ) -> None:
     for num in range(400):
@@ -68,7 +68,7 @@
     assert len(quiet) == 10
 
 
-def test_group_that_wakes_gets_no_credit_for_its_idle_time(
+def test_group_gets_no_credit_for_its_idle_time(
     queue: shares.FairQueue,
 ) -> None:
     for num in range(100):
