--- a/bench/admission.py
+++ b/bench/admission.py
@@ -16,7 +16,7 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import world as world_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross import ids
 from lugcross import platform
 
@@ -28,10 +28,14 @@
 SERVICE = ids.ServiceName("s")
 
 
-def _world(peers: int, servers: int, rng: random.Random) -> world_lib.World:
+def _edge_state(
+    peers: int, servers: int, rng: random.Random
+) -> edge_state_lib.EdgeState:
     clock = clock_lib.ManualClock()
     clock.advance(datetime.timedelta(seconds=60))
-    world = world_lib.World(edge_cfg.settings(), clock=clock, rng=rng)
+    edge_state = edge_state_lib.EdgeState(
+        edge_cfg.settings(), clock=clock, rng=rng
+    )
     rows = tuple(
         platform.KeyedRecord(
             ids.Offset(num),
@@ -43,28 +47,30 @@
         for num in range(servers)
     )
     tail = platform.Tail(end=ids.Offset(servers), records=rows)
-    world.backends.apply(tail, store_was_away=False)
+    edge_state.backends.apply(tail, store_was_away=False)
     keys = [desired.BackendKey(row.key) for row in rows]
     for num in range(peers):
-        world.loads.peer_told(f"n{num}", dict.fromkeys(rng.sample(keys, 5), 1))
-    return world
+        edge_state.loads.peer_told(
+            f"n{num}", dict.fromkeys(rng.sample(keys, 5), 1)
+        )
+    return edge_state
 
 
-def _admit(world: world_lib.World) -> None:
+def _admit(edge_state: edge_state_lib.EdgeState) -> None:
     """Look up what one request asks for."""
-    found = world.choose(SERVICE, ())
+    found = edge_state.choose(SERVICE, ())
     assert found is not None
-    world.picture(SERVICE, least=found.least)
+    edge_state.picture(SERVICE, least=found.least)
 
 
 def _measure(peers: int, servers: int) -> float:
     """Return the milliseconds of one request."""
-    world = _world(peers, servers, random.Random(1))
+    edge_state = _edge_state(peers, servers, random.Random(1))
     best = float("inf")
     for _ in range(ROUNDS):
         begun = time.perf_counter()
         for _ in range(REQUESTS):
-            _admit(world)
+            _admit(edge_state)
         best = min(best, time.perf_counter() - begun)
     return best / REQUESTS * 1000.0
 
--- a/bench/news.py
+++ b/bench/news.py
@@ -16,9 +16,9 @@
 import edge_cfg
 
 from lugcross import clock as clock_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
-from lugcross.edge import world as world_lib
 
 #: Processes and failure domains: the users' small, large and target fleets.
 SIZES = ((15, 5), (98, 5), (400, 12))
@@ -41,9 +41,9 @@
     cfg = edge_cfg.settings()
     clock = clock_lib.ManualClock()
     clock.advance(datetime.timedelta(seconds=60))
-    world = world_lib.World(cfg, clock=clock, rng=rng)
+    edge_state = edge_state_lib.EdgeState(cfg, clock=clock, rng=rng)
     known = knowledge_lib.Knowledge(
-        cfg, world, _Nowhere(), clock=clock, rng=random.Random(1)
+        cfg, edge_state, _Nowhere(), clock=clock, rng=random.Random(1)
     )
     known.peers.connection_made(_Nowhere())
     return known
--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """A fleet of processes that admit requests of rival workspaces, by hand.
 
-Each process has its own world and hears of the others only by their news,
+Each process has its own edge state and hears of the others only by their news,
 which come late, rarely or never. Time is moved by hand; requests come at
 random from one seed, hold their server for a while and end.
 """
@@ -18,7 +18,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import world as world_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross import ids
 from lugcross import platform
 
@@ -90,7 +90,9 @@
         self.rng = random.Random(seed)
         self.clock = clock_lib.ManualClock()
         self.by_workspace = by_workspace
-        self.worlds = [self._world(num, servers) for num in range(processes)]
+        self.edge_states = [
+            self._edge_state(num, servers) for num in range(processes)
+        ]
         self.asked: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
@@ -105,8 +107,8 @@
         self._due: list[tuple[float, int, tuple[object, ...]]] = []
         self._now = 0.0
 
-    def _world(self, num: int, servers: int) -> world_lib.World:
-        world = world_lib.World(
+    def _edge_state(self, num: int, servers: int) -> edge_state_lib.EdgeState:
+        edge_state = edge_state_lib.EdgeState(
             edge_cfg.settings(),
             clock=self.clock,
             rng=random.Random(f"{num}"),
@@ -115,7 +117,7 @@
             f"key-{name}": desired.Workspace(name=ids.WorkspaceName(name))
             for name in self.load.rates
         }
-        world.adopt(
+        edge_state.adopt(
             desired.Desired(
                 version=1,
                 routes={"h": (ROUTE,)},
@@ -137,8 +139,8 @@
             for one in range(servers)
         )
         tail = platform.Tail(end=ids.Offset(servers), records=rows)
-        world.backends.apply(tail, store_was_away=False)
-        return world
+        edge_state.backends.apply(tail, store_was_away=False)
+        return edge_state
 
     def _at(self, when: float, *what: object) -> None:
         heapq.heappush(self._due, (when, next(self._order), what))
@@ -148,7 +150,7 @@
         for name in self.load.rates:
             self._at(self._gap(name, 0.0), "ask", name)
         if self.news.gap_s:
-            for num in range(len(self.worlds)):
+            for num in range(len(self.edge_states)):
                 self._at(self.rng.random() * self.news.gap_s, "tell", num)
         while self._due and self._due[0][0] < seconds:
             when, _, what = heapq.heappop(self._due)
@@ -173,44 +175,49 @@
         if self.rng.random() >= usual:
             return
         self.asked[name, int(now)] += 1
-        world = self.rng.choice(self.worlds)
-        key = self._admitted(world, name)
+        edge_state = self.rng.choice(self.edge_states)
+        key = self._admitted(edge_state, name)
         if key is None:
             return
         self.served[name, int(now)] += 1
-        world.loads.started(key)
-        world.uses.began(SERVICE, ids.WorkspaceName(name))
+        edge_state.loads.started(key)
+        edge_state.uses.began(SERVICE, ids.WorkspaceName(name))
         self.busy += 1
         self.most_busy = max(self.most_busy, self.busy)
         life = LIFE_S * self.rng.uniform(0.5, 1.5)
-        self._at(now + life, "end", world, name, key)
+        self._at(now + life, "end", edge_state, name, key)
 
     def _admitted(
-        self, world: world_lib.World, name: str
+        self, edge_state: edge_state_lib.EdgeState, name: str
     ) -> desired.BackendKey | None:
-        found = world.choose(SERVICE, ())
+        found = edge_state.choose(SERVICE, ())
         if found is None:
             return None
-        picture = world.picture(SERVICE, least=found.least)
+        picture = edge_state.picture(SERVICE, least=found.least)
         space = desired.Workspace(name=ids.WorkspaceName(name))
-        asking = world.asking(ROUTE, SERVICE, space)
+        asking = edge_state.asking(ROUTE, SERVICE, space)
         if not self.by_workspace:
             asking = admission.Asking()
         verdict = admission.admit(picture, FULL, asking)
         return found.best.backend.key if verdict is None else None
 
     def _end(
-        self, world: world_lib.World, name: str, key: desired.BackendKey
+        self,
+        edge_state: edge_state_lib.EdgeState,
+        name: str,
+        key: desired.BackendKey,
     ) -> None:
-        world.loads.ended(key)
-        world.uses.ended(SERVICE, ids.WorkspaceName(name))
+        edge_state.loads.ended(key)
+        edge_state.uses.ended(SERVICE, ids.WorkspaceName(name))
         self.busy -= 1
 
     def _tell(self, num: int) -> None:
-        world = self.worlds[num]
+        edge_state = self.edge_states[num]
         self._at(self._now + self.news.gap_s, "tell", num)
         when = self._now + self.news.way_s
-        self._at(when, "heard", num, world.loads.own(), world.uses.own())
+        self._at(
+            when, "heard", num, edge_state.loads.own(), edge_state.uses.own()
+        )
 
     def _heard(
         self,
@@ -218,10 +225,10 @@
         running: dict[desired.BackendKey, int],
         uses: dict[int, int],
     ) -> None:
-        for other, world in enumerate(self.worlds):
+        for other, edge_state in enumerate(self.edge_states):
             if other != num:
-                world.loads.peer_told(f"n{num}", running)
-                world.uses.peer_told(f"n{num}", uses)
+                edge_state.loads.peer_told(f"n{num}", running)
+                edge_state.uses.peer_told(f"n{num}", uses)
 
     def share_served(self, names: set[str], since: int, until: int) -> float:
         """Return the share of some workspaces' requests that was served."""
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -29,8 +29,8 @@
 
 from lugcross import clock as clock_lib  # noqa: E402
 from lugcross.edge import casenews  # noqa: E402
+from lugcross.edge import edge_state as edge_state_lib  # noqa: E402
 from lugcross.edge import messages  # noqa: E402
-from lugcross.edge import world as world_lib  # noqa: E402
 from lugcross import suspects  # noqa: E402
 from lugcross.suspects import ledger as ledger_lib  # noqa: E402
 
@@ -56,8 +56,8 @@
     return True
 
 
-def _anywhere(world: world_lib.World, plan, tried):
-    return world.choose(plan.service, tried)
+def _anywhere(edge_state: edge_state_lib.EdgeState, plan, tried):
+    return edge_state.choose(plan.service, tried)
 
 
 def _no_ledger(*args: object) -> bool:
@@ -70,14 +70,16 @@
     "as it was": [(ledger_lib.Ledger, "merge", _no_ledger)],
     "refuse after 3": [
         (ledger_lib.Ledger, "_tells_apart", _never),
-        (world_lib.World, "choose_apart", _anywhere),
+        (edge_state_lib.EdgeState, "choose_apart", _anywhere),
     ],
     "refuse after 2": [
         (ledger_lib, "MOST", 2),
         (ledger_lib, "MOST_AT_LARGE", 2),
-        (world_lib.World, "choose_apart", _anywhere),
+        (edge_state_lib.EdgeState, "choose_apart", _anywhere),
+    ],
+    "2 if sure, anywhere": [
+        (edge_state_lib.EdgeState, "choose_apart", _anywhere)
     ],
-    "2 if sure, anywhere": [(world_lib.World, "choose_apart", _anywhere)],
     "3, suspects apart": [(ledger_lib.Ledger, "_tells_apart", _never)],
     "2 if sure, apart": [],
 }
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -17,6 +17,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import duty as duty_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import engines as engines_lib
 from lugcross.edge import figures as figures_lib
 from lugcross.edge import knowledge as knowledge_lib
@@ -25,7 +26,6 @@
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import sources
-from lugcross.edge import world as world_lib
 from lugcross import errors
 from lugcross import experts
 from lugcross import http1
@@ -75,43 +75,45 @@
         self._file = file
         self._read_at = _changed_at(file) if file else 0
         rng = random.Random()
-        self.world = world_lib.World(settings, clock=clock, rng=rng)
+        self.edge_state = edge_state_lib.EdgeState(
+            settings, clock=clock, rng=rng
+        )
         self._store = platform.StoreClient(
             settings.store.address, timeout=STORE_TIMEOUT
         )
         self.knowledge = knowledge_lib.Knowledge(
-            settings, self.world, self._store, clock=clock, rng=rng
+            settings, self.edge_state, self._store, clock=clock, rng=rng
         )
         self._runner = runner_lib.Runner(
-            self.world,
+            self.edge_state,
             closed=self._closed,
             changed=self.knowledge.peers.changed,
             clock=clock,
             rng=rng,
         )
-        pool = self.world.pool
+        pool = self.edge_state.pool
         reports = engines_lib.Caller(
             pool,
             answer_s=engines_lib.REPORT_S,
-            heard=self.world.heard,
-            may_send=self.world.rests.may_ask,
+            heard=self.edge_state.heard,
+            may_send=self.edge_state.rests.may_ask,
         )
         orders = engines_lib.Caller(
             pool,
             answer_s=engines_lib.ORDER_S,
-            heard=self.world.heard,
-            may_send=self.world.rests.may_disturb,
+            heard=self.edge_state.heard,
+            may_send=self.edge_state.rests.may_disturb,
         )
         urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
         self._duty = duty_lib.Duty(
             experts.Lease(self.knowledge.incarnation, clock),
             self._store,
             self.knowledge,
-            fenced=lambda: self.world.bounds.fenced,
+            fenced=lambda: self.edge_state.bounds.fenced,
             changed=urgent,
         )
         self._maps = maps_lib.Maps(
-            self.world,
+            self.edge_state,
             platform.Engines(reports.exchange, orders.exchange),
             clock=clock,
             sleep=asyncio.sleep,
@@ -170,22 +172,22 @@
                 task.cancel()
             self.knowledge.close()
             self._store.close()
-            self.world.pool.close()
+            self.edge_state.pool.close()
             logging.info("stopped")
 
     def unready(self) -> str:
         """Return why no new connections should come here, or nothing."""
         if self._leaving_since is not None:
             return "this process is being stopped"
-        if self.world.desired is None:
+        if self.edge_state.desired is None:
             return "no desired state is known yet"
-        if not self.world.backends.all():
+        if not self.edge_state.backends.all():
             return "no backend server is known yet"
         return ""
 
     def _loops(self) -> list[Coroutine[Any, Any, None]]:
         known = self.knowledge
-        followers = sources.followers(self._store, self.world, known)
+        followers = sources.followers(self._store, self.edge_state, known)
         return [
             *(follower.run() for follower in followers),
             known.run(),
@@ -221,22 +223,22 @@
     async def _serve_metrics(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        age = self.world.backends.age()
-        state = self.world.desired
-        self.world.figures.now(
+        age = self.edge_state.backends.age()
+        state = self.edge_state.desired
+        self.edge_state.figures.now(
             desired_version=state.version if state else 0,
-            backends=len(self.world.backends.all()),
+            backends=len(self.edge_state.backends.all()),
             backends_age_seconds=min(age.total_seconds(), _AGE_MOST_S),
             store_lost=float(self.knowledge.trouble.now),
             peers=len(self.knowledge.peers.live()),
             connections=len(self._conns),
-            suspects=len(self.world.endings.ledger),
+            suspects=len(self.edge_state.endings.ledger),
         )
-        self.world.figures.running(self.world.uses.by_service())
+        self.edge_state.figures.running(self.edge_state.uses.by_service())
         give = functools.partial(
             figures_lib.give,
-            self.world.figures,
-            listing=self.world.endings.listing,
+            self.edge_state.figures,
+            listing=self.edge_state.endings.listing,
         )
         await self._serve_inner(reader, writer, give)
 
@@ -258,7 +260,7 @@
         await conn.run()
 
     def _limits(self) -> desired.Limits:
-        state = self.world.desired
+        state = self.edge_state.desired
         return state.limits if state else _FIRST_LIMITS
 
     def _closed(self) -> bool:
@@ -269,7 +271,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_S)
-            self.world.sweep()
+            self.edge_state.sweep()
             self.look_at_file()
 
     async def _drain(self) -> None:
@@ -277,7 +279,7 @@
         begun = self._clock.monotonic()
         self._leaving_since = begun
         self.knowledge.leave()
-        end = begun + self.world.bounds.grace * _GRACE_PART
+        end = begun + self.edge_state.bounds.grace * _GRACE_PART
         while self._clock.monotonic() < end:
             if self._closed():
                 for conn in list(self._conns):
@@ -309,7 +311,7 @@
         except errors.SettingsError as exc:
             logging.error("settings kept out", extra={"why": str(exc)})
             return
-        self.world.allow(settings)
+        self.edge_state.allow(settings)
         self._maps.cfg = settings.maps
         logging.info("settings read anew")
 
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -11,10 +11,10 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import events
 from lugcross.edge import lifecycle
 from lugcross.edge import plan as plan_lib
-from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import platform
 from lugcross import routing
@@ -109,7 +109,7 @@
 
     def __init__(
         self,
-        world: world_lib.World,
+        edge_state: edge_state_lib.EdgeState,
         clock: clock_lib.Clock,
         plan: plan_lib.Plan,
         backend: desired.Backend,
@@ -120,7 +120,7 @@
     ) -> None:
         self._again = again
         self._fresh = fresh
-        self._world = world
+        self._edge_state = edge_state
         self._clock = clock
         self._plan = plan
         self._backend = backend
@@ -137,23 +137,23 @@
 
         :raises http1.CallerGoneError: when nobody reads it.
         """
-        world = self._world
+        edge_state = self._edge_state
         plan = self._plan
-        world.loads.started(self._backend.key)
-        world.uses.began(plan.service, plan.space)
+        edge_state.loads.started(self._backend.key)
+        edge_state.uses.began(plan.service, plan.space)
         try:
             try:
                 once = not self._plan.route.repeatable
-                conn = await world.pool.take(
+                conn = await edge_state.pool.take(
                     self._backend, once=once, fresh=self._fresh
                 )
             except http1.NoConnectionError as exc:
                 self._failed(str(exc))
                 return lifecycle.Event.UNREACHED
-            if world.rests.rests(self._backend.key):
+            if edge_state.rests.rests(self._backend.key):
                 # It has asked while this one waited for its connection, for
                 # up to 0.4 s: as many as waited would reach it.
-                world.pool.give(self._backend, conn, None)
+                edge_state.pool.give(self._backend, conn, None)
                 return lifecycle.Event.UNREACHED
             return await self._use(conn)
         finally:
@@ -161,8 +161,8 @@
                 # Its caller left, or its time was over: a server on trial
                 # would be left alone for good.
                 self._health().unclear()
-            world.loads.ended(self._backend.key)
-            world.uses.ended(plan.service, plan.space)
+            edge_state.loads.ended(self._backend.key)
+            edge_state.uses.ended(plan.service, plan.space)
 
     async def _use(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         whole = False
@@ -178,7 +178,7 @@
             return lifecycle.Event.BROKEN
         finally:
             if whole:
-                self._world.pool.give(self._backend, conn, self._keep)
+                self._edge_state.pool.give(self._backend, conn, self._keep)
             else:
                 # The server notices, and stops working on the request.
                 conn.close()
@@ -203,7 +203,7 @@
     async def _receive(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         answer, head = await self._heard_answer(conn)
         self._keep = head.keep
-        self._world.heard(self._backend, head)
+        self._edge_state.heard(self._backend, head)
         if head.not_run:
             await conn.body()
             return self._not_run(head)
@@ -235,7 +235,7 @@
         if not conn.unheard() or not self._again():
             return
         self._unheard = True
-        self._world.pool.drop(self._backend.key)
+        self._edge_state.pool.drop(self._backend.key)
         conn.close()
 
     async def _own_answer(
@@ -256,13 +256,13 @@
                 },
             )
             # Late, but the same server's word about itself.
-            self._world.heard(self._backend, head)
+            self._edge_state.heard(self._backend, head)
             await conn.body()
             conn.skip_answer(self._plan.req.method)
 
     def _not_run(self, head: platform.AnswerHead) -> lifecycle.Event:
         if head.moved:
-            self._world.backends.forget(
+            self._edge_state.backends.forget(
                 self._backend.key, "another life has its address"
             )
         elif head.rest is None:
@@ -322,11 +322,11 @@
         now = self._clock.monotonic()
         limit = self._plan.route.max_gap
         if last is not None and limit is not None:
-            self._world.paused(self._backend, now - last, limit)
+            self._edge_state.paused(self._backend, now - last, limit)
         return now
 
     def _health(self) -> routing.Health:
-        return self._world.loads.health(self._backend.key)
+        return self._edge_state.loads.health(self._backend.key)
 
     def _worked(self) -> None:
         self._told = True
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/edge_state.py
@@ -61,7 +61,7 @@
 
 
 @final
-class World:
+class EdgeState:
     """Desired state, backend servers, loads, connections and budgets."""
 
     def __init__(
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -16,6 +16,7 @@
 from lugcross.edge import answers as answers_lib
 from lugcross.edge import casenews
 from lugcross.edge import casestore
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import follow
 from lugcross.edge import lag as lag_lib
 from lugcross.edge import messages
@@ -25,7 +26,6 @@
 from lugcross.edge import readers
 from lugcross.edge import registration as registration_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import errors
 from lugcross import experts
 from lugcross import ids
@@ -60,19 +60,19 @@
 
 @final
 class Knowledge:
-    """Puts what the store and the peers tell into the world."""
+    """Puts what the store and the peers tell into the edge_state."""
 
     def __init__(
         self,
         settings: settings_lib.Settings,
-        world: world_lib.World,
+        edge_state: edge_state_lib.EdgeState,
         store: platform.StoreClient,
         *,
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
         self._settings = settings
-        self._world = world
+        self._edge_state = edge_state
         self._store = store
         self._rng = rng
         self._incarnation = ids.new_token()
@@ -94,10 +94,10 @@
         self.seen_broken: Callable[[], list[desired.BackendKey]] = list
         #: Backend servers that this process knows to hold their groups back.
         self.seen_slow: Callable[[], list[desired.BackendKey]] = list
-        ledger = world.endings.ledger
+        ledger = edge_state.endings.ledger
         self._cases = casenews.CaseNews(ledger, clock)
         self._case_store = casestore.CaseStore(ledger, store, clock)
-        world.endings.found = self._case_store.keep
+        edge_state.endings.found = self._case_store.keep
         store.began = self._era_began
         #: The desired state that the store told first, until it is sure that
         #: no peer has a newer one.
@@ -120,13 +120,13 @@
         self._registration = registration_lib.Registration(
             settings, store, self.peers, clock=clock, rng=rng
         )
-        world.known_peers = self.peers.known
-        world.endings.changed = functools.partial(
+        edge_state.known_peers = self.peers.known
+        edge_state.endings.changed = functools.partial(
             self.peers.changed, urgent=True
         )
         self.news = news_lib.News(
             settings,
-            world,
+            edge_state,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
             unread=lambda: self.trouble.now or self.rests(),
@@ -181,7 +181,7 @@
         Where a lease is needed, one that the store turns away cannot get
         it, and nobody waits for it.
         """
-        leased = self._world.bounds.fenced
+        leased = self._edge_state.bounds.fenced
         age = self._clock.monotonic() - self._begun
         if age < _DUTY_AFTER and not leased:
             return False
@@ -232,19 +232,19 @@
         for record in tail.records:
             if record.key != platform.DESIRED_KEY or not record.value:
                 continue
-            if self._world.desired is None and not self._may_begin():
+            if self._edge_state.desired is None and not self._may_begin():
                 self._first_state = self._readable(record.value)
             else:
                 self._adopt(record.value, urgent=True)
 
     def take_backends(self, tail: platform.Tail, newest: bool) -> None:
         """Take over records of backend servers."""
-        contact = self._world.bounds.contact
+        contact = self._edge_state.bounds.contact
         away = self.trouble.within(contact)
         if newest:
-            self._world.backends.replace(tail, store_was_away=away)
+            self._edge_state.backends.replace(tail, store_was_away=away)
         else:
-            self._world.backends.apply(tail, store_was_away=away)
+            self._edge_state.backends.apply(tail, store_was_away=away)
         if tail.records:
             self.peers.changed()
 
@@ -267,7 +267,7 @@
         except errors.ChangeError as exc:
             logging.error("desired state kept out", extra={"why": str(exc)})
             return
-        if self._world.adopt(state, record):
+        if self._edge_state.adopt(state, record):
             self.peers.changed(urgent=urgent)
 
     def _tell(self, known: list[str]) -> messages.Beat:
@@ -278,24 +278,24 @@
             domain=self._settings.domain,
             state_port=port,
             leaving=self._leaving,
-            version=self._world.version,
-            end=self._world.backends.end,
+            version=self._edge_state.version,
+            end=self._edge_state.backends.end,
             running={
                 str(key): count
-                for key, count in self._world.loads.own().items()
+                for key, count in self._edge_state.loads.own().items()
             },
             known=known,
             since_ms=0 if self.unfit() else self._since_ms,
             broken=[str(key) for key in self.seen_broken()],
             generation=self.generation() or 0,
             reads=not self.trouble.now and self.can_claim(),
-            uses=self._world.uses.own(),
+            uses=self._edge_state.uses.own(),
             desired_ms=self._answered_ms(platform.OPERATOR_TOPIC),
             backends_ms=self._answered_ms(platform.BACKENDS_TOPIC),
             slow=[str(key) for key in self.seen_slow()],
             suspects=self._cases.tell(),
             leaving_servers=[
-                str(key) for key in self._world.backends.said_only()
+                str(key) for key in self._edge_state.backends.said_only()
             ],
         )
 
@@ -316,15 +316,15 @@
         }
         self._heard_era(positions.Position(beat.end))
         near = beat.domain == self._settings.domain
-        self._world.loads.peer_told(beat.node, running, near=near)
-        self._world.uses.peer_told(beat.node, beat.uses)
+        self._edge_state.loads.peer_told(beat.node, running, near=near)
+        self._edge_state.uses.peer_told(beat.node, beat.uses)
         broken = [desired.BackendKey(key) for key in beat.broken]
-        self._world.outages.told(beat.node, broken)
+        self._edge_state.outages.told(beat.node, broken)
         slow = [desired.BackendKey(key) for key in beat.slow]
-        self._world.slow.told(beat.node, slow)
+        self._edge_state.slow.told(beat.node, slow)
         self._cases.hear(beat.suspects)
         for name in beat.leaving_servers:
-            self._world.backends.says_it_leaves(desired.BackendKey(name))
+            self._edge_state.backends.says_it_leaves(desired.BackendKey(name))
         self.heard_generation(experts.Generation(beat.generation))
         self._lags[platform.OPERATOR_TOPIC].heard(beat.version)
         self._lags[platform.BACKENDS_TOPIC].heard(beat.end)
@@ -345,7 +345,7 @@
             return
         self._era = era
         logging.warning("store is a copy", extra={"era": era, "was": before})
-        self._world.figures.era_began()
+        self._edge_state.figures.era_began()
         since = self._clock.monotonic() - _COPY_AGE_MOST
         self._registration.again(since)
         if not self.reads_after():
@@ -368,13 +368,13 @@
         """
         while not self._may_begin():
             await asyncio.sleep(_LOOK_FIRST_S)
-        if self._first_state and self._world.desired is None:
+        if self._first_state and self._edge_state.desired is None:
             self._adopt(self._first_state, urgent=True)
 
     def _may_begin(self) -> bool:
         age = self._clock.monotonic() - self._begun
         alone = not self.peers.known()
-        if alone or self._world.desired is not None or age >= _ASK_FIRST:
+        if alone or self._edge_state.desired is not None or age >= _ASK_FIRST:
             return True
         beats = [peer.beat for peer in self.peers.live() if peer.beat]
         newest = max((beat.version for beat in beats), default=0)
@@ -388,8 +388,8 @@
     def lag(self, topic: str) -> datetime.timedelta:
         """Return since when this process knows of news that it lacks."""
         own = {
-            platform.OPERATOR_TOPIC: self._world.version,
-            platform.BACKENDS_TOPIC: int(self._world.backends.end),
+            platform.OPERATOR_TOPIC: self._edge_state.version,
+            platform.BACKENDS_TOPIC: int(self._edge_state.backends.end),
         }
         return self._lags[topic].age(own[topic])
 
--- a/src/lugcross/edge/maps.py
+++ b/src/lugcross/edge/maps.py
@@ -11,13 +11,13 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import duty as duty_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import groups as groups_lib
 from lugcross.edge import looks as looks_lib
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import sight as sight_lib
 from lugcross.edge import switches as switches_lib
 from lugcross.edge import switching
-from lugcross.edge import world as world_lib
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        world: world_lib.World,
+        edge_state: edge_state_lib.EdgeState,
         engines: platform.Engines,
         *,
         clock: clock_lib.Clock,
@@ -69,15 +69,15 @@
         self.cfg = cfg
         self._changed = changed
         self._node = node
-        self._world = world
-        world.on_pause = self._paused
+        self._edge_state = edge_state
+        edge_state.on_pause = self._paused
         self._clock = clock
         self._duty = duty
         self._sleep = sleep
         self._groups = groups_lib.Groups()
-        self._sight = sight_lib.Sight(engines, clock, world.rests)
+        self._sight = sight_lib.Sight(engines, clock, edge_state.rests)
         self._looks = looks_lib.Looks(
-            engines, self._groups, clock, world.rests
+            engines, self._groups, clock, edge_state.rests
         )
         self.switches = switches_lib.Switches(
             engines,
@@ -136,11 +136,11 @@
         self._note_duty(self._duty.mine())
         if self._had:
             await self._look_at_all()
-        self._world.outages.told(self._node, self.seen_broken())
-        self._world.slow.told(self._node, self.seen_slow())
+        self._edge_state.outages.told(self._node, self.seen_broken())
+        self._edge_state.slow.told(self._node, self.seen_slow())
 
     async def _look_at_all(self) -> None:
-        state = self._world.desired
+        state = self._edge_state.desired
         for service in state.services.values() if state else ():
             engine = service.engine
             if engine is not None and engine.experts is not None:
@@ -153,7 +153,9 @@
         limits: experts.Limits,
     ) -> None:
         backends = [
-            one for one in self._world.backends.all() if one.service == service
+            one
+            for one in self._edge_state.backends.all()
+            if one.service == service
         ]
         self._groups.keep_only(backends)
         groups = self._groups.of(service)
@@ -211,7 +213,7 @@
             "group opened" if group.is_open else "group broken",
             extra={"group": group.name, "epoch": group.epoch},
         )
-        self._world.outages.told(self._node, self.seen_broken())
+        self._edge_state.outages.told(self._node, self.seen_broken())
         self._changed()
 
     async def _plan(
--- a/src/lugcross/edge/news.py
+++ b/src/lugcross/edge/news.py
@@ -12,12 +12,12 @@
 from lugcross import address
 from lugcross import clock as clock_lib
 from lugcross.edge import catchup
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import messages
 from lugcross.edge import patches
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import questions
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import platform
 from lugcross import positions
 
@@ -42,7 +42,7 @@
     def __init__(
         self,
         settings: settings_lib.Settings,
-        world: world_lib.World,
+        edge_state: edge_state_lib.EdgeState,
         peers: peers_lib.Peers,
         *,
         adopt: Callable[[bytes], None],
@@ -51,7 +51,7 @@
         rng: random.Random,
     ) -> None:
         self._settings = settings
-        self._world = world
+        self._edge_state = edge_state
         self._peers = peers
         self._adopt = adopt
         self._unread = unread
@@ -59,18 +59,18 @@
 
     def answer(self, ask: messages.Ask) -> messages.State:
         """Return what this process knows beyond ``ask``."""
-        state = self._world.desired
+        state = self._edge_state.desired
         newer = state is not None and state.version > ask.version
-        records = self._world.records
+        records = self._edge_state.records
         whole = newer and ask.digest is None
         patch = records.patch(ask.digest) if newer and ask.digest else None
         packs = newer and ask.digest is not None and patch is None
         return messages.State(
             desired=records.newest if whole else b"",
-            end=self._world.backends.end,
+            end=self._edge_state.backends.end,
             rows=[
                 messages.Row(row.key, row.offset, row.value)
-                for row in self._world.backends.records.values()
+                for row in self._edge_state.backends.records.values()
                 if row.offset >= ask.end
             ],
             packed=records.packed() if packs else b"",
@@ -84,7 +84,7 @@
         news; peers that were told cost nothing to listen to.
         """
         await asyncio.sleep(_SEEDS_AFTER_S)
-        if self._world.desired is None:
+        if self._edge_state.desired is None:
             await self._ask_seeds()
         behind = False
         async with asyncio.TaskGroup() as tasks:
@@ -104,12 +104,12 @@
 
     def _lost(self) -> bool:
         """Tell whether there is no use in waiting for the store."""
-        old = self._world.backends.age() > _OLD
+        old = self._edge_state.backends.age() > _OLD
         return old or self._unread()
 
     def ahead(self) -> list[catchup.Ahead]:
         """Return the live peers that know more."""
-        version, end = self._world.version, self._world.backends.end
+        version, end = self._edge_state.version, self._edge_state.backends.end
         return [
             catchup.Ahead(
                 host=peer.host,
@@ -133,10 +133,12 @@
 
     async def _ask(self, host: str, port: int) -> bool:
         """Ask a peer and take over what it tells; tell whether it did."""
-        records = self._world.records
+        records = self._edge_state.records
         base = records.newest
         question = messages.Ask(
-            self._world.version, self._world.backends.end, records.digest
+            self._edge_state.version,
+            self._edge_state.backends.end,
+            records.digest,
         )
         answer = await questions.ask(host, port, question)
         if answer is None:
@@ -165,7 +167,7 @@
             for row in answer.rows
         )
         tail = platform.Tail(end=positions.Position(answer.end), records=rows)
-        self._world.backends.apply(tail, store_was_away=True)
+        self._edge_state.backends.apply(tail, store_was_away=True)
         return True
 
 
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -11,10 +11,10 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import admission
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import plan as plan_lib
 from lugcross.edge import refusal
 from lugcross.edge import sending
-from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import ids
 from lugcross import platform
@@ -24,7 +24,7 @@
 
 @final
 class Runner:
-    """Serves requests from what the process believes of the world.
+    """Serves requests from what the process believes of the edge state.
 
     :param closed: whether new requests can no longer be finished here.
     :param changed: called when requests in progress have changed.
@@ -32,14 +32,14 @@
 
     def __init__(
         self,
-        world: world_lib.World,
+        edge_state: edge_state_lib.EdgeState,
         *,
         closed: Callable[[], bool],
         changed: Callable[[], None],
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
-        self._world = world
+        self._edge_state = edge_state
         self._closed = closed
         self._changed = changed
         self._clock = clock
@@ -54,7 +54,7 @@
         try:
             plan = self._plan(req, head)
             await sending.Sending(
-                self._world,
+                self._edge_state,
                 self._clock,
                 exchange,
                 plan,
@@ -74,7 +74,7 @@
     ) -> plan_lib.Plan:
         if self._closed():
             raise refusal.not_ready("this process is being stopped")
-        state = self._world.desired
+        state = self._edge_state.desired
         if state is None:
             raise refusal.not_ready("no desired state is known yet")
         route = self._route(state, req)
@@ -129,24 +129,26 @@
         exc: refusal.RefusedError,
     ) -> None:
         service = plan.service if plan else ""
-        self._world.figures.answered(service, exc.status, None)
+        self._edge_state.figures.answered(service, exc.status, None)
         if plan is not None and plan.space is not None:
-            self._world.figures.refused(service, plan.space)
+            self._edge_state.figures.refused(service, plan.space)
         inputs: dict[str, object] = {}
         if plan is not None:
-            picture = self._world.picture(plan.service)
+            picture = self._edge_state.picture(plan.service)
             inputs = {
                 "service": plan.service,
                 "route": plan.route.name,
                 "version": plan.version,
                 "servers": picture.servers,
-                "resting": len(self._world.rests.servers()),
+                "resting": len(self._edge_state.rests.servers()),
                 "busy": picture.busy,
                 "unseen": round(picture.unseen, 1),
-                "full": round(self._world.full(plan.route, plan.service), 2),
+                "full": round(
+                    self._edge_state.full(plan.route, plan.service), 2
+                ),
                 **self._share(plan, picture),
                 "list_age_s": round(
-                    self._world.backends.age().total_seconds(), 3
+                    self._edge_state.backends.age().total_seconds(), 3
                 ),
             }
         wait = exc.retry_after
@@ -168,8 +170,10 @@
         """Return for a log line what the request's workspace may have."""
         if plan.space is None:
             return {}
-        claim = self._world.uses.claim(plan.service, plan.space)
-        places = self._world.full(plan.route, plan.service) * picture.servers
+        claim = self._edge_state.uses.claim(plan.service, plan.space)
+        places = (
+            self._edge_state.full(plan.route, plan.service) * picture.servers
+        )
         return {
             "workspace": plan.space,
             "use": claim.use,
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -15,10 +15,10 @@
 from lugcross.edge import admission
 from lugcross.edge import attempt as attempt_lib
 from lugcross.edge import choice
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import lifecycle
 from lugcross.edge import plan as plan_lib
 from lugcross.edge import refusal
-from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import suspects
 
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        world: world_lib.World,
+        edge_state: edge_state_lib.EdgeState,
         clock: clock_lib.Clock,
         exchange: http1.Exchange,
         plan: plan_lib.Plan,
@@ -39,7 +39,7 @@
         rng: random.Random,
     ) -> None:
         self._rng = rng
-        self._world = world
+        self._edge_state = edge_state
         self._clock = clock
         self._plan = plan
         self._changed = changed
@@ -55,7 +55,9 @@
 
     async def run(self) -> None:
         """Send until there is an answer or a reason to give up."""
-        self._world.budget(self._plan.service).asked(self._clock.monotonic())
+        self._edge_state.budget(self._plan.service).asked(
+            self._clock.monotonic()
+        )
         left = self._left()
         try:
             async with asyncio.timeout(left.total_seconds()):
@@ -74,7 +76,7 @@
         were told so seconds later than they could have been.
         """
         self._refuse_if_ending()
-        back = self._world.returns(self._plan.route.name).is_back(
+        back = self._edge_state.returns(self._plan.route.name).is_back(
             self._plan.head.time_left
         )
         found = self._choose()
@@ -90,22 +92,26 @@
         servers in 30 s; with this it ends two, or three where servers end
         for other reasons too.
         """
-        endings = self._world.endings
+        endings = self._edge_state.endings
         if endings.standing(self._plan) is not suspects.Standing.REFUSED:
             return
         ends = endings.against(self._plan)
-        self._world.figures.suspect_refused(self._plan.service)
+        self._edge_state.figures.suspect_refused(self._plan.service)
         raise refusal.ends_servers(len(ends), endings.lapses(ends))
 
     def _verdict(
         self, found: choice.Choice | None, *, back: bool
     ) -> str | None:
         plan = self._plan
-        world = self._world
+        edge_state = self._edge_state
         return admission.admit(
-            world.picture(plan.service, least=found.least if found else 0),
-            world.full(plan.route, plan.service),
-            world.asking(plan.route, plan.service, plan.workspace, back=back),
+            edge_state.picture(
+                plan.service, least=found.least if found else 0
+            ),
+            edge_state.full(plan.route, plan.service),
+            edge_state.asking(
+                plan.route, plan.service, plan.workspace, back=back
+            ),
         )
 
     def _refusal(
@@ -113,10 +119,10 @@
     ) -> refusal.RefusedError:
         if found is not None:
             return refusal.overloaded(verdict or "", self._left(), self._rng)
-        rest = self._world.rest_left(self._plan.service)
+        rest = self._edge_state.rest_left(self._plan.service)
         if rest is not None:
             return self._resting(rest)
-        if self._world.backends.of(self._plan.service):
+        if self._edge_state.backends.of(self._plan.service):
             return refusal.out_of_order(
                 "its groups of ranks are broken", self._left()
             )
@@ -124,7 +130,7 @@
 
     def _resting(self, rest: datetime.timedelta) -> refusal.RefusedError:
         """Return the refusal while all servers rest or are on trial."""
-        self._world.figures.rest_refused(self._plan.service)
+        self._edge_state.figures.rest_refused(self._plan.service)
         return refusal.resting(rest, self._rng)
 
     async def _send_all(self, first: desired.Backend) -> None:
@@ -135,7 +141,7 @@
             if event is None:
                 self._log_answer(backend)
                 return
-            self._world.figures.attempt(self._plan.service, event.value)
+            self._edge_state.figures.attempt(self._plan.service, event.value)
             self._state = lifecycle.after(self._state, event)
             await self._look_if_ended(event, backend)
             found = self._choose()
@@ -152,7 +158,7 @@
 
     async def _send(self, backend: desired.Backend) -> lifecycle.Event | None:
         attempt = attempt_lib.Attempt(
-            self._world,
+            self._edge_state,
             self._clock,
             self._plan,
             backend,
@@ -168,7 +174,9 @@
             self._changed()
         self._cut_off = attempt.cut_off
         if event in (None, lifecycle.Event.FAILED):
-            self._world.endings.answered(self._plan, backend, self._sent_at)
+            self._edge_state.endings.answered(
+                self._plan, backend, self._sent_at
+            )
         begun = self._answer.begun
         self._state = dataclasses.replace(self._state, begun=begun)
         return event
@@ -178,7 +186,9 @@
     ) -> None:
         """Find out whether a server has ended under this request."""
         if event is lifecycle.Event.BROKEN and self._cut_off:
-            await self._world.endings.broke(self._plan, backend, self._sent_at)
+            await self._edge_state.endings.broke(
+                self._plan, backend, self._sent_at
+            )
 
     def _may_go_on(self) -> bool:
         """Tell whether another server is left if this attempt breaks."""
@@ -193,19 +203,19 @@
         if not lifecycle.may_send(self._state):
             return False
         broke = event is lifecycle.Event.BROKEN
-        if not self._world.endings.may_go_again(self._plan, broke=broke):
+        if not self._edge_state.endings.may_go_again(self._plan, broke=broke):
             return False
         if not self._state.sent:
             return True
-        return self._world.may_repeat(self._plan.service, event)
+        return self._edge_state.may_repeat(self._plan.service, event)
 
     def _choose(self) -> choice.Choice | None:
         if self._is_suspect():
-            return self._world.choose_apart(self._plan, self._tried)
-        return self._world.choose(self._plan.service, self._tried)
+            return self._edge_state.choose_apart(self._plan, self._tried)
+        return self._edge_state.choose(self._plan.service, self._tried)
 
     def _is_suspect(self) -> bool:
-        standing = self._world.endings.standing(self._plan)
+        standing = self._edge_state.endings.standing(self._plan)
         return standing is suspects.Standing.SUSPECT
 
     async def _give_up(
@@ -216,7 +226,7 @@
         elif action is lifecycle.Action.CUT:
             raise refusal.broken("the answer broke off")
         elif action is lifecycle.Action.REFUSE:
-            rest = self._world.rest_left(self._plan.service)
+            rest = self._edge_state.rest_left(self._plan.service)
             if rest:
                 raise self._resting(rest)
             raise refusal.out_of_order(
@@ -236,7 +246,7 @@
         first = self._answer.first_at
         took = None if first is None else first - plan.req.at
         status = self._answer.status
-        self._world.figures.answered(plan.service, status, took)
+        self._edge_state.figures.answered(plan.service, status, took)
         whole = self._clock.monotonic() - plan.req.at
         logging.info(
             "answered",
--- a/src/lugcross/edge/sources.py
+++ b/src/lugcross/edge/sources.py
@@ -5,10 +5,10 @@
 import datetime
 import functools
 
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import follow
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import waiting
-from lugcross.edge import world as world_lib
 from lugcross import platform
 
 #: Shortest time between two reads of the desired state, for storms.
@@ -22,7 +22,7 @@
 
 def followers(
     store: platform.StoreClient,
-    world: world_lib.World,
+    edge_state: edge_state_lib.EdgeState,
     known: knowledge_lib.Knowledge,
 ) -> list[follow.Follower]:
     """Return the followers of the desired state and the backend servers.
@@ -40,7 +40,7 @@
             return waiting.news(
                 peers=len(known.peers.live()),
                 bound=bound(),
-                contact=world.bounds.contact,
+                contact=edge_state.bounds.contact,
                 gap=gap(),
             )
 
@@ -72,13 +72,13 @@
         follower(
             platform.OPERATOR_TOPIC,
             known.take_desired,
-            lambda: world.bounds.change,
+            lambda: edge_state.bounds.change,
             lambda: _DESIRED_GAP,
         ),
         follower(
             platform.BACKENDS_TOPIC,
             known.take_backends,
-            lambda: world.bounds.drain,
-            lambda: world.bounds.drain * _BACKENDS_GAP_PART,
+            lambda: edge_state.bounds.drain,
+            lambda: edge_state.bounds.drain * _BACKENDS_GAP_PART,
         ),
     ]
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -179,7 +179,7 @@
 def test_another_life_at_the_address_gets_nothing_more(play):
     async def act(r):
         got = await r.ask()
-        return got.status, [one.key for one in r.world.backends.all()]
+        return got.status, [one.key for one in r.edge_state.backends.all()]
 
     scripts = [[rig.answer(421, b"")], [rig.answer()]]
     assert play(rig.UNSAFE_TWICE, scripts, act) == (200, ["i-1"])
@@ -274,7 +274,7 @@
 
 def test_process_that_knows_no_desired_state_promises_not_run(play):
     async def act(r):
-        r.world.desired = None
+        r.edge_state.desired = None
         return await r.ask()
 
     got = play(rig.SAFE, [[]], act)
@@ -285,7 +285,7 @@
 def test_figures_count_answers_refusals_and_attempts(play):
     async def act(r):
         await r.ask()
-        return r.world.figures.text().decode()
+        return r.edge_state.figures.text().decode()
 
     scripts = [[rig.answer(503, b"", NOT_RUN)], [rig.answer()]]
     text = play(rig.UNSAFE_TWICE, scripts, act)
@@ -354,14 +354,14 @@
 def test_silence_gives_up_what_is_kept_to_that_server(play, monkeypatch):
     async def act(r):
         _nobody_hears(monkeypatch, r.backends[0].port)
-        known = {one.key: one for one in r.world.backends.all()}
+        known = {one.key: one for one in r.edge_state.backends.all()}
         backend = known[desired.BackendKey("i-0")]
-        kept = await r.world.pool.take(backend)
-        idle = await r.world.pool.take(backend)
+        kept = await r.edge_state.pool.take(backend)
+        idle = await r.edge_state.pool.take(backend)
         idle.send(b"GET", b"/", [(b"Host", b"h")], b"")
         await idle.answer()
         await idle.body()
-        r.world.pool.give(backend, idle, None)
+        r.edge_state.pool.give(backend, idle, None)
         kept.close()
         await r.ask()
         return idle.closing
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -9,9 +9,9 @@
 import pytest
 
 from lugcross import clock as clock_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
-from lugcross.edge import world as world_lib
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
@@ -27,12 +27,16 @@
         settings = edge_rig.settings(
             msgspec.structs.replace(edge_rig.BOUNDS, fenced=fenced)
         )
-        world = world_lib.World(
+        edge_state = edge_state_lib.EdgeState(
             settings, clock=self.clock, rng=edge_rig.new_rng()
         )
         store = platform.StoreClient("h:1", timeout=1000 * MS)
         self.known = knowledge_lib.Knowledge(
-            settings, world, store, clock=self.clock, rng=edge_rig.new_rng()
+            settings,
+            edge_state,
+            store,
+            clock=self.clock,
+            rng=edge_rig.new_rng(),
         )
 
     def hear(
--- a/testing/edge/test_endings.py
+++ b/testing/edge/test_endings.py
@@ -10,7 +10,9 @@
 
 
 def _against(one: rig.Rig) -> list[int]:
-    return [len(case.against) for case in one.world.endings.ledger.cases()]
+    return [
+        len(case.against) for case in one.edge_state.endings.ledger.cases()
+    ]
 
 
 class _Ending:
@@ -64,9 +66,9 @@
         got = []
         for _ in range(times):
             got.append(await one.ask())
-            cases = one.world.endings.ledger.cases()
+            cases = one.edge_state.endings.ledger.cases()
             if exempt:
-                one.world.endings.exempt = frozenset([cases[0].request])
+                one.edge_state.endings.exempt = frozenset([cases[0].request])
         one.close()
         return got, one, servers
 
@@ -77,7 +79,7 @@
     got, one, _ = _play_ending(1)
     assert got[0].status == 200
     # It ran to its end at the next server, and is cleared.
-    cases = one.world.endings.ledger.cases()
+    cases = one.edge_state.endings.ledger.cases()
     assert [len(case.ends) for case in cases] == [1]
     assert _against(one) == [0]
 
@@ -89,13 +91,13 @@
 
     got, one = _play(rig.SAFE, resets, rig.answer())
     assert got.status == 200
-    assert one.world.endings.ledger.cases() == []
+    assert one.edge_state.endings.ledger.cases() == []
 
 
 def test_server_that_answers_with_a_failure_does_not():
     failure = rig.answer(500, b"no")
     _, one = _play(rig.SAFE, failure, failure)
-    assert one.world.endings.ledger.cases() == []
+    assert one.edge_state.endings.ledger.cases() == []
 
 
 def test_caller_is_told_when_to_come_back_and_that_it_has_not_run():
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -14,13 +14,13 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import follow
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import loads as loads_lib
 from lugcross.edge import messages
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import ids
 from lugcross import platform
 from lugcross.standin import store as standin
@@ -51,7 +51,7 @@
             seeds=seeds,
         )
         clock = clock_lib.SystemClock()
-        self.world = world_lib.World(
+        self.edge_state = edge_state_lib.EdgeState(
             settings, clock=clock, rng=edge_rig.new_rng()
         )
         self.client = platform.StoreClient(
@@ -59,7 +59,7 @@
         )
         self.knowledge = knowledge_lib.Knowledge(
             settings,
-            self.world,
+            self.edge_state,
             self.client,
             clock=clock,
             rng=edge_rig.new_rng(),
@@ -95,7 +95,7 @@
             )
             tail = platform.Tail(end=ids.Offset(9), records=(record,))
             node.knowledge.take_desired(tail, newest=True)
-        return node.world.desired.version
+        return node.edge_state.desired.version
 
     assert _play(act) == 5
 
@@ -109,7 +109,7 @@
             )
             tail = platform.Tail(end=ids.Offset(9), records=(record,))
             node.knowledge.take_desired(tail, newest=False)
-        return node.world.desired.version
+        return node.edge_state.desired.version
 
     assert _play(act) == 3
 
@@ -118,11 +118,11 @@
     async def act(store, address):
         one = _Node("n1", address, ())
         await one.knowledge.start()
-        one.world.adopt(
+        one.edge_state.adopt(
             platform.read_desired(fleet_rig.state(7)), fleet_rig.state(7)
         )
         row = platform.KeyedRecord(ids.Offset(4), "i-1", BACKEND)
-        one.world.backends.apply(
+        one.edge_state.backends.apply(
             platform.Tail(end=ids.Offset(5), records=(row,)),
             store_was_away=False,
         )
@@ -130,13 +130,17 @@
         two = _Node("n2", address, (one.state,))
         await two.knowledge.start()
         task = asyncio.create_task(two.knowledge.run())
-        await _until(lambda: two.world.desired is not None)
+        await _until(lambda: two.edge_state.desired is not None)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         one.knowledge.close()
         two.knowledge.close()
-        known = [backend.key for backend in two.world.backends.all()]
-        return two.world.desired.version, known, two.world.backends.end
+        known = [backend.key for backend in two.edge_state.backends.all()]
+        return (
+            two.edge_state.desired.version,
+            known,
+            two.edge_state.backends.end,
+        )
 
     assert _play(act) == (7, ["i-1"], 5)
 
@@ -151,17 +155,17 @@
             tasks.append(asyncio.create_task(node.knowledge.run()))
         await _until(lambda: bool(one.knowledge.peers.live()))
         # Only one of them is told, as if the other's read hung.
-        one.world.adopt(
+        one.edge_state.adopt(
             platform.read_desired(fleet_rig.state(8)), fleet_rig.state(8)
         )
         one.knowledge.peers.changed()
-        await _until(lambda: two.world.desired is not None)
+        await _until(lambda: two.edge_state.desired is not None)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         one.knowledge.close()
         two.knowledge.close()
-        return two.world.desired.version
+        return two.edge_state.desired.version
 
     assert _play(act) == 8
 
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_maps.py
@@ -13,10 +13,10 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import groups as groups_lib
 from lugcross.edge import maps as maps_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
@@ -129,13 +129,13 @@
     def __init__(self, cfg: settings_lib.Maps) -> None:
         self.clock = clock_lib.ManualClock()
         self.engines = Engines()
-        self.world = world_lib.World(
+        self.edge_state = edge_state_lib.EdgeState(
             edge_rig.settings(), clock=self.clock, rng=edge_rig.new_rng()
         )
         self.duty = Duty()
         self.news = 0
         self.maps = maps_lib.Maps(
-            self.world,
+            self.edge_state,
             self.engines,
             clock=self.clock,
             sleep=self._sleep,
@@ -161,7 +161,7 @@
             keys={},
             keyed=False,
         )
-        self.world.adopt(state, b"")
+        self.edge_state.adopt(state, b"")
         rows = tuple(
             platform.KeyedRecord(
                 ids.Offset(rank),
@@ -171,7 +171,7 @@
             for rank in range(SIZE)
         )
         tail = platform.Tail(end=ids.Offset(SIZE), records=rows)
-        self.world.backends.apply(tail, store_was_away=False)
+        self.edge_state.backends.apply(tail, store_was_away=False)
 
     async def _sleep(self, seconds: float) -> None:
         self.clock.advance(datetime.timedelta(seconds=seconds))
@@ -243,13 +243,13 @@
         await rig.rounds(1)
         rest = 6 * SECOND
         for rank in resting:
-            rig.world.rests.asked(desired.BackendKey(str(rank)), rest)
+            rig.edge_state.rests.asked(desired.BackendKey(str(rank)), rest)
         rig.engines.called.clear()
         await rig.rounds(5)
         assert not set(resting) & set(rig.engines.called)
         assert not rig.engines.orders
         # Nothing speaks for it that its group is broken.
-        assert not rig.world.outages.servers()
+        assert not rig.edge_state.outages.servers()
         await rig.rounds(5)
         assert rig.engines.group.ranks[0].used != (0, FIRST)
 
@@ -290,16 +290,16 @@
 def test_group_is_told_broken_and_open_again():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.edge_state.serving(SERVICE)) == SIZE
         rig.engines.is_open = False
         before = rig.news
         await rig.rounds(1)
-        assert not rig.world.serving(SERVICE)
+        assert not rig.edge_state.serving(SERVICE)
         assert len(rig.maps.seen_broken()) == SIZE
         assert rig.news > before
         rig.engines.is_open = True
         await rig.rounds(1)
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.edge_state.serving(SERVICE)) == SIZE
 
     run(act)
 
@@ -342,8 +342,8 @@
         if isinstance(one, at):
             gone = platform.KeyedRecord(ids.Offset(50), "0", b"")
             tail = platform.Tail(end=ids.Offset(51), records=(gone,))
-            rig.world.backends.apply(tail, store_was_away=False)
-            rig.world.backends.forget(desired.BackendKey("0"), "test")
+            rig.edge_state.backends.apply(tail, store_was_away=False)
+            rig.edge_state.backends.forget(desired.BackendKey("0"), "test")
             group = rig.maps._groups.of(SERVICE)[0]
             group.members.pop(experts.Rank(0), None)
         return await order(backend, one, *args)
@@ -396,7 +396,7 @@
         rig.duty.has = False
         await rig.rounds(1)
         assert not rig.maps.seen_broken()
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.edge_state.serving(SERVICE)) == SIZE
 
     run(act)
 
@@ -568,7 +568,7 @@
         """Let a stream get its next event."""
         pause = datetime.timedelta(milliseconds=pause_ms)
         self.rig.clock.advance(pause)
-        self.rig.world.on_pause(desired.BackendKey("1"), pause)
+        self.rig.edge_state.on_pause(desired.BackendKey("1"), pause)
 
     async def short_rounds(self, count: int) -> None:
         """Let some passes go by, with a round at each."""
--- a/testing/edge/test_news_soak.py
+++ b/testing/edge/test_news_soak.py
@@ -81,7 +81,7 @@
         return [
             node.name
             for node in self.fleet.nodes.values()
-            if node.world.backends.end < self.version
+            if node.edge_state.backends.end < self.version
         ]
 
     async def _watch(self) -> None:
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -12,19 +12,19 @@
 def _count_looks(rig: edge_rig.Rig) -> list[None]:
     """Return a list that grows with each look for a place."""
     looks: list[None] = []
-    serving = rig.world.serving
+    serving = rig.edge_state.serving
 
     def count(service: ids.ServiceName) -> list[desired.Backend]:
         looks.append(None)
         return serving(service)
 
-    rig.world.serving = count
+    rig.edge_state.serving = count
     return looks
 
 
 def test_first_request_of_a_broken_group_is_refused_at_once(play):
     async def act(rig: edge_rig.Rig) -> edge_rig.Got:
-        rig.world.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", KEYS)
         got = await rig.ask()
         assert not rig.backends[0].seen
         return got
@@ -38,7 +38,7 @@
 def test_request_that_comes_back_to_a_broken_group_is_refused_at_once(play):
     async def act(rig: edge_rig.Rig) -> edge_rig.Got:
         await rig.ask(time_left=5000)
-        rig.world.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", KEYS)
         looks = _count_looks(rig)
         got = await rig.ask(time_left=4000)
         # One choice, one picture for the verdict, one for the log line.
@@ -53,9 +53,9 @@
 
 def test_request_that_comes_back_to_an_open_group_is_served(play):
     async def act(rig: edge_rig.Rig) -> edge_rig.Got:
-        rig.world.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", KEYS)
         await rig.ask(time_left=5000)
-        rig.world.outages.told("peer", [])
+        rig.edge_state.outages.told("peer", [])
         return await rig.ask(time_left=4000)
 
     got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
@@ -65,7 +65,7 @@
 def test_refused_request_that_may_not_be_repeated_has_not_run(play):
     async def act(rig: edge_rig.Rig) -> edge_rig.Got:
         await rig.ask(time_left=5000)
-        rig.world.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", KEYS)
         got = await rig.ask(time_left=1000)
         assert len(rig.backends[0].seen) == 1
         return got
--- a/testing/edge/test_reload.py
+++ b/testing/edge/test_reload.py
@@ -62,30 +62,30 @@
 def test_bounds_count_once_the_file_has_changed_without_a_signal(edge, file):
     file.write(TEXT.format(drain_ms=500, saving=0.5))
     edge.look_at_file()
-    assert edge.world.bounds.drain_ms == 500
+    assert edge.edge_state.bounds.drain_ms == 500
 
 
 def test_file_that_cannot_be_used_changes_nothing(edge, file):
     file.write("node: [")
     edge.look_at_file()
-    assert edge.world.bounds.drain_ms == 2000
+    assert edge.edge_state.bounds.drain_ms == 2000
     file.write(TEXT.format(drain_ms=700, saving=0.25))
     edge.look_at_file()
-    assert edge.world.bounds.drain_ms == 700
+    assert edge.edge_state.bounds.drain_ms == 700
 
 
 def test_file_that_is_gone_changes_nothing(edge, file):
     file.path.unlink()
     edge.look_at_file()
-    assert edge.world.bounds.drain_ms == 2000
+    assert edge.edge_state.bounds.drain_ms == 2000
 
 
 def test_repeats_that_were_spent_stay_counted_under_other_bounds():
     rig = edge_rig.Rig()
     service = edge_rig.SAFE.shares[0].service
-    budget = rig.world.budget(service)
+    budget = rig.edge_state.budget(service)
     now = rig.clock.monotonic()
     while budget.spend(now):
         pass
-    rig.world.allow(edge_rig.settings())
-    assert not rig.world.budget(service).spend(now)
+    rig.edge_state.allow(edge_rig.settings())
+    assert not rig.edge_state.budget(service).spend(now)
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_rest.py
@@ -98,9 +98,9 @@
 
     async def act(rig, clock):
         # Whichever is chosen by chance, the first one is to tell it.
-        rig.world.outages.told("peer", [OTHER])
+        rig.edge_state.outages.told("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.world.outages.told("peer", [])
+        rig.edge_state.outages.told("peer", [])
         clock.advance(drain + A_MOMENT)
         for _ in range(3):
             assert (await rig.ask()).status == 200
@@ -130,7 +130,7 @@
     """Return five processes that may repeat as often as users allow."""
     fleet = ending_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
     for node in fleet.nodes.values():
-        node.world.bounds = msgspec.structs.replace(
+        node.edge_state.bounds = msgspec.structs.replace(
             edge_rig.BOUNDS, repeat_slack=REPEATS
         )
     return fleet
@@ -179,15 +179,15 @@
     async def act(rig, clock):
         del clock
         first = rig.backends[0]
-        take = rig.world.pool.take
+        take = rig.edge_state.pool.take
 
         async def take_late(backend, **kwargs):
             conn = await take(backend, **kwargs)
             # Another request is turned away meanwhile.
-            rig.world.rests.asked(backend.key, REST)
+            rig.edge_state.rests.asked(backend.key, REST)
             return conn
 
-        rig.world.pool.take = take_late
+        rig.edge_state.pool.take = take_late
         got = await rig.ask()
         assert not first.seen
         return got
@@ -265,7 +265,7 @@
 def test_server_on_trial_whose_caller_leaves_is_tried_again():
     async def act(rig, clock):
         # Turned away and rested; the trial's caller leaves before its answer.
-        health = rig.world.loads.health(KEY)
+        health = rig.edge_state.loads.health(KEY)
         health.rests(clock.monotonic())
         clock.advance(A_MOMENT)
         reader, writer = await asyncio.open_connection(edge_rig.HOST, rig.port)
@@ -292,16 +292,16 @@
     async def act(rig, clock):
         first, second = rig.backends
         # The second one is broken until the first has told that it leaves.
-        rig.world.outages.told("peer", [OTHER])
+        rig.edge_state.outages.told("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.world.outages.told("peer", [])
+        rig.edge_state.outages.told("peer", [])
         gone = platform.KeyedRecord(ids.Offset(10), "i-0", b"")
         address = f"{edge_rig.HOST}:{first.port}"
         entry = edge_rig.entry("app", address, "d1", state=state)
         again = platform.KeyedRecord(ids.Offset(11), "i-0", entry)
         for record in (gone, again):
             tail = platform.Tail(end=record.offset, records=(record,))
-            rig.world.backends.apply(tail, store_was_away=True)
+            rig.edge_state.backends.apply(tail, store_was_away=True)
             clock.advance(drain)
         for _ in range(5):
             assert (await rig.ask()).status == 200
@@ -327,7 +327,7 @@
 
     async def act(rig, clock):
         await rig.ask()
-        return rig.world.backends._said
+        return rig.edge_state.backends._said
 
     assert not _play([[moved], [GOOD]], act)
 
@@ -371,7 +371,7 @@
     async def act(rig, clock):
         del clock
         assert (await rig.ask()).status == 200
-        return rig.world.rests.rests(KEY)
+        return rig.edge_state.rests.rests(KEY)
 
     assert _play([[both]], act)
 
@@ -418,9 +418,9 @@
 def test_peers_hear_that_a_server_leaves():
     async def act(rig, clock):
         del clock
-        rig.world.outages.told("peer", [OTHER])
+        rig.edge_state.outages.told("peer", [OTHER])
         await rig.ask()
-        return rig.world.backends.said_only()
+        return rig.edge_state.backends.said_only()
 
     assert _play([[SAYS], [GOOD]], act) == [KEY]
 
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -12,9 +12,9 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import ids
 from lugcross import platform
@@ -237,7 +237,7 @@
 
 
 class Rig:
-    """A runner, its world and the backend servers before it."""
+    """A runner, its edge state and the backend servers before it."""
 
     def __init__(self, clock: clock_lib.Clock | None = None) -> None:
         self.clock = clock or clock_lib.SystemClock()
@@ -254,11 +254,13 @@
             bounds=BOUNDS,
         )
         rng = new_rng()
-        self.world = world_lib.World(settings, clock=self.clock, rng=rng)
+        self.edge_state = edge_state_lib.EdgeState(
+            settings, clock=self.clock, rng=rng
+        )
         self.closed = False
         self.leaving = False
         self.runner = runner_lib.Runner(
-            self.world,
+            self.edge_state,
             closed=lambda: self.closed,
             changed=lambda: None,
             clock=self.clock,
@@ -283,21 +285,21 @@
                 platform.KeyedRecord(ids.Offset(num), f"i-{num}", value)
             )
         tail = platform.Tail(end=ids.Offset(len(rows)), records=tuple(rows))
-        self.world.backends.apply(tail, store_was_away=False)
+        self.edge_state.backends.apply(tail, store_was_away=False)
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
         assert self._server is not None
         self._server.close()
-        self.world.pool.close()
+        self.edge_state.pool.close()
         for backend in self.backends:
             backend.close()
 
     def adopt(self, *routes: desired.Route, version: int = 1) -> None:
         """Put a desired state with ``routes`` in force."""
         workspace = desired.Workspace(name=ids.WorkspaceName("space-a"))
-        self.world.adopt(
+        self.edge_state.adopt(
             desired.Desired(
                 version=version,
                 routes={"h": routes},
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -333,7 +333,7 @@
         )
         answer = Answer(asyncio.get_running_loop().time(), body)
         runner = runner_lib.Runner(
-            node.world,
+            node.edge_state,
             closed=lambda: False,
             changed=node.knowledge.peers.changed,
             clock=clock,
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -14,12 +14,12 @@
 import virtual_time
 
 from lugcross.edge import app
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
 from lugcross.edge import questions
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import sources
-from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import ids
 from lugcross import platform
@@ -100,12 +100,14 @@
         )
         clock = virtual_time.LoopClock()
         rng = random.Random(name)
-        self.world = world_lib.World(settings, clock=clock, rng=rng)
+        self.edge_state = edge_state_lib.EdgeState(
+            settings, clock=clock, rng=rng
+        )
         self.store = platform.StoreClient(
             f"{self.way}:1", timeout=app.STORE_TIMEOUT
         )
         self.knowledge = knowledge_lib.Knowledge(
-            settings, self.world, self.store, clock=clock, rng=rng
+            settings, self.edge_state, self.store, clock=clock, rng=rng
         )
         self.knowledge.peers.connection_made(self)
 
@@ -120,7 +122,9 @@
 
     async def run(self) -> None:
         """Follow the store and the peers until cancelled."""
-        followers = sources.followers(self.store, self.world, self.knowledge)
+        followers = sources.followers(
+            self.store, self.edge_state, self.knowledge
+        )
         await asyncio.gather(
             self.knowledge.run(), *(one.run() for one in followers)
         )
@@ -137,7 +141,9 @@
     @property
     def version(self) -> int:
         """Version of the desired state that is in force here."""
-        return self.world.desired.version if self.world.desired else 0
+        return (
+            self.edge_state.desired.version if self.edge_state.desired else 0
+        )
 
 
 class Fleet:
