--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -181,7 +181,7 @@
             return
         self.served[name, int(now)] += 1
         edge_state.loads.started(key)
-        edge_state.uses.began(SERVICE, ids.WorkspaceName(name))
+        edge_state.workspace_usage.began(SERVICE, ids.WorkspaceName(name))
         self.busy += 1
         self.most_busy = max(self.most_busy, self.busy)
         life = LIFE_S * self.rng.uniform(0.5, 1.5)
@@ -208,7 +208,7 @@
         key: desired.BackendKey,
     ) -> None:
         edge_state.loads.ended(key)
-        edge_state.uses.ended(SERVICE, ids.WorkspaceName(name))
+        edge_state.workspace_usage.ended(SERVICE, ids.WorkspaceName(name))
         self.busy -= 1
 
     def _tell(self, num: int) -> None:
@@ -216,7 +216,11 @@
         self._at(self._now + self.news.gap_s, "tell", num)
         when = self._now + self.news.way_s
         self._at(
-            when, "heard", num, edge_state.loads.own(), edge_state.uses.own()
+            when,
+            "heard",
+            num,
+            edge_state.loads.own(),
+            edge_state.workspace_usage.own(),
         )
 
     def _heard(
@@ -228,7 +232,7 @@
         for other, edge_state in enumerate(self.edge_states):
             if other != num:
                 edge_state.loads.peer_told(f"n{num}", running)
-                edge_state.uses.peer_told(f"n{num}", uses)
+                edge_state.workspace_usage.peer_told(f"n{num}", uses)
 
     def share_served(self, names: set[str], since: int, until: int) -> float:
         """Return the share of some workspaces' requests that was served."""
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -23,7 +23,7 @@
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import maps as maps_lib
 from lugcross.edge import ready as ready_lib
-from lugcross.edge import runner as runner_lib
+from lugcross.edge import request_handler
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import sources
 from lugcross import errors
@@ -84,7 +84,7 @@
         self.knowledge = knowledge_lib.Knowledge(
             settings, self.edge_state, self._store, clock=clock, rng=rng
         )
-        self._runner = runner_lib.Runner(
+        self._request_handler = request_handler.RequestHandler(
             self.edge_state,
             closed=self._closed,
             changed=self.knowledge.peers.changed,
@@ -202,7 +202,7 @@
         conn = http1.ServerConn(
             reader,
             writer,
-            self._runner.handle,
+            self._request_handler.handle,
             limits=self._limits,
             leaving=lambda: self._leaving_since is not None,
             clock=self._clock,
@@ -234,7 +234,9 @@
             connections=len(self._conns),
             suspects=len(self.edge_state.endings.ledger),
         )
-        self.edge_state.figures.running(self.edge_state.uses.by_service())
+        self.edge_state.figures.running(
+            self.edge_state.workspace_usage.by_service()
+        )
         give = functools.partial(
             figures_lib.give,
             self.edge_state.figures,
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -12,7 +12,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import edge_state as edge_state_lib
-from lugcross.edge import events
+from lugcross.edge import event_stream
 from lugcross.edge import lifecycle
 from lugcross.edge import plan as plan_lib
 from lugcross import http1
@@ -77,7 +77,7 @@
         """Give events; before the first of them the head."""
         data = b"".join(some)
         for event in some:
-            self.last_id = events.event_id(event) or self.last_id
+            self.last_id = event_stream.event_id(event) or self.last_id
         if self.begun:
             await self._exchange.data(data)
             return
@@ -140,7 +140,7 @@
         edge_state = self._edge_state
         plan = self._plan
         edge_state.loads.started(self._backend.key)
-        edge_state.uses.began(plan.service, plan.space)
+        edge_state.workspace_usage.began(plan.service, plan.space)
         try:
             try:
                 once = not self._plan.route.repeatable
@@ -162,7 +162,7 @@
                 # would be left alone for good.
                 self._health().unclear()
             edge_state.loads.ended(self._backend.key)
-            edge_state.uses.ended(plan.service, plan.space)
+            edge_state.workspace_usage.ended(plan.service, plan.space)
 
     async def _use(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         whole = False
@@ -301,7 +301,7 @@
     async def _pass_events(
         self, conn: http1.ClientConn, answer: http1.Answer
     ) -> lifecycle.Event | None:
-        splitter = events.Splitter()
+        splitter = event_stream.EventSplitter()
         after = self._delivery.last_id if self._delivery.begun else ""
         last: clock_lib.Instant | None = None
         while (data := await conn.data()) is not None:
@@ -309,7 +309,9 @@
             if some:
                 last = self._note_pause(last)
             if after:
-                some = [one for one in some if events.is_later(one, after)]
+                some = [
+                    one for one in some if event_stream.is_later(one, after)
+                ]
             if some:
                 await self._delivery.events(answer, some)
         if splitter.rest:
--- a/src/lugcross/edge/pace.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -48,7 +48,7 @@
 
 
 @final
-class Pace:
+class ConcurrencyLimit:
     """What the pauses of one service's streams have taught."""
 
     def __init__(self) -> None:
--- a/src/lugcross/edge/pool.py
+++ b/src/lugcross/edge/connection_pool.py
@@ -41,7 +41,7 @@
 
 
 @final
-class Pool:
+class ConnectionPool:
     """Idle connections by backend server; newest first."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -16,19 +16,19 @@
 from lugcross.edge import admission
 from lugcross.edge import backends as backends_lib
 from lugcross.edge import choice
+from lugcross.edge import concurrency_limit as concurrency_limit_lib
+from lugcross.edge import connection_pool
 from lugcross.edge import endings as endings_lib
 from lugcross.edge import figures as figures_lib
 from lugcross.edge import lifecycle
 from lugcross.edge import loads as loads_lib
 from lugcross.edge import outages as outages_lib
-from lugcross.edge import pace as pace_lib
 from lugcross.edge import plan as plan_lib
-from lugcross.edge import pool as pool_lib
 from lugcross.edge import records as records_lib
 from lugcross.edge import rests as rests_lib
 from lugcross.edge import serving as serving_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import uses as uses_lib
+from lugcross.edge import workspace_usage
 from lugcross import ids
 from lugcross import platform
 from lugcross import routing
@@ -78,7 +78,9 @@
         self._home = ids.DomainName(settings.domain)
         self._budgets: dict[ids.ServiceName, routing.RepeatBudget] = {}
         self._returns: dict[str, admission.Returns] = {}
-        self._paces: dict[ids.ServiceName, pace_lib.Pace] = {}
+        self._concurrency_limits: dict[
+            ids.ServiceName, concurrency_limit_lib.ConcurrencyLimit
+        ] = {}
         #: Called with each pause between two events of a stream.
         self.on_pause: Callable[
             [desired.BackendKey, datetime.timedelta], None
@@ -93,12 +95,12 @@
         self.loads = loads_lib.Loads(
             clock, service_of=self.backends.service_of
         )
-        self.uses = uses_lib.Uses(clock)
-        self.uses.weights = settings.shares.weights
+        self.workspace_usage = workspace_usage.WorkspaceUsage(clock)
+        self.workspace_usage.weights = settings.shares.weights
         self.outages = outages_lib.Outages(clock)
         self.slow = outages_lib.Outages(clock)
         self.rests = rests_lib.Rests(clock)
-        self.pool = pool_lib.Pool(clock)
+        self.pool = connection_pool.ConnectionPool(clock)
         self.figures = figures_lib.Figures()
         self.endings = endings_lib.Endings(clock, software=self.software)
         self.endings.exempt = _exempt(settings.suspects)
@@ -120,7 +122,7 @@
             return False
         self.desired = state
         self.records.add(record)
-        self.uses.adopt(state.services, state.workspaces())
+        self.workspace_usage.adopt(state.services, state.workspaces())
         logging.info(
             "desired state",
             extra={
@@ -134,7 +136,7 @@
         """Go by other bounds, shares and exemptions from now on."""
         bounds = settings.bounds
         self.bounds = bounds
-        self.uses.weights = settings.shares.weights
+        self.workspace_usage.weights = settings.shares.weights
         self.endings.exempt = _exempt(settings.suspects)
         for budget in self._budgets.values():
             budget.allow(
@@ -226,7 +228,7 @@
         engine = self.engine(service)
         if engine is not None:
             slow = self.slow.servers()
-            return self.pace(service).full(
+            return self.concurrency_limit(service).full(
                 engine,
                 route.max_gap,
                 slow=any(
@@ -251,16 +253,20 @@
         claim = None
         priority = route.priority
         if workspace is not None:
-            claim = self.uses.claim(service, workspace.name)
+            claim = self.workspace_usage.claim(service, workspace.name)
             if workspace.priority is not None:
                 priority = workspace.priority
         state = self.desired
         behind = state.behind(service, priority) if state else 0
         return admission.Asking(claim=claim, back=back, behind=behind)
 
-    def pace(self, service: ids.ServiceName) -> pace_lib.Pace:
+    def concurrency_limit(
+        self, service: ids.ServiceName
+    ) -> concurrency_limit_lib.ConcurrencyLimit:
         """Return what the pauses of the streams of ``service`` taught."""
-        return self._paces.setdefault(service, pace_lib.Pace())
+        return self._concurrency_limits.setdefault(
+            service, concurrency_limit_lib.ConcurrencyLimit()
+        )
 
     def returns(self, route: str) -> admission.Returns:
         """Return what tells requests of ``route`` that come back."""
@@ -281,7 +287,7 @@
         servers = self.serving(service)
         if not servers:
             return
-        self.pace(service).paused(
+        self.concurrency_limit(service).paused(
             pause,
             self._clock.monotonic(),
             engine=engine,
--- a/src/lugcross/edge/engines.py
+++ b/src/lugcross/edge/engines.py
@@ -6,7 +6,7 @@
 from typing import final
 
 from lugcross import desired
-from lugcross.edge import pool as pool_lib
+from lugcross.edge import connection_pool
 from lugcross import http1
 from lugcross import platform
 
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        pool: pool_lib.Pool,
+        pool: connection_pool.ConnectionPool,
         *,
         answer_s: float,
         heard: Callable[[desired.Backend, platform.AnswerHead], None],
--- a/src/lugcross/edge/events.py
+++ b/src/lugcross/edge/event_stream.py
@@ -10,7 +10,7 @@
 
 
 @final
-class Splitter:
+class EventSplitter:
     """Cuts the bytes of a stream into whole events.
 
     A backend server may stop anywhere; passing on only whole events lets
--- a/src/lugcross/edge/follow.py
+++ b/src/lugcross/edge/follow.py
@@ -10,7 +10,7 @@
 from absl import logging
 
 from lugcross import clock as clock_lib
-from lugcross.edge import waiting
+from lugcross.edge import long_poll
 from lugcross import errors
 from lugcross import platform
 from lugcross import positions
@@ -145,7 +145,7 @@
             return await self._store.tail(self._topic, start, wait=_NO_WAIT)
         read = asyncio.create_task(
             self._store.tail(
-                self._topic, start, wait=self._wait(), answer=waiting.ANSWER
+                self._topic, start, wait=self._wait(), answer=long_poll.ANSWER
             )
         )
         try:
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -13,7 +13,6 @@
 from lugcross import address
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import answers as answers_lib
 from lugcross.edge import casenews
 from lugcross.edge import casestore
 from lugcross.edge import edge_state as edge_state_lib
@@ -26,6 +25,7 @@
 from lugcross.edge import readers
 from lugcross.edge import registration as registration_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import store_contact
 from lugcross import errors
 from lugcross import experts
 from lugcross import ids
@@ -105,7 +105,7 @@
         #: Newest era of the store that this process has acted on.
         self._era: positions.Era | None = None
         self.trouble = follow.Trouble(clock)
-        self.answers = answers_lib.Answers(clock)
+        self.answers = store_contact.StoreContact(clock)
         self._lags = {
             topic: lag_lib.Lag(clock)
             for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC)
@@ -289,7 +289,7 @@
             broken=[str(key) for key in self.seen_broken()],
             generation=self.generation() or 0,
             reads=not self.trouble.now and self.can_claim(),
-            uses=self._edge_state.uses.own(),
+            uses=self._edge_state.workspace_usage.own(),
             desired_ms=self._answered_ms(platform.OPERATOR_TOPIC),
             backends_ms=self._answered_ms(platform.BACKENDS_TOPIC),
             slow=[str(key) for key in self.seen_slow()],
@@ -317,7 +317,7 @@
         self._heard_era(positions.Position(beat.end))
         near = beat.domain == self._settings.domain
         self._edge_state.loads.peer_told(beat.node, running, near=near)
-        self._edge_state.uses.peer_told(beat.node, beat.uses)
+        self._edge_state.workspace_usage.peer_told(beat.node, beat.uses)
         broken = [desired.BackendKey(key) for key in beat.broken]
         self._edge_state.outages.told(beat.node, broken)
         slow = [desired.BackendKey(key) for key in beat.slow]
--- a/src/lugcross/edge/lifecycle.py
+++ b/src/lugcross/edge/lifecycle.py
@@ -2,7 +2,7 @@
 """Life of one request sent to backend servers directly, without I/O.
 
 What may be sent again, and what may be told of an outcome, is decided
-here; :mod:`lugcross.edge.runner` does the sending.
+here; :mod:`lugcross.edge.request_handler` does the sending.
 """
 
 import dataclasses
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -75,7 +75,7 @@
     :param number: rises with each datagram of an incarnation: one that was
         passed on may arrive after a later one.
     :param uses: its requests in progress by workspace and service, which
-        stand as numbers (:mod:`lugcross.edge.uses`).
+        stand as numbers (:mod:`lugcross.edge.workspace_usage`).
     :param desired_ms: how long ago the store answered it about the desired
         state; less than 0 if it has not for a minute.
     :param backends_ms: the same about the list of backend servers.
--- a/src/lugcross/edge/refusal.py
+++ b/src/lugcross/edge/request_errors.py
@@ -23,7 +23,7 @@
 
 
 @final
-class RefusedError(errors.LugcrossError):
+class RequestError(errors.LugcrossError):
     """A request that gets an answer of our own.
 
     :param status: 429 and 503 promise that it has not run.
@@ -56,14 +56,14 @@
         return json.dumps({"error": error}).encode()
 
 
-def not_ready(what: str) -> RefusedError:
+def not_ready(what: str) -> RequestError:
     """Return a refusal of a process that cannot serve now."""
     return _not_run(what, RETRY_AFTER)
 
 
 def overloaded(
     what: str, left: datetime.timedelta, rng: random.Random
-) -> RefusedError:
+) -> RequestError:
     """Return a refusal of a request that no server has a place for.
 
     :param left: time that its caller will still wait.
@@ -73,7 +73,7 @@
     return _not_run(what, wait)
 
 
-def resting(rest: datetime.timedelta, rng: random.Random) -> RefusedError:
+def resting(rest: datetime.timedelta, rng: random.Random) -> RequestError:
     """Return a refusal while all servers rest, or have rested just now.
 
     Callers come back once the first of them has rested, spread over a moment:
@@ -85,7 +85,7 @@
     return _not_run("every backend server has asked for rest", wait)
 
 
-def out_of_order(what: str, left: datetime.timedelta) -> RefusedError:
+def out_of_order(what: str, left: datetime.timedelta) -> RequestError:
     """Return a refusal of a request that the servers refused themselves.
 
     :param left: time that its caller will still wait.
@@ -93,13 +93,13 @@
     return _not_run(what, max(RETRY_AFTER, left * _BROKEN_PART))
 
 
-def ends_servers(ends: int, lapses: datetime.timedelta) -> RefusedError:
+def ends_servers(ends: int, lapses: datetime.timedelta) -> RequestError:
     """Return a refusal of a request under which servers have ended.
 
     :param ends: how many.
     :param lapses: time after which it may be tried anew.
     """
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         f"{ends} backend servers have ended while they ran this request",
         remedy="change the request, or have the operator clear it",
@@ -107,8 +107,8 @@
     )
 
 
-def _not_run(what: str, wait: datetime.timedelta) -> RefusedError:
-    return RefusedError(
+def _not_run(what: str, wait: datetime.timedelta) -> RequestError:
+    return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         what,
         remedy="come back after the time in Retry-After",
@@ -116,45 +116,45 @@
     )
 
 
-def no_route(host: str, path: str) -> RefusedError:
+def no_route(host: str, path: str) -> RequestError:
     """Return a refusal of a path that leads nowhere."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.NOT_FOUND,
         f"no route for {host[:80]}{path[:80]}",
         remedy="ask the operator which routes there are",
     )
 
 
-def bad_key() -> RefusedError:
+def bad_key() -> RequestError:
     """Return a refusal of a key that no workspace has."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.UNAUTHORIZED,
         "the key belongs to no workspace",
         remedy="ask the operator for a key",
     )
 
 
-def unknown(what: str) -> RefusedError:
+def unknown(what: str) -> RequestError:
     """Return an answer that promises nothing."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
         f"{what}; whether the request ran is not known",
         remedy="ask again only if running it twice does no harm",
     )
 
 
-def timed_out() -> RefusedError:
+def timed_out() -> RequestError:
     """Return an answer to a request whose time is over."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.GATEWAY_TIMEOUT,
         "there was no answer in time; whether the request ran is not known",
         remedy="ask again only if running it twice does no harm",
     )
 
 
-def broken(what: str) -> RefusedError:
+def broken(what: str) -> RequestError:
     """Return why an answer that had begun is cut off."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
         what,
         remedy="ask again, from the last event where that is allowed",
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -18,7 +18,7 @@
 from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import lifecycle
 from lugcross.edge import plan as plan_lib
-from lugcross.edge import refusal
+from lugcross.edge import request_errors
 from lugcross import http1
 from lugcross import suspects
 
@@ -26,7 +26,7 @@
 
 
 @final
-class Sending:
+class RequestForwarder:
     """One request on its way: sent until there is an answer."""
 
     def __init__(
@@ -97,7 +97,7 @@
             return
         ends = endings.against(self._plan)
         self._edge_state.figures.suspect_refused(self._plan.service)
-        raise refusal.ends_servers(len(ends), endings.lapses(ends))
+        raise request_errors.ends_servers(len(ends), endings.lapses(ends))
 
     def _verdict(
         self, found: choice.Choice | None, *, back: bool
@@ -116,22 +116,26 @@
 
     def _refusal(
         self, found: choice.Choice | None, verdict: str | None
-    ) -> refusal.RefusedError:
+    ) -> request_errors.RequestError:
         if found is not None:
-            return refusal.overloaded(verdict or "", self._left(), self._rng)
+            return request_errors.overloaded(
+                verdict or "", self._left(), self._rng
+            )
         rest = self._edge_state.rest_left(self._plan.service)
         if rest is not None:
             return self._resting(rest)
         if self._edge_state.backends.of(self._plan.service):
-            return refusal.out_of_order(
+            return request_errors.out_of_order(
                 "its groups of ranks are broken", self._left()
             )
-        return refusal.not_ready("no backend server is known")
+        return request_errors.not_ready("no backend server is known")
 
-    def _resting(self, rest: datetime.timedelta) -> refusal.RefusedError:
+    def _resting(
+        self, rest: datetime.timedelta
+    ) -> request_errors.RequestError:
         """Return the refusal while all servers rest or are on trial."""
         self._edge_state.figures.rest_refused(self._plan.service)
-        return refusal.resting(rest, self._rng)
+        return request_errors.resting(rest, self._rng)
 
     async def _send_all(self, first: desired.Backend) -> None:
         backend = first
@@ -224,21 +228,21 @@
         if action is lifecycle.Action.PASS_ON:
             await self._answer.pass_on()
         elif action is lifecycle.Action.CUT:
-            raise refusal.broken("the answer broke off")
+            raise request_errors.broken("the answer broke off")
         elif action is lifecycle.Action.REFUSE:
             rest = self._edge_state.rest_left(self._plan.service)
             if rest:
                 raise self._resting(rest)
-            raise refusal.out_of_order(
+            raise request_errors.out_of_order(
                 f"no backend server ran it ({event.value})", self._left()
             )
         else:
-            raise refusal.unknown("a backend server broke off")
+            raise request_errors.unknown("a backend server broke off")
 
     def _time_out(self) -> None:
         if self._answer.begun:
-            raise refusal.broken("its time is over")
-        raise refusal.timed_out()
+            raise request_errors.broken("its time is over")
+        raise request_errors.timed_out()
 
     def _log_answer(self, backend: desired.Backend) -> None:
         """Tell how a request that has its answer came by it."""
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/request_handler.py
@@ -13,8 +13,8 @@
 from lugcross.edge import admission
 from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import plan as plan_lib
-from lugcross.edge import refusal
-from lugcross.edge import sending
+from lugcross.edge import request_errors
+from lugcross.edge import request_forwarder
 from lugcross import http1
 from lugcross import ids
 from lugcross import platform
@@ -23,8 +23,8 @@
 
 
 @final
-class Runner:
-    """Serves requests from what the process believes of the edge state.
+class RequestHandler:
+    """Serves requests from the edge state of the process.
 
     :param closed: whether new requests can no longer be finished here.
     :param changed: called when requests in progress have changed.
@@ -53,7 +53,7 @@
         plan: plan_lib.Plan | None = None
         try:
             plan = self._plan(req, head)
-            await sending.Sending(
+            await request_forwarder.RequestForwarder(
                 self._edge_state,
                 self._clock,
                 exchange,
@@ -61,7 +61,7 @@
                 self._changed,
                 self._rng,
             ).run()
-        except refusal.RefusedError as exc:
+        except request_errors.RequestError as exc:
             self._log_refusal(head, plan, exc)
             if exchange.started:
                 return
@@ -73,10 +73,10 @@
         self, req: http1.Request, head: platform.CallerHead
     ) -> plan_lib.Plan:
         if self._closed():
-            raise refusal.not_ready("this process is being stopped")
+            raise request_errors.not_ready("this process is being stopped")
         state = self._edge_state.desired
         if state is None:
-            raise refusal.not_ready("no desired state is known yet")
+            raise request_errors.not_ready("no desired state is known yet")
         route = self._route(state, req)
         workspace = self._workspace(state, route, head)
         wait = min(head.time_left or route.timeout, route.timeout)
@@ -100,7 +100,7 @@
             host.rpartition(":")[0], path
         )
         if route is None:
-            raise refusal.no_route(host, path)
+            raise request_errors.no_route(host, path)
         return route
 
     def _workspace(
@@ -113,7 +113,7 @@
             return None
         workspace = state.keys.get(head.key)
         if workspace is None:
-            raise refusal.bad_key()
+            raise request_errors.bad_key()
         return workspace
 
     def _service(self, route: desired.Route) -> ids.ServiceName:
@@ -126,7 +126,7 @@
         self,
         head: platform.CallerHead,
         plan: plan_lib.Plan | None,
-        exc: refusal.RefusedError,
+        exc: request_errors.RequestError,
     ) -> None:
         service = plan.service if plan else ""
         self._edge_state.figures.answered(service, exc.status, None)
@@ -170,7 +170,9 @@
         """Return for a log line what the request's workspace may have."""
         if plan.space is None:
             return {}
-        claim = self._edge_state.uses.claim(plan.service, plan.space)
+        claim = self._edge_state.workspace_usage.claim(
+            plan.service, plan.space
+        )
         places = (
             self._edge_state.full(plan.route, plan.service) * picture.servers
         )
--- a/src/lugcross/edge/sources.py
+++ b/src/lugcross/edge/sources.py
@@ -8,7 +8,7 @@
 from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import follow
 from lugcross.edge import knowledge as knowledge_lib
-from lugcross.edge import waiting
+from lugcross.edge import long_poll
 from lugcross import platform
 
 #: Shortest time between two reads of the desired state, for storms.
@@ -37,7 +37,7 @@
         gap: Callable[[], datetime.timedelta],
     ) -> follow.Follower:
         def unit() -> datetime.timedelta:
-            return waiting.news(
+            return long_poll.news(
                 peers=len(known.peers.live()),
                 bound=bound(),
                 contact=edge_state.bounds.contact,
@@ -45,14 +45,14 @@
             )
 
         def wait() -> datetime.timedelta:
-            return waiting.STANDBY if known.reads_after() else unit()
+            return long_poll.STANDBY if known.reads_after() else unit()
 
         def is_late() -> bool:
-            return waiting.is_late(known.lag(topic), bound())
+            return long_poll.is_late(known.lag(topic), bound())
 
         def is_due() -> bool:
             age = known.answers.age(topic)
-            return is_late() or waiting.is_due(
+            return is_late() or long_poll.is_due(
                 age, unit(), known.reads_after()
             )
 
--- a/src/lugcross/edge/answers.py
+++ b/src/lugcross/edge/store_contact.py
@@ -12,7 +12,7 @@
 
 
 @final
-class Answers:
+class StoreContact:
     """Moments of the newest answers about each topic."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
--- a/src/lugcross/edge/uses.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -21,7 +21,7 @@
 
 
 @final
-class Uses:
+class WorkspaceUsage:
     """What each workspace has in progress of each service.
 
     Peers tell them by number, which takes five bytes a workspace where names
--- a/testing/edge/test_catchup.py
+++ b/testing/edge/test_catchup.py
@@ -7,7 +7,7 @@
 from lugcross import clock as clock_lib
 from lugcross.edge import catchup
 from lugcross.edge import lag as lag_lib
-from lugcross.edge import waiting
+from lugcross.edge import long_poll
 
 BOUND = datetime.timedelta(seconds=3)
 
@@ -105,10 +105,10 @@
     clock = clock_lib.ManualClock()
     lag = lag_lib.Lag(clock)
     lag.heard(5)
-    assert not waiting.is_late(lag.age(4), BOUND)
+    assert not long_poll.is_late(lag.age(4), BOUND)
     clock.advance(_seconds(1))
-    assert waiting.is_late(lag.age(4), BOUND)
+    assert long_poll.is_late(lag.age(4), BOUND)
     lag.restart()
-    assert not waiting.is_late(lag.age(4), BOUND)
+    assert not long_poll.is_late(lag.age(4), BOUND)
     clock.advance(_seconds(1))
-    assert waiting.is_late(lag.age(4), BOUND)
+    assert long_poll.is_late(lag.age(4), BOUND)
--- a/testing/edge/test_pool.py
+++ b/testing/edge/test_connection_pool.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lugcross import clock as clock_lib
-from lugcross.edge import pool as pool_lib
+from lugcross.edge import connection_pool
 from lugcross import http1
 
 BACKEND = edge_rig.backend()
@@ -27,13 +27,15 @@
 
 
 @pytest.fixture
-def pool(manual_clock: clock_lib.ManualClock, monkeypatch) -> pool_lib.Pool:
+def pool(
+    manual_clock: clock_lib.ManualClock, monkeypatch
+) -> connection_pool.ConnectionPool:
     async def connect(host, port, *, timeout_s):
         del host, port, timeout_s
         return _Conn()
 
     monkeypatch.setattr(http1, "connect", connect)
-    return pool_lib.Pool(manual_clock)
+    return connection_pool.ConnectionPool(manual_clock)
 
 
 @pytest.mark.parametrize(
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -12,10 +12,10 @@
 from lugcross import desired
 from lugcross.edge import admission
 from lugcross.edge import choice
-from lugcross.edge import events
+from lugcross.edge import concurrency_limit
+from lugcross.edge import event_stream
 from lugcross.edge import outages
-from lugcross.edge import pace
-from lugcross.edge import refusal
+from lugcross.edge import request_errors
 from lugcross.edge import serving
 from lugcross import ids
 
@@ -113,7 +113,7 @@
 
 @given(st.floats(10, 400), st.floats(1, 6))
 def test_learned_fullness_stays_between_half_and_all_slots(pause_ms, load):
-    learned = pace.Pace()
+    learned = concurrency_limit.ConcurrencyLimit()
     for num in range(50):
         learned.paused(
             datetime.timedelta(milliseconds=pause_ms),
@@ -126,7 +126,11 @@
 
 
 def _passed(
-    learned: pace.Pace, num: int, pause_ms: float, *, streams: int = 3
+    learned: concurrency_limit.ConcurrencyLimit,
+    num: int,
+    pause_ms: float,
+    *,
+    streams: int = 3,
 ) -> float:
     """Let one pass go by that some streams feel."""
     for _ in range(streams):
@@ -141,7 +145,7 @@
 
 
 def _full_after(pause_ms: float) -> float:
-    learned = pace.Pace()
+    learned = concurrency_limit.ConcurrencyLimit()
     return [_passed(learned, num, pause_ms) for num in range(300)][-1]
 
 
@@ -150,14 +154,17 @@
 
 
 def test_pass_teaches_once_however_many_streams_feel_it():
-    one, many = pace.Pace(), pace.Pace()
+    one, many = (
+        concurrency_limit.ConcurrencyLimit(),
+        concurrency_limit.ConcurrencyLimit(),
+    )
     for num, pause_ms in enumerate((60.0, 80.0, 70.0)):
         alone = _passed(one, num, pause_ms, streams=1)
         assert _passed(many, num, pause_ms, streams=9) == alone
 
 
 def test_jump_of_passes_is_followed_within_three():
-    learned = pace.Pace()
+    learned = concurrency_limit.ConcurrencyLimit()
     before = [_passed(learned, num, 60.0) for num in range(50)][-1]
     after = [_passed(learned, num, 120.0) for num in range(50, 53)]
     least = _full_after(120.0)
@@ -173,7 +180,7 @@
 
     :param slowness: of the slowest rank, by pass.
     """
-    learned = pace.Pace()
+    learned = concurrency_limit.ConcurrencyLimit()
     full = [learned.full(ENGINE, LIMIT)]
     for num, times in enumerate(slowness):
         pause_ms = ENGINE.stride * ENGINE.step_ms * times + 10.0 * full[-1]
@@ -207,7 +214,7 @@
 
 def test_long_passes_without_a_slow_rank_do_not_open_all_places():
     """A group that has just formed reads many prompts in its first passes."""
-    learned = pace.Pace()
+    learned = concurrency_limit.ConcurrencyLimit()
     for num in range(20):
         learned.paused(
             datetime.timedelta(milliseconds=200),
@@ -227,7 +234,7 @@
 
 
 def test_pause_of_a_fault_teaches_nothing():
-    learned = pace.Pace()
+    learned = concurrency_limit.ConcurrencyLimit()
     before = learned.full(ENGINE, LIMIT)
     learned.paused(
         datetime.timedelta(seconds=2),
@@ -243,7 +250,7 @@
 def test_events_come_whole_however_their_bytes_are_cut(sizes):
     whole = [b"id: %d\ndata: %s\n\n" % (n, b"x" * n) for n in range(8)]
     data = b"".join(whole)
-    splitter = events.Splitter()
+    splitter = event_stream.EventSplitter()
     got = []
     for size in [*sizes, len(data)]:
         got += splitter.feed(data[:size])
@@ -263,22 +270,25 @@
     ids=["next", "same", "after-another-line", "no-id"],
 )
 def test_event_is_later_by_its_number(event, than, later):
-    assert events.is_later(event, than) is later
+    assert event_stream.is_later(event, than) is later
 
 
 def test_callers_of_a_full_service_come_back_spread_and_in_time():
     rng = random.Random(1)
     left = datetime.timedelta(seconds=8)
     waits = {
-        refusal.overloaded("full", left, rng).retry_after for _ in range(50)
+        request_errors.overloaded("full", left, rng).retry_after
+        for _ in range(50)
     }
     assert len(waits) > 10
-    assert all(refusal.RETRY_AFTER <= wait < left / 3 for wait in waits)
+    assert all(request_errors.RETRY_AFTER <= wait < left / 3 for wait in waits)
 
 
 def test_caller_with_little_time_is_not_told_less_than_the_least():
-    found = refusal.out_of_order("broken", datetime.timedelta(seconds=1))
-    assert found.retry_after == refusal.RETRY_AFTER
+    found = request_errors.out_of_order(
+        "broken", datetime.timedelta(seconds=1)
+    )
+    assert found.retry_after == request_errors.RETRY_AFTER
 
 
 def test_servers_told_broken_are_believed_until_that_is_old(manual_clock):
--- a/testing/edge/test_waiting.py
+++ b/testing/edge/test_long_poll.py
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 import pytest
 
-from lugcross.edge import waiting
+from lugcross.edge import long_poll
 
-ANSWER_S = waiting.ANSWER.total_seconds()
+ANSWER_S = long_poll.ANSWER.total_seconds()
 GAP = datetime.timedelta(seconds=0.4)
 
 
 def _wait_s(peers: int, bound_s: float, contact_s: float) -> float:
-    wait = waiting.news(
+    wait = long_poll.news(
         peers=peers,
         bound=datetime.timedelta(seconds=bound_s),
         contact=datetime.timedelta(seconds=contact_s),
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -15,7 +15,7 @@
 from lugcross.edge import admission
 from lugcross.edge import figures
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import uses
+from lugcross.edge import workspace_usage
 from lugcross import ids
 from lugcross import shares
 
@@ -120,8 +120,8 @@
     assert sum(parts) == pytest.approx(places)
 
 
-def _uses(**weights: float) -> uses.Uses:
-    found = uses.Uses(clock_lib.ManualClock())
+def _uses(**weights: float) -> workspace_usage.WorkspaceUsage:
+    found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
     found.adopt([SERVICE], [A, B])
     found.weights = weights
     return found
@@ -153,7 +153,7 @@
 
 
 def test_only_the_heaviest_are_told():
-    found = uses.Uses(clock_lib.ManualClock())
+    found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
     for num in range(40):
         for _ in range(1 + num):
             found.began(SERVICE, ids.WorkspaceName(f"w{num}"))
--- a/testing/edge/test_silence.py
+++ b/testing/edge/test_silence.py
@@ -23,7 +23,7 @@
 import virtual_time
 
 from lugcross.edge import app
-from lugcross.edge import waiting
+from lugcross.edge import long_poll
 
 #: Until every process has read, registered and heard of the others, s.
 SETTLED_S = 20.0
@@ -110,7 +110,7 @@
             fleet.store.unreachable.add(node.way)
             fleet.store.silence_connections(node.way)
         # As long as a read of those that stand by may hang.
-        await asyncio.sleep(waiting.STANDBY.total_seconds() + 3.0)
+        await asyncio.sleep(long_poll.STANDBY.total_seconds() + 3.0)
         assert all(node.knowledge.trouble.now for node in some)
         fleet.store.unreachable.clear()
         # One call that still hangs, the longest rest and the next call.
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An edge process's runner before scripted backend servers, on loopback."""
+"""A request handler before scripted backend servers, on loopback."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -13,7 +13,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import edge_state as edge_state_lib
-from lugcross.edge import runner as runner_lib
+from lugcross.edge import request_handler
 from lugcross.edge import settings as settings_lib
 from lugcross import http1
 from lugcross import ids
@@ -237,7 +237,7 @@
 
 
 class Rig:
-    """A runner, its edge state and the backend servers before it."""
+    """A request handler, its edge state and the backend servers before it."""
 
     def __init__(self, clock: clock_lib.Clock | None = None) -> None:
         self.clock = clock or clock_lib.SystemClock()
@@ -259,7 +259,7 @@
         )
         self.closed = False
         self.leaving = False
-        self.runner = runner_lib.Runner(
+        self.request_handler = request_handler.RequestHandler(
             self.edge_state,
             closed=lambda: self.closed,
             changed=lambda: None,
@@ -317,7 +317,7 @@
         conn = http1.ServerConn(
             reader,
             writer,
-            self.runner.handle,
+            self.request_handler.handle,
             limits=lambda: LIMITS,
             leaving=lambda: self.leaving,
             clock=self.clock,
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """A small fleet before servers that some requests end, in virtual time.
 
-Processes are whole but for their sockets: runner, knowledge, datagrams and
+Processes are whole but for their sockets: handler, knowledge, datagrams and
 followers of the store. Servers work, end, and start again with a new id.
 """
 
@@ -21,7 +21,7 @@
 import fleet_rig
 import virtual_time
 
-from lugcross.edge import runner as runner_lib
+from lugcross.edge import request_handler
 from lugcross import http1
 from lugcross import platform
 
@@ -332,14 +332,14 @@
             at=clock.monotonic(),
         )
         answer = Answer(asyncio.get_running_loop().time(), body)
-        runner = runner_lib.Runner(
+        handler = request_handler.RequestHandler(
             node.edge_state,
             closed=lambda: False,
             changed=node.knowledge.peers.changed,
             clock=clock,
             rng=self.rng,
         )
-        await runner.handle(_Exchange(answer), req)
+        await handler.handle(_Exchange(answer), req)
         self.answers.append(answer)
         return answer
 
