--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -193,12 +193,12 @@
         found = edge_state.choose(SERVICE, ())
         if found is None:
             return None
-        picture = edge_state.picture(SERVICE, least=found.least)
+        snapshot = edge_state.load_snapshot(SERVICE, least=found.least)
         space = desired.Workspace(name=ids.WorkspaceName(name))
-        asking = edge_state.asking(ROUTE, SERVICE, space)
+        requester = edge_state.requester(ROUTE, SERVICE, space)
         if not self.by_workspace:
-            asking = admission.Asking()
-        verdict = admission.admit(picture, FULL, asking)
+            requester = admission.Requester()
+        verdict = admission.refusal_reason(snapshot, FULL, requester)
         return found.best.backend.key if verdict is None else None
 
     def _end(
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -9,24 +9,24 @@
 
 #: Requests per slot at which a service without engines is full; its work
 #: is short, so that a short queue is served in time.
-PLAIN_FULL = 3.0
+MAX_REQUESTS_PER_PLAIN_SLOT = 3.0
 #: Part of what is full for others at which a service is full for those
 #: that were refused before; a few requests of each process below it.
-BACK_PART = 0.8
+RETRY_CAPACITY_FRACTION = 0.8
 #: Part of what is full for the most urgent requests by which a service is
 #: full sooner for each kind that is less urgent, and the most for all: what
 #: is urgent finds places free in a burst, and nothing else is starved.
-BEHIND_PART = 0.05
+RESERVED_FRACTION_PER_PRIORITY = 0.05
 #: Most of what is kept from those that are less urgent, however many kinds.
-_BEHIND_MOST = 0.15
+_MAX_RESERVED_FRACTION = 0.15
 #: Part of the slots up to which nobody is kept out: what is idle past that
 #: would serve no one better.
-_LEAST_PART = 0.5
+_MIN_SLOT_FRACTION = 0.5
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Picture:
+class LoadSnapshot:
     """A service's load as it looks from one process.
 
     :param servers: backend servers that may be used.
@@ -42,7 +42,7 @@
     least: int
     unseen: float
 
-    def has_slot(self) -> bool:
+    def has_free_slot(self) -> bool:
         """Tell whether a slot is free as far as known.
 
         What is unseen does not count: a server that has no slot for the
@@ -55,21 +55,23 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Asking:
+class Requester:
     """Who asks for a place.
 
     :param claim: its workspace's; none where keys are not used.
-    :param back: whether the request was refused before.
-    :param behind: how many kinds of requests of the service are more
-        urgent.
+    :param is_retry: whether the request was refused before.
+    :param more_urgent_priorities: how many kinds of requests of the service
+        are more urgent.
     """
 
     claim: shares.Claim | None = None
-    back: bool = False
-    behind: int = 0
+    is_retry: bool = False
+    more_urgent_priorities: int = 0
 
 
-def admit(picture: Picture, full: float, asking: Asking) -> str | None:
+def refusal_reason(
+    snapshot: LoadSnapshot, max_per_server: float, requester: Requester
+) -> str | None:
     """Return why a request should come back later, or none.
 
     Under lasting overload someone is refused, whoever goes first. One
@@ -88,40 +90,53 @@
     What peers have sent since they last told counts, as far as it can be
     estimated (:mod:`lugcross.edge.unseen`).
 
-    :param full: requests that one server may have at once.
+    :param max_per_server: requests that one server may have at once.
     """
-    claim = asking.claim
-    whole = full * picture.servers
-    room = _places(picture, whole, asking) - picture.busy - picture.unseen
-    has_room = room >= 1.0 and picture.least < max(full, 1.0)
-    if has_room and (claim is None or claim.fits(room)):
+    claim = requester.claim
+    capacity = max_per_server * snapshot.servers
+    free = (
+        _capacity_for(snapshot, capacity, requester)
+        - snapshot.busy
+        - snapshot.unseen
+    )
+    has_free_place = free >= 1.0 and snapshot.least < max(max_per_server, 1.0)
+    if has_free_place and (claim is None or claim.fits(free)):
         return None
-    if claim is not None and claim.is_below(whole) and picture.has_slot():
+    if (
+        claim is not None
+        and claim.is_below(capacity)
+        and snapshot.has_free_slot()
+    ):
         return None
-    if has_room:
+    if has_free_place:
         return "its workspace has more than its share of a full service"
     return "every backend server is full"
 
 
-def _places(picture: Picture, whole: float, asking: Asking) -> float:
+def _capacity_for(
+    snapshot: LoadSnapshot, capacity: float, requester: Requester
+) -> float:
     """Return how many requests the service may have if this one is let in."""
-    part = BACK_PART if asking.back else 1.0
-    part -= min(BEHIND_PART * asking.behind, _BEHIND_MOST)
-    if part == 1.0:
-        return whole
-    return max(whole * part, picture.slots * _LEAST_PART)
+    fraction = RETRY_CAPACITY_FRACTION if requester.is_retry else 1.0
+    fraction -= min(
+        RESERVED_FRACTION_PER_PRIORITY * requester.more_urgent_priorities,
+        _MAX_RESERVED_FRACTION,
+    )
+    if fraction == 1.0:
+        return capacity
+    return max(capacity * fraction, snapshot.slots * _MIN_SLOT_FRACTION)
 
 
 #: Part of the longest time seen at which a request counts as one that
 #: comes back: a first one loses no more than its way here.
-_BACK_TIME = 0.95
+_RETRY_TIME_LEFT_FRACTION = 0.95
 #: Part of what lies between the longest time and a new one by which the
 #: longest comes down, so that shorter deadlines are learned in time.
-_FORGET = 0.02
+_DECAY_FRACTION = 0.02
 
 
 @final
-class Returns:
+class RetryDetector:
     """Tells requests that were refused before by the time they have left.
 
     Callers count their time from their first attempt, and those of one
@@ -131,13 +146,13 @@
     def __init__(self) -> None:
         self._longest = datetime.timedelta()
 
-    def is_back(self, time_left: datetime.timedelta | None) -> bool:
+    def is_retry(self, time_left: datetime.timedelta | None) -> bool:
         """Tell whether a request has probably been refused before."""
         if time_left is None:
             return False
         if time_left >= self._longest:
             self._longest = time_left
             return False
-        back = time_left < self._longest * _BACK_TIME
-        self._longest -= (self._longest - time_left) * _FORGET
-        return back
+        is_retry = time_left < self._longest * _RETRY_TIME_LEFT_FRACTION
+        self._longest -= (self._longest - time_left) * _DECAY_FRACTION
+        return is_retry
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -77,7 +77,7 @@
         self._rng = rng
         self._home = ids.DomainName(settings.domain)
         self._budgets: dict[ids.ServiceName, routing.RepeatBudget] = {}
-        self._returns: dict[str, admission.Returns] = {}
+        self._retry_detectors: dict[str, admission.RetryDetector] = {}
         self._concurrency_limits: dict[
             ids.ServiceName, concurrency_limit_lib.ConcurrencyLimit
         ] = {}
@@ -207,15 +207,15 @@
         self.rests.asked(key, head.rest)
         self.loads.health(key).rests(self._clock.monotonic() + head.rest)
 
-    def picture(
+    def load_snapshot(
         self, service: ids.ServiceName, *, least: int = 0
-    ) -> admission.Picture:
+    ) -> admission.LoadSnapshot:
         """Return the load of ``service`` as it looks from here.
 
         :param least: requests of the least busy server looked at.
         """
         servers = self.serving(service)
-        return admission.Picture(
+        return admission.LoadSnapshot(
             servers=len(servers),
             slots=servers.slots,
             busy=self.loads.busy_all(servers.keys),
@@ -236,19 +236,19 @@
                 ),
             )
         slots = [one.slots for one in self.backends.of(service)]
-        return admission.PLAIN_FULL * min(slots, default=1)
+        return admission.MAX_REQUESTS_PER_PLAIN_SLOT * min(slots, default=1)
 
-    def asking(
+    def requester(
         self,
         route: desired.Route,
         service: ids.ServiceName,
         workspace: desired.Workspace | None,
         *,
-        back: bool = False,
-    ) -> admission.Asking:
+        is_retry: bool = False,
+    ) -> admission.Requester:
         """Return who asks for a place of ``service``.
 
-        :param back: whether the request was refused before.
+        :param is_retry: whether the request was refused before.
         """
         claim = None
         priority = route.priority
@@ -257,8 +257,14 @@
             if workspace.priority is not None:
                 priority = workspace.priority
         state = self.desired
-        behind = state.behind(service, priority) if state else 0
-        return admission.Asking(claim=claim, back=back, behind=behind)
+        more_urgent_priorities = (
+            state.behind(service, priority) if state else 0
+        )
+        return admission.Requester(
+            claim=claim,
+            is_retry=is_retry,
+            more_urgent_priorities=more_urgent_priorities,
+        )
 
     def concurrency_limit(
         self, service: ids.ServiceName
@@ -268,9 +274,11 @@
             service, concurrency_limit_lib.ConcurrencyLimit()
         )
 
-    def returns(self, route: str) -> admission.Returns:
+    def retry_detector(self, route: str) -> admission.RetryDetector:
         """Return what tells requests of ``route`` that come back."""
-        return self._returns.setdefault(route, admission.Returns())
+        return self._retry_detectors.setdefault(
+            route, admission.RetryDetector()
+        )
 
     def paused(
         self,
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -76,11 +76,11 @@
         were told so seconds later than they could have been.
         """
         self._refuse_if_ending()
-        back = self._edge_state.returns(self._plan.route.name).is_back(
-            self._plan.head.time_left
-        )
+        is_retry = self._edge_state.retry_detector(
+            self._plan.route.name
+        ).is_retry(self._plan.head.time_left)
         found = self._choose()
-        verdict = self._verdict(found, back=back)
+        verdict = self._verdict(found, is_retry=is_retry)
         if found is None or verdict is not None:
             raise self._refusal(found, verdict)
         return found.best.backend
@@ -100,17 +100,17 @@
         raise request_errors.ends_servers(len(ends), endings.lapses(ends))
 
     def _verdict(
-        self, found: choice.Choice | None, *, back: bool
+        self, found: choice.Choice | None, *, is_retry: bool
     ) -> str | None:
         plan = self._plan
         edge_state = self._edge_state
-        return admission.admit(
-            edge_state.picture(
+        return admission.refusal_reason(
+            edge_state.load_snapshot(
                 plan.service, least=found.least if found else 0
             ),
             edge_state.full(plan.route, plan.service),
-            edge_state.asking(
-                plan.route, plan.service, plan.workspace, back=back
+            edge_state.requester(
+                plan.route, plan.service, plan.workspace, is_retry=is_retry
             ),
         )
 
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -134,19 +134,19 @@
             self._edge_state.figures.refused(service, plan.space)
         inputs: dict[str, object] = {}
         if plan is not None:
-            picture = self._edge_state.picture(plan.service)
+            snapshot = self._edge_state.load_snapshot(plan.service)
             inputs = {
                 "service": plan.service,
                 "route": plan.route.name,
                 "version": plan.version,
-                "servers": picture.servers,
+                "servers": snapshot.servers,
                 "resting": len(self._edge_state.rests.servers()),
-                "busy": picture.busy,
-                "unseen": round(picture.unseen, 1),
+                "busy": snapshot.busy,
+                "unseen": round(snapshot.unseen, 1),
                 "full": round(
                     self._edge_state.full(plan.route, plan.service), 2
                 ),
-                **self._share(plan, picture),
+                **self._share(plan, snapshot),
                 "list_age_s": round(
                     self._edge_state.backends.age().total_seconds(), 3
                 ),
@@ -165,7 +165,7 @@
         )
 
     def _share(
-        self, plan: plan_lib.Plan, picture: admission.Picture
+        self, plan: plan_lib.Plan, snapshot: admission.LoadSnapshot
     ) -> dict[str, object]:
         """Return for a log line what the request's workspace may have."""
         if plan.space is None:
@@ -174,7 +174,7 @@
             plan.service, plan.space
         )
         places = (
-            self._edge_state.full(plan.route, plan.service) * picture.servers
+            self._edge_state.full(plan.route, plan.service) * snapshot.servers
         )
         return {
             "workspace": plan.space,
--- a/src/lugcross/edge/workspace_usage.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -96,8 +96,8 @@
     ) -> shares.Claim:
         """Return what a workspace has of a service, and may have."""
         sums = self._of(service).sums()
-        asking = len(sums) + (space not in sums)
-        more = sum(
+        workspaces = len(sums) + (space not in sums)
+        extra_weight = sum(
             weight - 1.0
             for name, weight in self.weights.items()
             if name in sums or name == space
@@ -105,7 +105,7 @@
         return shares.Claim(
             use=sums.get(space, 0),
             weight=self.weights.get(space, 1.0),
-            weights=asking + more,
+            weights=workspaces + extra_weight,
         )
 
     def by_service(
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -23,8 +23,8 @@
     slots=6, kv_tokens=1000, stride=6, step_ms=5.0, per_seq_ms=0.5
 )
 LIMIT = datetime.timedelta(milliseconds=120)
-FIRST = admission.Asking()
-BACK = admission.Asking(back=True)
+FIRST = admission.Requester()
+RETRY = admission.Requester(is_retry=True)
 SECOND = datetime.timedelta(seconds=1)
 
 
@@ -62,7 +62,7 @@
     assert _choose(bad, good, tried=("good", "bad")) is None
 
 
-def _picture(**fields: float) -> admission.Picture:
+def _load_snapshot(**fields: float) -> admission.LoadSnapshot:
     usual = {
         "servers": 4,
         "slots": 24,
@@ -70,44 +70,48 @@
         "least": 0,
         "unseen": 0.0,
     }
-    return admission.Picture(**(usual | fields))
+    return admission.LoadSnapshot(**(usual | fields))
 
 
 def test_full_service_refuses():
-    assert admission.admit(_picture(busy=15), 4.0, FIRST) is None
-    assert admission.admit(_picture(busy=16), 4.0, FIRST)
+    assert (
+        admission.refusal_reason(_load_snapshot(busy=15), 4.0, FIRST) is None
+    )
+    assert admission.refusal_reason(_load_snapshot(busy=16), 4.0, FIRST)
 
 
 def test_last_places_are_kept_for_first_requests():
-    picture = _picture(busy=13)
-    assert admission.admit(picture, 4.0, FIRST) is None
-    assert admission.admit(picture, 4.0, BACK)
+    snapshot = _load_snapshot(busy=13)
+    assert admission.refusal_reason(snapshot, 4.0, FIRST) is None
+    assert admission.refusal_reason(snapshot, 4.0, RETRY)
 
 
 def test_nobody_is_kept_out_while_half_of_the_slots_are_free():
-    assert admission.admit(_picture(busy=11), 3.0, BACK) is None
-    assert admission.admit(_picture(busy=12), 3.0, BACK)
+    assert (
+        admission.refusal_reason(_load_snapshot(busy=11), 3.0, RETRY) is None
+    )
+    assert admission.refusal_reason(_load_snapshot(busy=12), 3.0, RETRY)
 
 
 def test_what_peers_may_have_sent_meanwhile_counts():
-    picture = _picture(busy=8, unseen=14.0)
-    assert admission.admit(picture, 4.0, FIRST)
+    snapshot = _load_snapshot(busy=8, unseen=14.0)
+    assert admission.refusal_reason(snapshot, 4.0, FIRST)
 
 
 def test_request_with_less_time_left_has_been_refused_before():
-    returns = admission.Returns()
+    detector = admission.RetryDetector()
     full = datetime.timedelta(seconds=8)
-    assert not returns.is_back(full)
-    assert not returns.is_back(full - datetime.timedelta(milliseconds=20))
-    assert returns.is_back(full - datetime.timedelta(seconds=1))
-    assert not returns.is_back(None)
+    assert not detector.is_retry(full)
+    assert not detector.is_retry(full - datetime.timedelta(milliseconds=20))
+    assert detector.is_retry(full - datetime.timedelta(seconds=1))
+    assert not detector.is_retry(None)
 
 
 def test_shorter_deadlines_are_learned_as_usual_in_time():
-    returns = admission.Returns()
-    returns.is_back(datetime.timedelta(seconds=8))
+    detector = admission.RetryDetector()
+    detector.is_retry(datetime.timedelta(seconds=8))
     shorter = datetime.timedelta(seconds=5)
-    told = [returns.is_back(shorter) for _ in range(200)]
+    told = [detector.is_retry(shorter) for _ in range(200)]
     assert told[0] and not told[-1]
 
 
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -27,7 +27,7 @@
     large: bool
     workspace: str
     since: datetime.timedelta
-    back: bool = False
+    is_retry: bool = False
 
     @property
     def work(self) -> datetime.timedelta:
@@ -42,7 +42,7 @@
         self.now = datetime.timedelta()
         self.busy: list[datetime.timedelta] = []
         self.later: list[tuple[datetime.timedelta, Request]] = []
-        self.returns: dict[str, admission.Returns] = {}
+        self.retry_detectors: dict[str, admission.RetryDetector] = {}
         self.asked: collections.Counter[tuple[str, bool, str]] = (
             collections.Counter()
         )
@@ -77,23 +77,27 @@
 
     def _ask(self, one: Request) -> None:
         left = LIFE - (self.now - one.since)
-        returns = self.returns.setdefault(one.route, admission.Returns())
-        picture = admission.Picture(
+        detector = self.retry_detectors.setdefault(
+            one.route, admission.RetryDetector()
+        )
+        snapshot = admission.LoadSnapshot(
             servers=SERVERS,
             slots=SERVERS * SLOTS,
             busy=len(self.busy),
             least=len(self.busy) // SERVERS,
             unseen=0.0,
         )
-        verdict = admission.admit(
-            picture, SLOTS, admission.Asking(back=returns.is_back(left))
+        verdict = admission.refusal_reason(
+            snapshot,
+            SLOTS,
+            admission.Requester(is_retry=detector.is_retry(left)),
         )
         if verdict is None:
             self.busy.append(self.now + one.work)
             self.served[self._class(one)] += 1
-        elif not one.back:
+        elif not one.is_retry:
             wait = datetime.timedelta(seconds=self.rng.uniform(0.7, 1.6))
-            again = dataclasses.replace(one, back=True)
+            again = dataclasses.replace(one, is_retry=True)
             self.later.append((self.now + wait, again))
 
 
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -41,7 +41,7 @@
         rig.edge_state.outages.told("peer", KEYS)
         looks = _count_looks(rig)
         got = await rig.ask(time_left=4000)
-        # One choice, one picture for the verdict, one for the log line.
+        # One choice, one snapshot for the verdict, one for the log line.
         assert len(looks) <= 3
         assert len(rig.backends[0].seen) == 1
         return got
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -168,12 +168,12 @@
     assert found.claim(SERVICE, A).use == 0
 
 
-def _asking(**fields) -> admission.Asking:
-    return admission.Asking(**fields)
+def _requester(**fields) -> admission.Requester:
+    return admission.Requester(**fields)
 
 
-def _picture(busy: int) -> admission.Picture:
-    return admission.Picture(
+def _load_snapshot(busy: int) -> admission.LoadSnapshot:
+    return admission.LoadSnapshot(
         servers=16, slots=96, busy=busy, least=busy // 16, unseen=0.0
     )
 
@@ -181,29 +181,42 @@
 def test_workspace_below_its_share_goes_past_what_is_full_up_to_the_slots():
     below = shares.Claim(use=1, weights=10.0)
     over = shares.Claim(use=40, weights=10.0)
-    full = _picture(64)
-    assert admission.admit(full, 4.0, _asking(claim=below)) is None
-    assert admission.admit(full, 4.0, _asking(claim=over))
-    slots_taken = _picture(96)
-    assert admission.admit(slots_taken, 4.0, _asking(claim=below))
+    full = _load_snapshot(64)
+    assert admission.refusal_reason(full, 4.0, _requester(claim=below)) is None
+    assert admission.refusal_reason(full, 4.0, _requester(claim=over))
+    slots_taken = _load_snapshot(96)
+    assert admission.refusal_reason(slots_taken, 4.0, _requester(claim=below))
 
 
 def test_refusal_tells_a_surge_from_a_full_service():
     over = shares.Claim(use=40, weights=10.0)
     assert "its workspace" in (
-        admission.admit(_picture(62), 4.0, _asking(claim=over)) or ""
+        admission.refusal_reason(
+            _load_snapshot(62), 4.0, _requester(claim=over)
+        )
+        or ""
     )
     assert "every backend" in (
-        admission.admit(_picture(64), 4.0, _asking(claim=over)) or ""
+        admission.refusal_reason(
+            _load_snapshot(64), 4.0, _requester(claim=over)
+        )
+        or ""
     )
 
 
 def test_what_is_less_urgent_goes_first_out_of_a_full_service():
-    nearly = _picture(61)
-    assert admission.admit(nearly, 4.0, _asking()) is None
-    assert admission.admit(nearly, 4.0, _asking(behind=1))
+    nearly = _load_snapshot(61)
+    assert admission.refusal_reason(nearly, 4.0, _requester()) is None
+    assert admission.refusal_reason(
+        nearly, 4.0, _requester(more_urgent_priorities=1)
+    )
     # Never below half of the slots, however many kinds are more urgent.
-    assert admission.admit(_picture(47), 3.0, _asking(behind=9)) is None
+    assert (
+        admission.refusal_reason(
+            _load_snapshot(47), 3.0, _requester(more_urgent_priorities=9)
+        )
+        is None
+    )
 
 
 def _state(*priorities: int) -> desired.Desired:
