--- a/bench/admission.py
+++ b/bench/admission.py
@@ -58,7 +58,7 @@
 
 def _admit(edge_state: edge_state_lib.EdgeState) -> None:
     """Look up what one request asks for."""
-    found = edge_state.choose(SERVICE, ())
+    found = edge_state.choose_backend(SERVICE, ())
     assert found is not None
     edge_state.load_snapshot(SERVICE, least=found.least)
 
--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -190,7 +190,7 @@
     def _admitted(
         self, edge_state: edge_state_lib.EdgeState, name: str
     ) -> desired.BackendKey | None:
-        found = edge_state.choose(SERVICE, ())
+        found = edge_state.choose_backend(SERVICE, ())
         if found is None:
             return None
         snapshot = edge_state.load_snapshot(SERVICE, least=found.least)
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -57,7 +57,7 @@
 
 
 def _anywhere(edge_state: edge_state_lib.EdgeState, plan, tried):
-    return edge_state.choose(plan.service, tried)
+    return edge_state.choose_backend(plan.service, tried)
 
 
 def _no_ledger(*args: object) -> bool:
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -95,13 +95,13 @@
         reports = engines_lib.Caller(
             pool,
             answer_s=engines_lib.REPORT_S,
-            heard=self.edge_state.heard,
+            heard=self.edge_state.apply_answer_head,
             may_send=self.edge_state.rests.may_ask,
         )
         orders = engines_lib.Caller(
             pool,
             answer_s=engines_lib.ORDER_S,
-            heard=self.edge_state.heard,
+            heard=self.edge_state.apply_answer_head,
             may_send=self.edge_state.rests.may_disturb,
         )
         urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
@@ -273,7 +273,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_S)
-            self.edge_state.sweep()
+            self.edge_state.forget_gone_backends()
             self.look_at_file()
 
     async def _drain(self) -> None:
@@ -313,7 +313,7 @@
         except errors.SettingsError as exc:
             logging.error("settings kept out", extra={"why": str(exc)})
             return
-        self.edge_state.allow(settings)
+        self.edge_state.apply_settings(settings)
         self._maps.cfg = settings.maps
         logging.info("settings read anew")
 
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -203,7 +203,7 @@
     async def _receive(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         answer, head = await self._heard_answer(conn)
         self._keep = head.keep
-        self._edge_state.heard(self._backend, head)
+        self._edge_state.apply_answer_head(self._backend, head)
         if head.not_run:
             await conn.body()
             return self._not_run(head)
@@ -256,7 +256,7 @@
                 },
             )
             # Late, but the same server's word about itself.
-            self._edge_state.heard(self._backend, head)
+            self._edge_state.apply_answer_head(self._backend, head)
             await conn.body()
             conn.skip_answer(self._plan.req.method)
 
@@ -324,7 +324,7 @@
         now = self._clock.monotonic()
         limit = self._plan.route.max_gap
         if last is not None and limit is not None:
-            self._edge_state.paused(self._backend, now - last, limit)
+            self._edge_state.observe_pause(self._backend, now - last, limit)
         return now
 
     def _health(self) -> routing.Health:
--- a/src/lugcross/edge/concurrency_limit.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -19,31 +19,31 @@
 #: Weight of one pass against what was learned before: half of a jump is
 #: followed after two passes, and one pass that reads a long prompt, a third
 #: longer than others, changes what is full by a tenth.
-_WEIGHT = 0.3
+_NEW_PASS_WEIGHT = 0.3
 #: Part of the longest pause in time that a mean pass may take. Passes
 #: that read long prompts take longer, and one late pause makes a whole
 #: stream late; measured, see docs/design/0005-platform.md.
-_MEAN_PART = 0.77
+_MEAN_PAUSE_FRACTION = 0.77
 #: Least part of the slots that is used, whatever was learned: below half
 #: of them the service would refuse what its idle places could do.
-_LEAST_PART = 0.5
+_MIN_SLOT_FRACTION = 0.5
 #: Part of the slots that is used before any pause was seen.
-_FIRST_PART = 0.67
+_INITIAL_SLOT_FRACTION = 0.67
 #: Times the engine's own figure that a request may add to a pass: with the
 #: experts' work spread as badly as was seen. What is more is no request's.
-_REQUEST_MOST = 4.0
+_MAX_REQUEST_COST_FACTOR = 4.0
 #: Requests at an engine below which no count is in time: half of the engines
 #: would be idle.
-_OUT_OF_REACH = 0.5
+_MIN_IN_TIME_REQUESTS = 0.5
 #: Part of the least count used that must be in time again to go back to
 #: it, so that not each pass that is a little shorter changes the count.
-_IN_REACH = 0.6
+_RECOVERY_FACTOR = 0.6
 #: Times the longest pause in time that a pass may take while none is in time:
 #: a usual stream of some twenty events still ends well before its deadline.
-_LATE_MOST = 3.0
+_LATE_PAUSE_FACTOR = 3.0
 #: Pauses past this many times the longest in time come of a fault, not
 #: of load, and teach nothing.
-_FAULT = 4.0
+_FAULT_PAUSE_FACTOR = 4.0
 _MS = datetime.timedelta(milliseconds=1)
 
 
@@ -54,46 +54,46 @@
     def __init__(self) -> None:
         self._per_request_ms: float | None = None
         #: Part of a pass that no request explains.
-        self._held_back_ms: float | None = None
+        self._unexplained_ms: float | None = None
         #: Whether no count of requests was in time when last asked.
-        self._out_of_reach = False
+        self._none_in_time = False
         self._passes = pulse.Passes()
 
-    def paused(
+    def observe_pause(
         self,
         pause: datetime.timedelta,
         now: clock_lib.Instant,
         *,
         engine: desired.Engine,
-        per_engine: float,
-        limit: datetime.timedelta,
+        mean_requests: float,
+        max_pause: datetime.timedelta,
     ) -> None:
         """Learn from one pause between two events.
 
-        :param per_engine: mean requests at an engine at that time.
-        :param limit: longest pause that is in time.
+        :param mean_requests: mean requests at an engine at that time.
+        :param max_pause: longest pause that is in time.
         """
-        if pause > limit * _FAULT or per_engine <= 0:
+        if pause > max_pause * _FAULT_PAUSE_FACTOR or mean_requests <= 0:
             return
         if not self._passes.is_new(pause, now):
             return
-        extra_ms = max(0.0, pause / _MS - _fixed_ms(engine))
-        count = max(1.0, per_engine)
-        seen = extra_ms / count
-        most = _request_most_ms(engine)
-        if most:
-            seen = min(seen, most)
-        self._per_request_ms = _closer(self._per_request_ms, seen)
-        self._held_back_ms = _closer(
-            self._held_back_ms, extra_ms - seen * count
+        extra_ms = max(0.0, pause / _MS - _fixed_pass_ms(engine))
+        count = max(1.0, mean_requests)
+        seen_ms = extra_ms / count
+        max_ms = _max_request_ms(engine)
+        if max_ms:
+            seen_ms = min(seen_ms, max_ms)
+        self._per_request_ms = _smoothed(self._per_request_ms, seen_ms)
+        self._unexplained_ms = _smoothed(
+            self._unexplained_ms, extra_ms - seen_ms * count
         )
 
-    def full(
+    def max_requests_per_engine(
         self,
         engine: desired.Engine,
-        limit: datetime.timedelta | None,
+        max_pause: datetime.timedelta | None,
         *,
-        slow: bool = False,
+        has_slow_rank: bool = False,
     ) -> float:
         """Return how many requests one engine may have at once.
 
@@ -108,31 +108,43 @@
         group that has just formed read many prompts and are as long, and with
         all slots given at once they would be longer.
 
-        :param slow: whether a rank is known to hold its group back.
+        :param has_slow_rank: whether a rank is known to hold its group back.
         """
-        held = self._per_request_ms
-        if held is None or limit is None:
-            return engine.slots * _FIRST_PART
-        each = max(held, engine.per_seq_ms, 0.001)
-        always = _fixed_ms(engine) + (self._held_back_ms or 0.0)
-        in_time = (limit / _MS * _MEAN_PART - always) / each
-        least = engine.slots * _LEAST_PART
-        reach = least * _IN_REACH if self._out_of_reach else _OUT_OF_REACH
-        self._out_of_reach = slow and in_time < reach
-        if self._out_of_reach:
-            in_time = (limit / _MS * _LATE_MOST - always) / each
+        per_request_ms = self._per_request_ms
+        if per_request_ms is None or max_pause is None:
+            return engine.slots * _INITIAL_SLOT_FRACTION
+        request_ms = max(per_request_ms, engine.per_seq_ms, 0.001)
+        fixed_ms = _fixed_pass_ms(engine) + (self._unexplained_ms or 0.0)
+        in_time = (
+            max_pause / _MS * _MEAN_PAUSE_FRACTION - fixed_ms
+        ) / request_ms
+        least = engine.slots * _MIN_SLOT_FRACTION
+        threshold = (
+            least * _RECOVERY_FACTOR
+            if self._none_in_time
+            else _MIN_IN_TIME_REQUESTS
+        )
+        self._none_in_time = has_slow_rank and in_time < threshold
+        if self._none_in_time:
+            in_time = (
+                max_pause / _MS * _LATE_PAUSE_FACTOR - fixed_ms
+            ) / request_ms
         return min(float(engine.slots), max(least, in_time))
 
 
-def _closer(held: float | None, seen: float) -> float:
+def _smoothed(mean_ms: float | None, seen_ms: float) -> float:
     """Return what is learned once one more pass was seen."""
-    return seen if held is None else held + _WEIGHT * (seen - held)
+    return (
+        seen_ms
+        if mean_ms is None
+        else mean_ms + _NEW_PASS_WEIGHT * (seen_ms - mean_ms)
+    )
 
 
-def _request_most_ms(engine: desired.Engine) -> float:
+def _max_request_ms(engine: desired.Engine) -> float:
     """Return what one request adds to a pass at most; 0 if not known."""
-    return engine.stride * engine.per_seq_ms * _REQUEST_MOST
+    return engine.stride * engine.per_seq_ms * _MAX_REQUEST_COST_FACTOR
 
 
-def _fixed_ms(engine: desired.Engine) -> float:
+def _fixed_pass_ms(engine: desired.Engine) -> float:
     return engine.stride * engine.step_ms
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -35,28 +35,28 @@
 from lugcross import suspects
 
 #: Part of the repeat budget that refused requests may use.
-_REFUSED_PART = 0.5
+_REFUSED_BUDGET_FRACTION = 0.5
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class _Cached:
+class _CachedServing:
     """The servers of a service, and what they were put together from.
 
-    :param without: sets of servers that were left out.
+    :param excluded: sets of servers that were left out.
     """
 
     listed: tuple[desired.Backend, ...]
-    without: tuple[frozenset[desired.BackendKey], ...]
+    excluded: tuple[frozenset[desired.BackendKey], ...]
     serving: serving_lib.Serving
 
-    def is_of(
+    def is_current(
         self,
         listed: tuple[desired.Backend, ...],
-        without: tuple[frozenset[desired.BackendKey], ...],
+        excluded: tuple[frozenset[desired.BackendKey], ...],
     ) -> bool:
         """Tell whether nothing of this has changed."""
-        pairs = zip(self.without, without, strict=True)
+        pairs = zip(self.excluded, excluded, strict=True)
         return self.listed is listed and all(a is b for a, b in pairs)
 
 
@@ -75,8 +75,8 @@
         self.bounds = settings.bounds
         self._clock = clock
         self._rng = rng
-        self._home = ids.DomainName(settings.domain)
-        self._budgets: dict[ids.ServiceName, routing.RepeatBudget] = {}
+        self._own_domain = ids.DomainName(settings.domain)
+        self._repeat_budgets: dict[ids.ServiceName, routing.RepeatBudget] = {}
         self._retry_detectors: dict[str, admission.RetryDetector] = {}
         self._concurrency_limits: dict[
             ids.ServiceName, concurrency_limit_lib.ConcurrencyLimit
@@ -86,7 +86,7 @@
             [desired.BackendKey, datetime.timedelta], None
         ] = lambda key, pause: None
         #: How many peers may exist, set by whoever listens to them.
-        self.known_peers: Callable[[], int] = lambda: 0
+        self.count_known_peers: Callable[[], int] = lambda: 0
         self.desired: desired.Desired | None = None
         self.records = records_lib.Records()
         self.backends = backends_lib.Backends(
@@ -98,15 +98,17 @@
         self.workspace_usage = workspace_usage.WorkspaceUsage(clock)
         self.workspace_usage.weights = settings.shares.weights
         self.outages = outages_lib.Outages(clock)
-        self.slow = outages_lib.Outages(clock)
+        self.slowdowns = outages_lib.Outages(clock)
         self.rests = rests_lib.Rests(clock)
         self.pool = connection_pool.ConnectionPool(clock)
         self.figures = figures_lib.Figures()
-        self.endings = endings_lib.Endings(clock, software=self.software)
-        self.endings.exempt = _exempt(settings.suspects)
-        self._serving: dict[ids.ServiceName, _Cached] = {}
+        self.endings = endings_lib.Endings(
+            clock, software=self.software_versions
+        )
+        self.endings.exempt = _cleared_requests(settings.suspects)
+        self._serving: dict[ids.ServiceName, _CachedServing] = {}
 
-    def software(self, service: ids.ServiceName) -> frozenset[str]:
+    def software_versions(self, service: ids.ServiceName) -> frozenset[str]:
         """Return the versions that servers of ``service`` run now."""
         return frozenset(one.software for one in self.backends.of(service))
 
@@ -132,13 +134,13 @@
         )
         return True
 
-    def allow(self, settings: settings_lib.Settings) -> None:
+    def apply_settings(self, settings: settings_lib.Settings) -> None:
         """Go by other bounds, shares and exemptions from now on."""
         bounds = settings.bounds
         self.bounds = bounds
         self.workspace_usage.weights = settings.shares.weights
-        self.endings.exempt = _exempt(settings.suspects)
-        for budget in self._budgets.values():
+        self.endings.exempt = _cleared_requests(settings.suspects)
+        for budget in self._repeat_budgets.values():
             budget.allow(
                 ratio=bounds.repeat_ratio,
                 window_s=bounds.repeat_window_s,
@@ -157,20 +159,22 @@
         listed = self.backends.of(service)
         broken = self.outages.servers()
         resting = self.rests.servers()
-        slow = self.slow.servers()
+        slow = self.slowdowns.servers()
         held = self._serving.get(service)
-        if held and held.is_of(listed, (broken, resting, slow)):
+        if held and held.is_current(listed, (broken, resting, slow)):
             return held.serving
         out = broken | resting
         usable = [one for one in listed if one.key not in out]
         usable = serving_lib.without(usable, slow)
-        found = serving_lib.of(usable, home=self._home)
-        self._serving[service] = _Cached(
+        found = serving_lib.of(usable, home=self._own_domain)
+        self._serving[service] = _CachedServing(
             listed, (broken, resting, slow), found
         )
         return found
 
-    def rest_left(self, service: ids.ServiceName) -> datetime.timedelta | None:
+    def remaining_rest(
+        self, service: ids.ServiceName
+    ) -> datetime.timedelta | None:
         """Return how long nobody serves ``service`` because servers rest.
 
         :returns: 0 if one does not rest, none if there is none or all that
@@ -182,7 +186,7 @@
             return datetime.timedelta()
         return self.rests.left(whole)
 
-    def heard(
+    def apply_answer_head(
         self, backend: desired.Backend, head: platform.AnswerHead
     ) -> None:
         """Take over what a server says of itself beside its answer."""
@@ -223,15 +227,17 @@
             unseen=self.loads.unseen(service),
         )
 
-    def full(self, route: desired.Route, service: ids.ServiceName) -> float:
+    def max_requests_per_server(
+        self, route: desired.Route, service: ids.ServiceName
+    ) -> float:
         """Return how many requests one server of ``service`` may have."""
         engine = self.engine(service)
         if engine is not None:
-            slow = self.slow.servers()
-            return self.concurrency_limit(service).full(
+            slow = self.slowdowns.servers()
+            return self.concurrency_limit(service).max_requests_per_engine(
                 engine,
                 route.max_gap,
-                slow=any(
+                has_slow_rank=any(
                     self.backends.service_of(key) == service for key in slow
                 ),
             )
@@ -280,11 +286,11 @@
             route, admission.RetryDetector()
         )
 
-    def paused(
+    def observe_pause(
         self,
         backend: desired.Backend,
         pause: datetime.timedelta,
-        limit: datetime.timedelta,
+        max_pause: datetime.timedelta,
     ) -> None:
         """Learn from a pause between two events of a stream."""
         self.on_pause(backend.key, pause)
@@ -295,15 +301,15 @@
         servers = self.serving(service)
         if not servers:
             return
-        self.concurrency_limit(service).paused(
+        self.concurrency_limit(service).observe_pause(
             pause,
             self._clock.monotonic(),
             engine=engine,
-            per_engine=self.loads.busy_all(servers.keys) / len(servers),
-            limit=limit,
+            mean_requests=self.loads.busy_all(servers.keys) / len(servers),
+            max_pause=max_pause,
         )
 
-    def choose(
+    def choose_backend(
         self,
         service: ids.ServiceName,
         tried: Collection[desired.BackendKey],
@@ -314,19 +320,19 @@
         ejected.
         """
         servers = self.serving(service)
-        found = self._choose(servers.sample(self._rng), tried)
+        found = self._choose_among(servers.sample(self._rng), tried)
         if found is None or found.best.ejected:
-            return self._choose(servers.all, tried)
+            return self._choose_among(servers.all, tried)
         return found
 
-    def choose_apart(
+    def choose_backend_for_suspect(
         self,
         plan: plan_lib.Plan,
         tried: Collection[desired.BackendKey],
     ) -> choice.Choice | None:
         """Return where a suspect should go, apart from other suspects."""
         servers = self.serving(plan.service).all
-        usual = self._choose(servers, tried)
+        usual = self._choose_among(servers, tried)
         free = {
             one.key: one
             for one, busy in zip(
@@ -346,7 +352,7 @@
             usual.least,
         )
 
-    def _choose(
+    def _choose_among(
         self,
         servers: Sequence[desired.Backend],
         tried: Collection[desired.BackendKey],
@@ -363,12 +369,12 @@
             for one, count in zip(servers, busy, strict=True)
         ]
         return choice.choose(
-            candidates, home=self._home, tried=tried, rng=self._rng
+            candidates, home=self._own_domain, tried=tried, rng=self._rng
         )
 
-    def budget(self, service: ids.ServiceName) -> routing.RepeatBudget:
+    def repeat_budget(self, service: ids.ServiceName) -> routing.RepeatBudget:
         """Return this process's part of the repeats of ``service``."""
-        found = self._budgets.get(service)
+        found = self._repeat_budgets.get(service)
         if found is None:
             bounds = self.bounds
             found = routing.RepeatBudget(
@@ -376,10 +382,10 @@
                 window_s=bounds.repeat_window_s,
                 slack=bounds.repeat_slack,
             )
-            self._budgets[service] = found
+            self._repeat_budgets[service] = found
         return found
 
-    def may_repeat(
+    def spend_repeat(
         self, service: ids.ServiceName, event: lifecycle.Event
     ) -> bool:
         """Take one repeat of ``service`` from the budget, if it has one.
@@ -388,13 +394,13 @@
         come back; a broken answer is lost, so that more is kept for it.
         """
         refused = event is lifecycle.Event.NOT_RUN
-        return self.budget(service).spend(
+        return self.repeat_budget(service).spend(
             self._clock.monotonic(),
-            part=_REFUSED_PART if refused else 1.0,
-            peers=self.known_peers(),
+            part=_REFUSED_BUDGET_FRACTION if refused else 1.0,
+            peers=self.count_known_peers(),
         )
 
-    def sweep(self) -> None:
+    def forget_gone_backends(self) -> None:
         """Forget what belongs to backend servers that are gone."""
         self.endings.forget_old()
         known = {one.key for one in self.backends.all()}
@@ -402,7 +408,7 @@
         self.loads.keep_only(known)
 
 
-def _exempt(
+def _cleared_requests(
     cfg: settings_lib.Suspects,
 ) -> frozenset[suspects.Fingerprint]:
     """Return the requests that the operators have cleared."""
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -120,7 +120,7 @@
         self._registration = registration_lib.Registration(
             settings, store, self.peers, clock=clock, rng=rng
         )
-        edge_state.known_peers = self.peers.known
+        edge_state.count_known_peers = self.peers.known
         edge_state.endings.changed = functools.partial(
             self.peers.changed, urgent=True
         )
@@ -321,7 +321,7 @@
         broken = [desired.BackendKey(key) for key in beat.broken]
         self._edge_state.outages.told(beat.node, broken)
         slow = [desired.BackendKey(key) for key in beat.slow]
-        self._edge_state.slow.told(beat.node, slow)
+        self._edge_state.slowdowns.told(beat.node, slow)
         self._cases.hear(beat.suspects)
         for name in beat.leaving_servers:
             self._edge_state.backends.says_it_leaves(desired.BackendKey(name))
--- a/src/lugcross/edge/maps.py
+++ b/src/lugcross/edge/maps.py
@@ -137,7 +137,7 @@
         if self._had:
             await self._look_at_all()
         self._edge_state.outages.told(self._node, self.seen_broken())
-        self._edge_state.slow.told(self._node, self.seen_slow())
+        self._edge_state.slowdowns.told(self._node, self.seen_slow())
 
     async def _look_at_all(self) -> None:
         state = self._edge_state.desired
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -55,7 +55,7 @@
 
     async def run(self) -> None:
         """Send until there is an answer or a reason to give up."""
-        self._edge_state.budget(self._plan.service).asked(
+        self._edge_state.repeat_budget(self._plan.service).asked(
             self._clock.monotonic()
         )
         left = self._left()
@@ -108,7 +108,7 @@
             edge_state.load_snapshot(
                 plan.service, least=found.least if found else 0
             ),
-            edge_state.full(plan.route, plan.service),
+            edge_state.max_requests_per_server(plan.route, plan.service),
             edge_state.requester(
                 plan.route, plan.service, plan.workspace, is_retry=is_retry
             ),
@@ -121,7 +121,7 @@
             return request_errors.overloaded(
                 verdict or "", self._left(), self._rng
             )
-        rest = self._edge_state.rest_left(self._plan.service)
+        rest = self._edge_state.remaining_rest(self._plan.service)
         if rest is not None:
             return self._resting(rest)
         if self._edge_state.backends.of(self._plan.service):
@@ -211,12 +211,14 @@
             return False
         if not self._state.sent:
             return True
-        return self._edge_state.may_repeat(self._plan.service, event)
+        return self._edge_state.spend_repeat(self._plan.service, event)
 
     def _choose(self) -> choice.Choice | None:
         if self._is_suspect():
-            return self._edge_state.choose_apart(self._plan, self._tried)
-        return self._edge_state.choose(self._plan.service, self._tried)
+            return self._edge_state.choose_backend_for_suspect(
+                self._plan, self._tried
+            )
+        return self._edge_state.choose_backend(self._plan.service, self._tried)
 
     def _is_suspect(self) -> bool:
         standing = self._edge_state.endings.standing(self._plan)
@@ -230,7 +232,7 @@
         elif action is lifecycle.Action.CUT:
             raise request_errors.broken("the answer broke off")
         elif action is lifecycle.Action.REFUSE:
-            rest = self._edge_state.rest_left(self._plan.service)
+            rest = self._edge_state.remaining_rest(self._plan.service)
             if rest:
                 raise self._resting(rest)
             raise request_errors.out_of_order(
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -144,7 +144,10 @@
                 "busy": snapshot.busy,
                 "unseen": round(snapshot.unseen, 1),
                 "full": round(
-                    self._edge_state.full(plan.route, plan.service), 2
+                    self._edge_state.max_requests_per_server(
+                        plan.route, plan.service
+                    ),
+                    2,
                 ),
                 **self._share(plan, snapshot),
                 "list_age_s": round(
@@ -174,7 +177,8 @@
             plan.service, plan.space
         )
         places = (
-            self._edge_state.full(plan.route, plan.service) * snapshot.servers
+            self._edge_state.max_requests_per_server(plan.route, plan.service)
+            * snapshot.servers
         )
         return {
             "workspace": plan.space,
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -22,7 +22,7 @@
 ENGINE = desired.Engine(
     slots=6, kv_tokens=1000, stride=6, step_ms=5.0, per_seq_ms=0.5
 )
-LIMIT = datetime.timedelta(milliseconds=120)
+MAX_PAUSE = datetime.timedelta(milliseconds=120)
 FIRST = admission.Requester()
 RETRY = admission.Requester(is_retry=True)
 SECOND = datetime.timedelta(seconds=1)
@@ -119,17 +119,17 @@
 def test_learned_fullness_stays_between_half_and_all_slots(pause_ms, load):
     learned = concurrency_limit.ConcurrencyLimit()
     for num in range(50):
-        learned.paused(
+        learned.observe_pause(
             datetime.timedelta(milliseconds=pause_ms),
             num * SECOND,
             engine=ENGINE,
-            per_engine=load,
-            limit=LIMIT,
+            mean_requests=load,
+            max_pause=MAX_PAUSE,
         )
-    assert 3.0 <= learned.full(ENGINE, LIMIT) <= 6.0
+    assert 3.0 <= learned.max_requests_per_engine(ENGINE, MAX_PAUSE) <= 6.0
 
 
-def _passed(
+def _observe_pass(
     learned: concurrency_limit.ConcurrencyLimit,
     num: int,
     pause_ms: float,
@@ -138,23 +138,27 @@
 ) -> float:
     """Let one pass go by that some streams feel."""
     for _ in range(streams):
-        learned.paused(
+        learned.observe_pause(
             datetime.timedelta(milliseconds=pause_ms),
             num * SECOND,
             engine=ENGINE,
-            per_engine=4.0,
-            limit=LIMIT,
+            mean_requests=4.0,
+            max_pause=MAX_PAUSE,
         )
-    return learned.full(ENGINE, LIMIT)
+    return learned.max_requests_per_engine(ENGINE, MAX_PAUSE)
 
 
-def _full_after(pause_ms: float) -> float:
+def _max_requests_after(pause_ms: float) -> float:
     learned = concurrency_limit.ConcurrencyLimit()
-    return [_passed(learned, num, pause_ms) for num in range(300)][-1]
+    return [_observe_pass(learned, num, pause_ms) for num in range(300)][-1]
 
 
 def test_longer_pauses_leave_room_for_fewer_requests():
-    assert _full_after(110.0) < _full_after(85.0) < _full_after(60.0)
+    assert (
+        _max_requests_after(110.0)
+        < _max_requests_after(85.0)
+        < _max_requests_after(60.0)
+    )
 
 
 def test_pass_teaches_once_however_many_streams_feel_it():
@@ -163,15 +167,15 @@
         concurrency_limit.ConcurrencyLimit(),
     )
     for num, pause_ms in enumerate((60.0, 80.0, 70.0)):
-        alone = _passed(one, num, pause_ms, streams=1)
-        assert _passed(many, num, pause_ms, streams=9) == alone
+        alone = _observe_pass(one, num, pause_ms, streams=1)
+        assert _observe_pass(many, num, pause_ms, streams=9) == alone
 
 
 def test_jump_of_passes_is_followed_within_three():
     learned = concurrency_limit.ConcurrencyLimit()
-    before = [_passed(learned, num, 60.0) for num in range(50)][-1]
-    after = [_passed(learned, num, 120.0) for num in range(50, 53)]
-    least = _full_after(120.0)
+    before = [_observe_pass(learned, num, 60.0) for num in range(50)][-1]
+    after = [_observe_pass(learned, num, 120.0) for num in range(50, 53)]
+    least = _max_requests_after(120.0)
     assert after == sorted(after, reverse=True)
     assert after[-1] - least < (before - least) / 2
 
@@ -185,18 +189,24 @@
     :param slowness: of the slowest rank, by pass.
     """
     learned = concurrency_limit.ConcurrencyLimit()
-    full = [learned.full(ENGINE, LIMIT)]
+    max_requests = [learned.max_requests_per_engine(ENGINE, MAX_PAUSE)]
     for num, times in enumerate(slowness):
-        pause_ms = ENGINE.stride * ENGINE.step_ms * times + 10.0 * full[-1]
-        learned.paused(
+        pause_ms = (
+            ENGINE.stride * ENGINE.step_ms * times + 10.0 * max_requests[-1]
+        )
+        learned.observe_pause(
             datetime.timedelta(milliseconds=pause_ms),
             num * SECOND,
             engine=ENGINE,
-            per_engine=full[-1],
-            limit=LIMIT,
+            mean_requests=max_requests[-1],
+            max_pause=MAX_PAUSE,
+        )
+        max_requests.append(
+            learned.max_requests_per_engine(
+                ENGINE, MAX_PAUSE, has_slow_rank=times > 1.0
+            )
         )
-        full.append(learned.full(ENGINE, LIMIT, slow=times > 1.0))
-    return full[1:]
+    return max_requests[1:]
 
 
 def test_slow_rank_does_not_keep_half_of_the_places_empty():
@@ -220,15 +230,20 @@
     """A group that has just formed reads many prompts in its first passes."""
     learned = concurrency_limit.ConcurrencyLimit()
     for num in range(20):
-        learned.paused(
+        learned.observe_pause(
             datetime.timedelta(milliseconds=200),
             num * SECOND,
             engine=ENGINE,
-            per_engine=3.0,
-            limit=LIMIT,
+            mean_requests=3.0,
+            max_pause=MAX_PAUSE,
         )
-    assert learned.full(ENGINE, LIMIT) == ENGINE.slots / 2
-    assert learned.full(ENGINE, LIMIT, slow=True) == ENGINE.slots
+    assert (
+        learned.max_requests_per_engine(ENGINE, MAX_PAUSE) == ENGINE.slots / 2
+    )
+    assert (
+        learned.max_requests_per_engine(ENGINE, MAX_PAUSE, has_slow_rank=True)
+        == ENGINE.slots
+    )
 
 
 def test_passes_far_too_slow_take_no_more_than_end_in_time():
@@ -239,15 +254,15 @@
 
 def test_pause_of_a_fault_teaches_nothing():
     learned = concurrency_limit.ConcurrencyLimit()
-    before = learned.full(ENGINE, LIMIT)
-    learned.paused(
+    before = learned.max_requests_per_engine(ENGINE, MAX_PAUSE)
+    learned.observe_pause(
         datetime.timedelta(seconds=2),
         SECOND,
         engine=ENGINE,
-        per_engine=1.0,
-        limit=LIMIT,
+        mean_requests=1.0,
+        max_pause=MAX_PAUSE,
     )
-    assert learned.full(ENGINE, LIMIT) == before
+    assert learned.max_requests_per_engine(ENGINE, MAX_PAUSE) == before
 
 
 @given(st.lists(st.integers(1, 60), max_size=12))
