--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -181,7 +181,9 @@
             return
         self.served[name, int(now)] += 1
         edge_state.loads.started(key)
-        edge_state.workspace_usage.began(SERVICE, ids.WorkspaceName(name))
+        edge_state.workspace_usage.request_started(
+            SERVICE, ids.WorkspaceName(name)
+        )
         self.busy += 1
         self.most_busy = max(self.most_busy, self.busy)
         life = LIFE_S * self.rng.uniform(0.5, 1.5)
@@ -208,7 +210,9 @@
         key: desired.BackendKey,
     ) -> None:
         edge_state.loads.ended(key)
-        edge_state.workspace_usage.ended(SERVICE, ids.WorkspaceName(name))
+        edge_state.workspace_usage.request_ended(
+            SERVICE, ids.WorkspaceName(name)
+        )
         self.busy -= 1
 
     def _tell(self, num: int) -> None:
@@ -220,7 +224,7 @@
             "heard",
             num,
             edge_state.loads.own(),
-            edge_state.workspace_usage.own(),
+            edge_state.workspace_usage.own_counts(),
         )
 
     def _heard(
@@ -232,7 +236,7 @@
         for other, edge_state in enumerate(self.edge_states):
             if other != num:
                 edge_state.loads.peer_told(f"n{num}", running)
-                edge_state.workspace_usage.peer_told(f"n{num}", uses)
+                edge_state.workspace_usage.apply_peer_counts(f"n{num}", uses)
 
     def share_served(self, names: set[str], since: int, until: int) -> float:
         """Return the share of some workspaces' requests that was served."""
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -235,7 +235,7 @@
             suspects=len(self.edge_state.endings.ledger),
         )
         self.edge_state.figures.running(
-            self.edge_state.workspace_usage.by_service()
+            self.edge_state.workspace_usage.counts_by_service()
         )
         give = functools.partial(
             figures_lib.give,
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -140,12 +140,14 @@
         edge_state = self._edge_state
         plan = self._plan
         edge_state.loads.started(self._backend.key)
-        edge_state.workspace_usage.began(plan.service, plan.space)
+        edge_state.workspace_usage.request_started(plan.service, plan.space)
         try:
             try:
-                once = not self._plan.route.repeatable
-                conn = await edge_state.pool.take(
-                    self._backend, once=once, fresh=self._fresh
+                not_repeatable = not self._plan.route.repeatable
+                conn = await edge_state.pool.acquire(
+                    self._backend,
+                    not_repeatable=not_repeatable,
+                    new=self._fresh,
                 )
             except http1.NoConnectionError as exc:
                 self._failed(str(exc))
@@ -153,7 +155,7 @@
             if edge_state.rests.rests(self._backend.key):
                 # It has asked while this one waited for its connection, for
                 # up to 0.4 s: as many as waited would reach it.
-                edge_state.pool.give(self._backend, conn, None)
+                edge_state.pool.release(self._backend, conn, None)
                 return lifecycle.Event.UNREACHED
             return await self._use(conn)
         finally:
@@ -162,7 +164,7 @@
                 # would be left alone for good.
                 self._health().unclear()
             edge_state.loads.ended(self._backend.key)
-            edge_state.workspace_usage.ended(plan.service, plan.space)
+            edge_state.workspace_usage.request_ended(plan.service, plan.space)
 
     async def _use(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         whole = False
@@ -178,7 +180,7 @@
             return lifecycle.Event.BROKEN
         finally:
             if whole:
-                self._edge_state.pool.give(self._backend, conn, self._keep)
+                self._edge_state.pool.release(self._backend, conn, self._keep)
             else:
                 # The server notices, and stops working on the request.
                 conn.close()
@@ -235,7 +237,7 @@
         if not conn.unheard() or not self._again():
             return
         self._unheard = True
-        self._edge_state.pool.drop(self._backend.key)
+        self._edge_state.pool.close_idle(self._backend.key)
         conn.close()
 
     async def _own_answer(
@@ -314,7 +316,7 @@
                 ]
             if some:
                 await self._delivery.events(answer, some)
-        if splitter.rest:
+        if splitter.incomplete:
             raise _BadAnswerError("the stream ended within an event")
         self._worked()
         await self._delivery.end(answer)
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -124,7 +124,7 @@
             return False
         self.desired = state
         self.records.add(record)
-        self.workspace_usage.adopt(state.services, state.workspaces())
+        self.workspace_usage.set_names(state.services, state.workspaces())
         logging.info(
             "desired state",
             extra={
@@ -404,7 +404,7 @@
         """Forget what belongs to backend servers that are gone."""
         self.endings.forget_old()
         known = {one.key for one in self.backends.all()}
-        self.pool.sweep(known)
+        self.pool.close_unusable(known)
         self.loads.keep_only(known)
 
 
--- a/src/lugcross/edge/engines.py
+++ b/src/lugcross/edge/engines.py
@@ -49,9 +49,9 @@
         :raises http1.NoConnectionError: when nothing was sent.
         :raises http1.BrokenError: when it may have been read.
         """
-        conn = await self._pool.take(backend)
+        conn = await self._pool.acquire(backend)
         if not self._may_send(backend.key):
-            self._pool.give(backend, conn, None)
+            self._pool.release(backend, conn, None)
             raise http1.NoConnectionError(
                 f"{backend.key} has asked for rest", remedy="ask later"
             )
@@ -73,6 +73,6 @@
             conn.close()
             raise
         head = platform.read_answer_head(answer.status, answer.headers)
-        self._pool.give(backend, conn, head.keep)
+        self._pool.release(backend, conn, head.keep)
         self._heard(backend, head)
         return answer.status, got
--- a/src/lugcross/edge/event_stream.py
+++ b/src/lugcross/edge/event_stream.py
@@ -4,9 +4,9 @@
 from typing import final
 
 #: End of an event, as HTML's server-sent events have it.
-_END = b"\n\n"
+_EVENT_END = b"\n\n"
 #: Field that holds the id of an event.
-_ID = b"id:"
+_ID_FIELD = b"id:"
 
 
 @final
@@ -18,24 +18,24 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     @property
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Bytes of an event whose end has not come yet."""
-        return self._rest
+        return self._incomplete
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the events that ``data`` completes, in order."""
-        *whole, self._rest = (self._rest + data).split(_END)
-        return [event + _END for event in whole]
+        *whole, self._incomplete = (self._incomplete + data).split(_EVENT_END)
+        return [event + _EVENT_END for event in whole]
 
 
 def event_id(event: bytes) -> str:
     """Return the id of an event; empty if it has none."""
     for line in event.split(b"\n"):
-        if line.startswith(_ID):
-            return line[len(_ID) :].strip().decode("latin-1")
+        if line.startswith(_ID_FIELD):
+            return line[len(_ID_FIELD) :].strip().decode("latin-1")
     return ""
 
 
--- a/src/lugcross/edge/follow.py
+++ b/src/lugcross/edge/follow.py
@@ -145,7 +145,10 @@
             return await self._store.tail(self._topic, start, wait=_NO_WAIT)
         read = asyncio.create_task(
             self._store.tail(
-                self._topic, start, wait=self._wait(), answer=long_poll.ANSWER
+                self._topic,
+                start,
+                wait=self._wait(),
+                answer=long_poll.ANSWER_TIMEOUT,
             )
         )
         try:
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -289,7 +289,7 @@
             broken=[str(key) for key in self.seen_broken()],
             generation=self.generation() or 0,
             reads=not self.trouble.now and self.can_claim(),
-            uses=self._edge_state.workspace_usage.own(),
+            uses=self._edge_state.workspace_usage.own_counts(),
             desired_ms=self._answered_ms(platform.OPERATOR_TOPIC),
             backends_ms=self._answered_ms(platform.BACKENDS_TOPIC),
             slow=[str(key) for key in self.seen_slow()],
@@ -301,7 +301,7 @@
 
     def _answered_ms(self, topic: str) -> int:
         """Return how long ago the store answered; -1 if too long ago."""
-        age = self.answers.own_age(topic)
+        age = self.answers.own_answer_age(topic)
         if age is None or age > messages.AGE_MOST_MS * _MS:
             return -1
         return int(age / _MS)
@@ -317,7 +317,9 @@
         self._heard_era(positions.Position(beat.end))
         near = beat.domain == self._settings.domain
         self._edge_state.loads.peer_told(beat.node, running, near=near)
-        self._edge_state.workspace_usage.peer_told(beat.node, beat.uses)
+        self._edge_state.workspace_usage.apply_peer_counts(
+            beat.node, beat.uses
+        )
         broken = [desired.BackendKey(key) for key in beat.broken]
         self._edge_state.outages.told(beat.node, broken)
         slow = [desired.BackendKey(key) for key in beat.slow]
@@ -333,7 +335,7 @@
             (platform.BACKENDS_TOPIC, beat.backends_ms),
         ):
             if age_ms >= 0:
-                self.answers.told(topic, age_ms * _MS)
+                self.answers.record_peer_answer(topic, age_ms * _MS)
 
     def _era_began(self, era: positions.Era, before: positions.Era) -> None:
         """Have written again what the store may have lost of ours.
@@ -395,5 +397,5 @@
 
     def answered(self, topic: str) -> None:
         """Note that the store has told all that it has of a topic."""
-        self.answers.answered(topic)
+        self.answers.record_answer(topic)
         self._lags[topic].restart()
--- a/src/lugcross/edge/sources.py
+++ b/src/lugcross/edge/sources.py
@@ -37,7 +37,7 @@
         gap: Callable[[], datetime.timedelta],
     ) -> follow.Follower:
         def unit() -> datetime.timedelta:
-            return long_poll.news(
+            return long_poll.wait_time(
                 peers=len(known.peers.live()),
                 bound=bound(),
                 contact=edge_state.bounds.contact,
@@ -45,14 +45,14 @@
             )
 
         def wait() -> datetime.timedelta:
-            return long_poll.STANDBY if known.reads_after() else unit()
+            return long_poll.STANDBY_WAIT if known.reads_after() else unit()
 
         def is_late() -> bool:
-            return long_poll.is_late(known.lag(topic), bound())
+            return long_poll.must_read_store(known.lag(topic), bound())
 
         def is_due() -> bool:
-            age = known.answers.age(topic)
-            return is_late() or long_poll.is_due(
+            age = known.answers.newest_answer_age(topic)
+            return is_late() or long_poll.is_overdue(
                 age, unit(), known.reads_after()
             )
 
--- a/src/lugcross/edge/store_contact.py
+++ b/src/lugcross/edge/store_contact.py
@@ -17,26 +17,28 @@
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
-        self._own: dict[str, clock_lib.Instant] = {}
-        self._newest: dict[str, clock_lib.Instant] = {}
+        self._own_answers: dict[str, clock_lib.Instant] = {}
+        self._newest_answers: dict[str, clock_lib.Instant] = {}
 
-    def answered(self, topic: str) -> None:
+    def record_answer(self, topic: str) -> None:
         """Note that the store has answered this process."""
         now = self._clock.monotonic()
-        self._own[topic] = self._newest[topic] = now
+        self._own_answers[topic] = self._newest_answers[topic] = now
 
-    def told(self, topic: str, age: clock_lib.Instant) -> None:
+    def record_peer_answer(self, topic: str, age: clock_lib.Instant) -> None:
         """Take over how long ago a peer was answered."""
         at = self._clock.monotonic() - age
-        self._newest[topic] = max(at, self._newest.get(topic, at))
+        self._newest_answers[topic] = max(
+            at, self._newest_answers.get(topic, at)
+        )
 
-    def own_age(self, topic: str) -> clock_lib.Instant | None:
+    def own_answer_age(self, topic: str) -> clock_lib.Instant | None:
         """Return how long ago this process was answered, if ever."""
-        return self._age(self._own, topic)
+        return self._age(self._own_answers, topic)
 
-    def age(self, topic: str) -> clock_lib.Instant | None:
+    def newest_answer_age(self, topic: str) -> clock_lib.Instant | None:
         """Return how long ago anyone was answered, if that is known."""
-        return self._age(self._newest, topic)
+        return self._age(self._newest_answers, topic)
 
     def _age(
         self, moments: dict[str, clock_lib.Instant], topic: str
--- a/src/lugcross/edge/workspace_usage.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -14,10 +14,10 @@
 from lugcross import shares
 
 #: Age at which what a peer told counts no more, as for servers' loads.
-_STALE = datetime.timedelta(seconds=1.5)
+_PEER_COUNTS_MAX_AGE = datetime.timedelta(seconds=1.5)
 #: Workspaces that one datagram tells of, heaviest first; a process with 15
 #: requests a second of two seconds each has no more in progress at once.
-_TOLD_MOST = 32
+_MAX_WORKSPACES_TOLD = 32
 
 
 @final
@@ -38,7 +38,7 @@
         #: Weights other than 1, by workspace.
         self.weights: Mapping[str, float] = {}
 
-    def adopt(
+    def set_names(
         self,
         services: Iterable[ids.ServiceName],
         workspaces: Iterable[ids.WorkspaceName],
@@ -46,56 +46,60 @@
         """Learn which workspaces and services there are."""
         spaces = set(workspaces)
         self._names = {
-            number_of(service, space): (service, space)
+            workspace_number(service, space): (service, space)
             for service in services
             for space in spaces
         }
 
-    def began(
+    def request_started(
         self, service: ids.ServiceName, space: ids.WorkspaceName | None
     ) -> None:
         """Note that a request of ``space`` was sent from here."""
         if space is not None:
-            self._of(service).add(space, 1)
+            self._tally(service).add(space, 1)
 
-    def ended(
+    def request_ended(
         self, service: ids.ServiceName, space: ids.WorkspaceName | None
     ) -> None:
         """Note that a request of ``space`` sent from here is over."""
         if space is not None:
-            self._of(service).add(space, -1)
+            self._tally(service).add(space, -1)
 
-    def own(self) -> dict[int, int]:
+    def own_counts(self) -> dict[int, int]:
         """Return what to tell peers: requests in progress, by number."""
         found = {
-            number_of(service, space): count
+            workspace_number(service, space): count
             for service, tally in self._tallies.items()
             for space, count in tally.own().items()
         }
-        if len(found) <= _TOLD_MOST:
+        if len(found) <= _MAX_WORKSPACES_TOLD:
             return found
-        heaviest = heapq.nlargest(_TOLD_MOST, found, key=found.__getitem__)
+        heaviest = heapq.nlargest(
+            _MAX_WORKSPACES_TOLD, found, key=found.__getitem__
+        )
         return {number: found[number] for number in heaviest}
 
-    def peer_told(self, node: str, uses: Mapping[int, int]) -> None:
+    def apply_peer_counts(
+        self, node: str, counts_by_number: Mapping[int, int]
+    ) -> None:
         """Take over what a peer has in progress, by number."""
-        told: dict[ids.ServiceName, dict[ids.WorkspaceName, int]] = {
-            service: {} for service in self._tallies
-        }
-        for number, count in uses.items():
+        counts_by_service: dict[
+            ids.ServiceName, dict[ids.WorkspaceName, int]
+        ] = {service: {} for service in self._tallies}
+        for number, count in counts_by_number.items():
             # One that is not known is of a desired state yet to come.
             named = self._names.get(number)
             if named is not None:
                 service, space = named
-                told.setdefault(service, {})[space] = count
-        for service, counts in told.items():
-            self._of(service).told(node, counts)
+                counts_by_service.setdefault(service, {})[space] = count
+        for service, counts in counts_by_service.items():
+            self._tally(service).told(node, counts)
 
     def claim(
         self, service: ids.ServiceName, space: ids.WorkspaceName
     ) -> shares.Claim:
         """Return what a workspace has of a service, and may have."""
-        sums = self._of(service).sums()
+        sums = self._tally(service).sums()
         workspaces = len(sums) + (space not in sums)
         extra_weight = sum(
             weight - 1.0
@@ -108,22 +112,24 @@
             weights=workspaces + extra_weight,
         )
 
-    def by_service(
+    def counts_by_service(
         self,
     ) -> dict[ids.ServiceName, Mapping[ids.WorkspaceName, int]]:
         """Return all that is in progress; not to be changed or kept."""
         return {name: one.sums() for name, one in self._tallies.items()}
 
-    def _of(
+    def _tally(
         self, service: ids.ServiceName
     ) -> tally_lib.Tally[ids.WorkspaceName]:
         found = self._tallies.get(service)
         if found is None:
-            found = tally_lib.Tally(self._clock, stale=_STALE)
+            found = tally_lib.Tally(self._clock, stale=_PEER_COUNTS_MAX_AGE)
             self._tallies[service] = found
         return found
 
 
-def number_of(service: ids.ServiceName, space: ids.WorkspaceName) -> int:
+def workspace_number(
+    service: ids.ServiceName, space: ids.WorkspaceName
+) -> int:
     """Return the number by which peers tell of a workspace's requests."""
     return zlib.crc32(f"{service}\0{space}".encode())
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -356,12 +356,12 @@
         _nobody_hears(monkeypatch, r.backends[0].port)
         known = {one.key: one for one in r.edge_state.backends.all()}
         backend = known[desired.BackendKey("i-0")]
-        kept = await r.edge_state.pool.take(backend)
-        idle = await r.edge_state.pool.take(backend)
+        kept = await r.edge_state.pool.acquire(backend)
+        idle = await r.edge_state.pool.acquire(backend)
         idle.send(b"GET", b"/", [(b"Host", b"h")], b"")
         await idle.answer()
         await idle.body()
-        r.edge_state.pool.give(backend, idle, None)
+        r.edge_state.pool.release(backend, idle, None)
         kept.close()
         await r.ask()
         return idle.closing
--- a/testing/edge/test_connection_pool.py
+++ b/testing/edge/test_connection_pool.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rested_s", "once", "kept"),
+    ("rested_s", "not_repeatable", "kept"),
     [
         (0.5, True, True),
         (2.0, True, False),
@@ -54,17 +54,19 @@
     ],
 )
 def test_what_rested_is_not_used_for_what_must_not_be_repeated(
-    pool, manual_clock, rested_s, once, kept
+    pool, manual_clock, rested_s, not_repeatable, kept
 ):
     # Symptom: requests that must not be repeated ended with 502 or at their
     # deadline. Sequence: the connection was kept from an earlier request;
     # the server had forgotten it or it had gone silent; what was sent on it
     # may have run for all that is known. Cause: any kept one was used.
     async def act() -> bool:
-        conn = await pool.take(BACKEND)
-        pool.give(BACKEND, conn, KEEP)
+        conn = await pool.acquire(BACKEND)
+        pool.release(BACKEND, conn, KEEP)
         manual_clock.advance(datetime.timedelta(seconds=rested_s))
-        return await pool.take(BACKEND, once=once) is conn
+        return (
+            await pool.acquire(BACKEND, not_repeatable=not_repeatable) is conn
+        )
 
     assert asyncio.run(act()) is kept
 
@@ -73,20 +75,20 @@
     pool, manual_clock
 ):
     async def act() -> bool:
-        conn = await pool.take(BACKEND)
-        pool.give(BACKEND, conn, KEEP)
+        conn = await pool.acquire(BACKEND)
+        pool.release(BACKEND, conn, KEEP)
         manual_clock.advance(datetime.timedelta(seconds=2))
-        await pool.take(BACKEND, once=True)
-        return await pool.take(BACKEND) is conn
+        await pool.acquire(BACKEND, not_repeatable=True)
+        return await pool.acquire(BACKEND) is conn
 
     assert asyncio.run(act())
 
 
 def test_connections_to_a_silent_host_are_closed(pool):
     async def act() -> bool:
-        conn = await pool.take(BACKEND)
-        pool.give(BACKEND, conn, KEEP)
-        pool.drop(BACKEND.key)
-        return conn.closing and await pool.take(BACKEND) is not conn
+        conn = await pool.acquire(BACKEND)
+        pool.release(BACKEND, conn, KEEP)
+        pool.close_idle(BACKEND.key)
+        return conn.closing and await pool.acquire(BACKEND) is not conn
 
     assert asyncio.run(act())
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -275,7 +275,7 @@
         got += splitter.feed(data[:size])
         data = data[size:]
     assert got == whole
-    assert splitter.rest == b""
+    assert splitter.incomplete == b""
 
 
 @pytest.mark.parametrize(
--- a/testing/edge/test_long_poll.py
+++ b/testing/edge/test_long_poll.py
@@ -9,12 +9,12 @@
 
 from lugcross.edge import long_poll
 
-ANSWER_S = long_poll.ANSWER.total_seconds()
+ANSWER_TIMEOUT_S = long_poll.ANSWER_TIMEOUT.total_seconds()
 GAP = datetime.timedelta(seconds=0.4)
 
 
 def _wait_s(peers: int, bound_s: float, contact_s: float) -> float:
-    wait = long_poll.news(
+    wait = long_poll.wait_time(
         peers=peers,
         bound=datetime.timedelta(seconds=bound_s),
         contact=datetime.timedelta(seconds=contact_s),
@@ -51,7 +51,7 @@
     bound_s, contact_s
 ):
     wait_s = _wait_s(5, bound_s, contact_s)
-    most_s = max(bound_s / 2, contact_s - ANSWER_S - 0.9)
+    most_s = max(bound_s / 2, contact_s - ANSWER_TIMEOUT_S - 0.9)
     assert wait_s == pytest.approx(min(most_s, 4.0), abs=1e-6)
 
 
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_rest.py
@@ -179,15 +179,15 @@
     async def act(rig, clock):
         del clock
         first = rig.backends[0]
-        take = rig.edge_state.pool.take
+        acquire = rig.edge_state.pool.acquire
 
-        async def take_late(backend, **kwargs):
-            conn = await take(backend, **kwargs)
+        async def acquire_late(backend, **kwargs):
+            conn = await acquire(backend, **kwargs)
             # Another request is turned away meanwhile.
             rig.edge_state.rests.asked(backend.key, REST)
             return conn
 
-        rig.edge_state.pool.take = take_late
+        rig.edge_state.pool.acquire = acquire_late
         got = await rig.ask()
         assert not first.seen
         return got
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -120,28 +120,28 @@
     assert sum(parts) == pytest.approx(places)
 
 
-def _uses(**weights: float) -> workspace_usage.WorkspaceUsage:
+def _workspace_usage(**weights: float) -> workspace_usage.WorkspaceUsage:
     found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
-    found.adopt([SERVICE], [A, B])
+    found.set_names([SERVICE], [A, B])
     found.weights = weights
     return found
 
 
 def test_what_peers_have_counts_for_the_workspace():
-    here, there = _uses(), _uses()
-    there.began(SERVICE, A)
-    there.began(SERVICE, A)
-    here.peer_told("n2", there.own())
-    here.began(SERVICE, B)
+    here, there = _workspace_usage(), _workspace_usage()
+    there.request_started(SERVICE, A)
+    there.request_started(SERVICE, A)
+    here.apply_peer_counts("n2", there.own_counts())
+    here.request_started(SERVICE, B)
     assert here.claim(SERVICE, A).use == 2
     assert here.claim(SERVICE, A).weights == 2.0
-    here.peer_told("n2", {})
+    here.apply_peer_counts("n2", {})
     assert here.claim(SERVICE, A).use == 0
 
 
 def test_weight_of_the_settings_counts():
-    found = _uses(a=3.0)
-    found.began(SERVICE, B)
+    found = _workspace_usage(a=3.0)
+    found.request_started(SERVICE, B)
     assert found.claim(SERVICE, A).share(40.0) == 30.0
     assert found.claim(SERVICE, B).share(40.0) == 40.0
 
@@ -156,15 +156,15 @@
     found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
     for num in range(40):
         for _ in range(1 + num):
-            found.began(SERVICE, ids.WorkspaceName(f"w{num}"))
-    told = found.own()
+            found.request_started(SERVICE, ids.WorkspaceName(f"w{num}"))
+    told = found.own_counts()
     assert len(told) == 32
     assert min(told.values()) == 9
 
 
 def test_number_that_nobody_knows_changes_nothing():
-    found = _uses()
-    found.peer_told("n2", {12345: 9})
+    found = _workspace_usage()
+    found.apply_peer_counts("n2", {12345: 9})
     assert found.claim(SERVICE, A).use == 0
 
 
--- a/testing/edge/test_silence.py
+++ b/testing/edge/test_silence.py
@@ -110,7 +110,7 @@
             fleet.store.unreachable.add(node.way)
             fleet.store.silence_connections(node.way)
         # As long as a read of those that stand by may hang.
-        await asyncio.sleep(long_poll.STANDBY.total_seconds() + 3.0)
+        await asyncio.sleep(long_poll.STANDBY_WAIT.total_seconds() + 3.0)
         assert all(node.knowledge.trouble.now for node in some)
         fleet.store.unreachable.clear()
         # One call that still hangs, the longest rest and the next call.
