--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -86,8 +86,8 @@
         )
         self._request_handler = request_handler.RequestHandler(
             self.edge_state,
-            closed=self._closed,
-            changed=self.knowledge.peers.changed,
+            is_stopping=self._closed,
+            on_change=self.knowledge.peers.changed,
             clock=clock,
             rng=rng,
         )
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -23,25 +23,25 @@
 #: within a region, and one packet that is lost and sent again after 0.2 s.
 #: A repeatable request to a host that was cut off is answered elsewhere
 #: after 0.3 s instead of being given up at the end of its time.
-HEARD_WITHIN = datetime.timedelta(seconds=0.3)
+ACK_TIMEOUT = datetime.timedelta(seconds=0.3)
 #: What a backend server gets less than there is, so that its own answer
 #: at the deadline still arrives before ours is due.
-_ON_THE_WAY = datetime.timedelta(milliseconds=20)
+_TRANSIT_MARGIN = datetime.timedelta(milliseconds=20)
 #: Type of an answer that comes in events.
-_STREAM = b"text/event-stream"
+_EVENT_STREAM_TYPE = b"text/event-stream"
 
 
-class _BadAnswerError(Exception):
+class _InvalidAnswerError(Exception):
     """An answer that cannot be the one to this request."""
 
 
 @final
-class Delivery:
+class ResponseWriter:
     """What the caller was given, over all attempts.
 
     :ivar begun: whether the caller has part of the answer.
-    :ivar first_at: when the first part was given.
-    :ivar last_id: id of the last event that was given.
+    :ivar first_byte_at: when the first part was given.
+    :ivar last_event_id: id of the last event that was given.
     """
 
     def __init__(
@@ -52,32 +52,36 @@
     ) -> None:
         self._exchange = exchange
         self._clock = clock
-        self.first_at: clock_lib.Instant | None = None
+        self.first_byte_at: clock_lib.Instant | None = None
         self.status = 0
-        self._held: tuple[http1.Answer, bytes] | None = None
+        self._held_failure: tuple[http1.Answer, bytes] | None = None
         self.begun = False
-        self.last_id = plan.head.last_event_id
+        self.last_event_id = plan.head.last_event_id
 
-    async def give(self, answer: http1.Answer, body: bytes) -> None:
+    async def write_whole(self, answer: http1.Answer, body: bytes) -> None:
         """Give a whole answer."""
         self._begin(answer)
         headers = platform.answer_headers(answer.raw)
         await self._exchange.head(answer.status, headers, body, whole=True)
 
-    def hold(self, answer: http1.Answer, body: bytes) -> None:
+    def hold_failure(self, answer: http1.Answer, body: bytes) -> None:
         """Keep a failure, for the case that there is nothing better."""
-        self._held = (answer, body)
+        self._held_failure = (answer, body)
 
-    async def pass_on(self) -> None:
+    async def write_held_failure(self) -> None:
         """Give the failure that was kept."""
-        assert self._held is not None
-        await self.give(*self._held)
+        assert self._held_failure is not None
+        await self.write_whole(*self._held_failure)
 
-    async def events(self, answer: http1.Answer, some: list[bytes]) -> None:
+    async def write_events(
+        self, answer: http1.Answer, some: list[bytes]
+    ) -> None:
         """Give events; before the first of them the head."""
         data = b"".join(some)
         for event in some:
-            self.last_id = event_stream.event_id(event) or self.last_id
+            self.last_event_id = (
+                event_stream.event_id(event) or self.last_event_id
+            )
         if self.begun:
             await self._exchange.data(data)
             return
@@ -88,12 +92,12 @@
     def _begin(self, answer: http1.Answer) -> None:
         self.begun = True
         self.status = answer.status
-        self.first_at = self._clock.monotonic()
+        self.first_byte_at = self._clock.monotonic()
 
-    async def end(self, answer: http1.Answer) -> None:
+    async def finish(self, answer: http1.Answer) -> None:
         """Mark a stream as whole."""
         if not self.begun:
-            await self.give(answer, b"")
+            await self.write_whole(answer, b"")
             return
         await self._exchange.end()
 
@@ -102,9 +106,11 @@
 class Attempt:
     """Sends a request to one backend server and passes its answer on.
 
-    :param again: tells whether it may go to another one if it breaks here.
-    :param fresh: whether it must not be sent to a server that has ended
-        already: nothing may speak against a request that never ran there.
+    :param may_resend: tells whether it may go to another one if it breaks
+        here.
+    :param new_connection: whether it must not be sent to a server that has
+        ended already: nothing may speak against a request that never ran
+        there.
     """
 
     def __init__(
@@ -113,24 +119,24 @@
         clock: clock_lib.Clock,
         plan: plan_lib.Plan,
         backend: desired.Backend,
-        delivery: Delivery,
+        response: ResponseWriter,
         *,
-        again: Callable[[], bool],
-        fresh: bool,
+        may_resend: Callable[[], bool],
+        new_connection: bool,
     ) -> None:
-        self._again = again
-        self._fresh = fresh
+        self._may_resend = may_resend
+        self._new_connection = new_connection
         self._edge_state = edge_state
         self._clock = clock
         self._plan = plan
         self._backend = backend
-        self._delivery = delivery
-        self._keep: datetime.timedelta | None = None
-        self._unheard = False
+        self._response = response
+        self._keep_alive: datetime.timedelta | None = None
+        self._unacknowledged = False
         #: Whether the attempt told how the server is.
-        self._told = False
+        self._health_reported = False
         #: Whether the server, or its host, ended the connection.
-        self.cut_off = False
+        self.connection_lost = False
 
     async def run(self) -> lifecycle.Event | None:
         """Return none once the caller has the whole answer.
@@ -147,40 +153,44 @@
                 conn = await edge_state.pool.acquire(
                     self._backend,
                     not_repeatable=not_repeatable,
-                    new=self._fresh,
+                    new=self._new_connection,
                 )
             except http1.NoConnectionError as exc:
-                self._failed(str(exc))
+                self._report_failure(str(exc))
                 return lifecycle.Event.UNREACHED
             if edge_state.rests.rests(self._backend.key):
                 # It has asked while this one waited for its connection, for
                 # up to 0.4 s: as many as waited would reach it.
                 edge_state.pool.release(self._backend, conn, None)
                 return lifecycle.Event.UNREACHED
-            return await self._use(conn)
+            return await self._run_on(conn)
         finally:
-            if not self._told:
+            if not self._health_reported:
                 # Its caller left, or its time was over: a server on trial
                 # would be left alone for good.
                 self._health().unclear()
             edge_state.loads.ended(self._backend.key)
             edge_state.workspace_usage.request_ended(plan.service, plan.space)
 
-    async def _use(self, conn: http1.ClientConn) -> lifecycle.Event | None:
+    async def _run_on(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         whole = False
         try:
             self._send(conn)
             event = await self._receive(conn)
             whole = conn.reusable
-        except (http1.BrokenError, _BadAnswerError) as exc:
+        except (http1.BrokenError, _InvalidAnswerError) as exc:
             ended = isinstance(exc, http1.BrokenError)
-            self.cut_off = ended and not self._unheard
-            unheard = "no byte of the request was acknowledged"
-            self._failed(unheard if self._unheard else str(exc))
+            self.connection_lost = ended and not self._unacknowledged
+            unacknowledged = "no byte of the request was acknowledged"
+            self._report_failure(
+                unacknowledged if self._unacknowledged else str(exc)
+            )
             return lifecycle.Event.BROKEN
         finally:
             if whole:
-                self._edge_state.pool.release(self._backend, conn, self._keep)
+                self._edge_state.pool.release(
+                    self._backend, conn, self._keep_alive
+                )
             else:
                 # The server notices, and stops working on the request.
                 conn.close()
@@ -188,36 +198,36 @@
 
     def _send(self, conn: http1.ClientConn) -> None:
         plan = self._plan
-        resumed = self._delivery.begun
-        left = plan.deadline - self._clock.monotonic() - _ON_THE_WAY
+        resumed = self._response.begun
+        left = plan.deadline - self._clock.monotonic() - _TRANSIT_MARGIN
         headers = platform.request_headers(
             plan.req.raw,
             backend=self._backend.id,
             workspace=plan.space,
             time_left=left,
             body_bytes=None if plan.req.body is None else len(plan.req.body),
-            resume_after=self._delivery.last_id if resumed else "",
+            resume_after=self._response.last_event_id if resumed else "",
         )
         conn.send(
             plan.req.method, plan.req.target, headers, plan.req.body or b""
         )
 
     async def _receive(self, conn: http1.ClientConn) -> lifecycle.Event | None:
-        answer, head = await self._heard_answer(conn)
-        self._keep = head.keep
+        answer, head = await self._receive_acknowledged(conn)
+        self._keep_alive = head.keep
         self._edge_state.apply_answer_head(self._backend, head)
         if head.not_run:
             await conn.body()
-            return self._not_run(head)
-        self._check(head)
+            return self._handle_not_run(head)
+        self._check_answer(head)
         types = [v for n, v in answer.headers if n == b"content-type"]
-        streams = bool(types) and types[0].startswith(_STREAM)
+        streams = bool(types) and types[0].startswith(_EVENT_STREAM_TYPE)
         if head.success and streams:
             self._health().accepted()
-            return await self._pass_events(conn, answer)
-        return await self._pass_whole(conn, answer, head)
+            return await self._forward_events(conn, answer)
+        return await self._forward_whole(conn, answer, head)
 
-    async def _heard_answer(
+    async def _receive_acknowledged(
         self, conn: http1.ClientConn
     ) -> tuple[http1.Answer, platform.AnswerHead]:
         """Return the answer to this request, unless it was not heard.
@@ -226,21 +236,21 @@
         have run, its answer is waited for to the end.
         """
         look = asyncio.get_running_loop().call_later(
-            HEARD_WITHIN.total_seconds(), self._end_if_unheard, conn
+            ACK_TIMEOUT.total_seconds(), self._close_if_unacknowledged, conn
         )
         try:
-            return await self._own_answer(conn)
+            return await self._matching_answer(conn)
         finally:
             look.cancel()
 
-    def _end_if_unheard(self, conn: http1.ClientConn) -> None:
-        if not conn.unheard() or not self._again():
+    def _close_if_unacknowledged(self, conn: http1.ClientConn) -> None:
+        if not conn.unheard() or not self._may_resend():
             return
-        self._unheard = True
+        self._unacknowledged = True
         self._edge_state.pool.close_idle(self._backend.key)
         conn.close()
 
-    async def _own_answer(
+    async def _matching_answer(
         self, conn: http1.ClientConn
     ) -> tuple[http1.Answer, platform.AnswerHead]:
         """Return the answer to this request, past any to earlier ones."""
@@ -262,7 +272,7 @@
             await conn.body()
             conn.skip_answer(self._plan.req.method)
 
-    def _not_run(self, head: platform.AnswerHead) -> lifecycle.Event:
+    def _handle_not_run(self, head: platform.AnswerHead) -> lifecycle.Event:
         if head.moved:
             self._edge_state.backends.forget(
                 self._backend.key, "another life has its address"
@@ -271,15 +281,17 @@
             self._health().turned_away(self._clock.monotonic())
         return lifecycle.Event.NOT_RUN
 
-    def _check(self, head: platform.AnswerHead) -> None:
+    def _check_answer(self, head: platform.AnswerHead) -> None:
         if head.encoded:
-            raise _BadAnswerError("an encoded body is not the server's own")
+            raise _InvalidAnswerError(
+                "an encoded body is not the server's own"
+            )
         if head.success and not head.sealed:
-            raise _BadAnswerError("a success without a signature")
+            raise _InvalidAnswerError("a success without a signature")
         if head.success and head.attempt_id != self._plan.head.attempt_id:
-            raise _BadAnswerError("a success without the request's id")
+            raise _InvalidAnswerError("a success without the request's id")
 
-    async def _pass_whole(
+    async def _forward_whole(
         self,
         conn: http1.ClientConn,
         answer: http1.Answer,
@@ -288,41 +300,43 @@
         body = await conn.body()
         failed = head.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
         if failed or head.status in platform.PROMISES:
-            self._failed(f"status {head.status}")
+            self._report_failure(f"status {head.status}")
             if head.status in platform.PROMISES:
                 # Without a proof, the status would promise too much.
                 return lifecycle.Event.BROKEN
-            self._delivery.hold(answer, body)
+            self._response.hold_failure(answer, body)
             return lifecycle.Event.FAILED
-        self._worked()
-        if self._delivery.begun:
-            raise _BadAnswerError("not a stream, where one was to go on")
-        await self._delivery.give(answer, body)
+        self._report_success()
+        if self._response.begun:
+            raise _InvalidAnswerError("not a stream, where one was to go on")
+        await self._response.write_whole(answer, body)
         return None
 
-    async def _pass_events(
+    async def _forward_events(
         self, conn: http1.ClientConn, answer: http1.Answer
     ) -> lifecycle.Event | None:
         splitter = event_stream.EventSplitter()
-        after = self._delivery.last_id if self._delivery.begun else ""
+        after = self._response.last_event_id if self._response.begun else ""
         last: clock_lib.Instant | None = None
         while (data := await conn.data()) is not None:
             some = splitter.feed(data)
             if some:
-                last = self._note_pause(last)
+                last = self._observe_pause(last)
             if after:
                 some = [
                     one for one in some if event_stream.is_later(one, after)
                 ]
             if some:
-                await self._delivery.events(answer, some)
+                await self._response.write_events(answer, some)
         if splitter.incomplete:
-            raise _BadAnswerError("the stream ended within an event")
-        self._worked()
-        await self._delivery.end(answer)
+            raise _InvalidAnswerError("the stream ended within an event")
+        self._report_success()
+        await self._response.finish(answer)
         return None
 
-    def _note_pause(self, last: clock_lib.Instant | None) -> clock_lib.Instant:
+    def _observe_pause(
+        self, last: clock_lib.Instant | None
+    ) -> clock_lib.Instant:
         now = self._clock.monotonic()
         limit = self._plan.route.max_gap
         if last is not None and limit is not None:
@@ -332,12 +346,12 @@
     def _health(self) -> routing.Health:
         return self._edge_state.loads.health(self._backend.key)
 
-    def _worked(self) -> None:
-        self._told = True
+    def _report_success(self) -> None:
+        self._health_reported = True
         self._health().worked()
 
-    def _failed(self, why: str) -> None:
-        self._told = True
+    def _report_failure(self, why: str) -> None:
+        self._health_reported = True
         ejected = self._health().failed(self._clock.monotonic())
         logging.info(
             "backend server failed",
--- a/src/lugcross/edge/request_errors.py
+++ b/src/lugcross/edge/request_errors.py
@@ -12,14 +12,14 @@
 
 #: When a caller should come back at the earliest: time for a few passes of
 #: an engine, in which places come free.
-RETRY_AFTER = datetime.timedelta(milliseconds=700)
+MIN_RETRY_AFTER = datetime.timedelta(milliseconds=700)
 #: Parts of the time left within which callers of a full service are told
 #: to come back, spread so that they do not all come at once.
-_FULL_PART = 0.2
+_OVERLOADED_SPREAD_FRACTION = 0.2
 #: Part of the time left after which callers of a service whose servers
 #: all refuse should come back: as late as leaves time for an answer, since
 #: what broke them takes seconds to mend.
-_BROKEN_PART = 0.3
+_UNAVAILABLE_WAIT_FRACTION = 0.3
 
 
 @final
@@ -58,7 +58,7 @@
 
 def not_ready(what: str) -> RequestError:
     """Return a refusal of a process that cannot serve now."""
-    return _not_run(what, RETRY_AFTER)
+    return _not_run(what, MIN_RETRY_AFTER)
 
 
 def overloaded(
@@ -68,12 +68,12 @@
 
     :param left: time that its caller will still wait.
     """
-    most = max(RETRY_AFTER, left * _FULL_PART)
-    wait = RETRY_AFTER + (most - RETRY_AFTER) * rng.random()
+    most = max(MIN_RETRY_AFTER, left * _OVERLOADED_SPREAD_FRACTION)
+    wait = MIN_RETRY_AFTER + (most - MIN_RETRY_AFTER) * rng.random()
     return _not_run(what, wait)
 
 
-def resting(rest: datetime.timedelta, rng: random.Random) -> RequestError:
+def all_resting(rest: datetime.timedelta, rng: random.Random) -> RequestError:
     """Return a refusal while all servers rest, or have rested just now.
 
     Callers come back once the first of them has rested, spread over a moment:
@@ -81,29 +81,31 @@
 
     :param rest: time until then; 0 if it has.
     """
-    wait = max(RETRY_AFTER, rest) + RETRY_AFTER * rng.random()
+    wait = max(MIN_RETRY_AFTER, rest) + MIN_RETRY_AFTER * rng.random()
     return _not_run("every backend server has asked for rest", wait)
 
 
-def out_of_order(what: str, left: datetime.timedelta) -> RequestError:
+def unavailable(what: str, left: datetime.timedelta) -> RequestError:
     """Return a refusal of a request that the servers refused themselves.
 
     :param left: time that its caller will still wait.
     """
-    return _not_run(what, max(RETRY_AFTER, left * _BROKEN_PART))
+    return _not_run(
+        what, max(MIN_RETRY_AFTER, left * _UNAVAILABLE_WAIT_FRACTION)
+    )
 
 
-def ends_servers(ends: int, lapses: datetime.timedelta) -> RequestError:
+def servers_ended(ended: int, retry_after: datetime.timedelta) -> RequestError:
     """Return a refusal of a request under which servers have ended.
 
-    :param ends: how many.
-    :param lapses: time after which it may be tried anew.
+    :param ended: how many.
+    :param retry_after: time after which it may be tried anew.
     """
     return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
-        f"{ends} backend servers have ended while they ran this request",
+        f"{ended} backend servers have ended while they ran this request",
         remedy="change the request, or have the operator clear it",
-        retry_after=lapses,
+        retry_after=retry_after,
     )
 
 
@@ -125,7 +127,7 @@
     )
 
 
-def bad_key() -> RequestError:
+def unknown_key() -> RequestError:
     """Return a refusal of a key that no workspace has."""
     return RequestError(
         http.HTTPStatus.UNAUTHORIZED,
@@ -134,7 +136,7 @@
     )
 
 
-def unknown(what: str) -> RequestError:
+def outcome_unknown(what: str) -> RequestError:
     """Return an answer that promises nothing."""
     return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
@@ -152,7 +154,7 @@
     )
 
 
-def broken(what: str) -> RequestError:
+def answer_interrupted(what: str) -> RequestError:
     """Return why an answer that had begun is cut off."""
     return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -35,18 +35,18 @@
         clock: clock_lib.Clock,
         exchange: http1.Exchange,
         plan: plan_lib.Plan,
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
         rng: random.Random,
     ) -> None:
         self._rng = rng
         self._edge_state = edge_state
         self._clock = clock
         self._plan = plan
-        self._changed = changed
-        self._answer = attempt_lib.Delivery(exchange, plan, clock)
+        self._on_change = on_change
+        self._response = attempt_lib.ResponseWriter(exchange, plan, clock)
         self._tried: set[desired.BackendKey] = set()
         #: Whether the last attempt's server ended its connection.
-        self._cut_off = False
+        self._connection_lost = False
         #: When the last attempt was sent.
         self._sent_at = plan.req.at
         self._state = lifecycle.State(
@@ -58,34 +58,34 @@
         self._edge_state.repeat_budget(self._plan.service).asked(
             self._clock.monotonic()
         )
-        left = self._left()
+        left = self._time_left()
         try:
             async with asyncio.timeout(left.total_seconds()):
-                await self._send_all(self._first())
+                await self._send_until_answered(self._choose_first_backend())
         except TimeoutError:
-            self._time_out()
+            self._raise_timeout()
 
-    def _left(self) -> datetime.timedelta:
+    def _time_left(self) -> datetime.timedelta:
         return self._plan.deadline - self._clock.monotonic()
 
-    def _first(self) -> desired.Backend:
+    def _choose_first_backend(self) -> desired.Backend:
         """Return the first backend server, or refuse.
 
         Nobody waits for a place here, also not who comes back: of those
         that were kept waiting hardly any was served, and their callers
         were told so seconds later than they could have been.
         """
-        self._refuse_if_ending()
+        self._refuse_if_it_ends_servers()
         is_retry = self._edge_state.retry_detector(
             self._plan.route.name
         ).is_retry(self._plan.head.time_left)
-        found = self._choose()
-        verdict = self._verdict(found, is_retry=is_retry)
-        if found is None or verdict is not None:
-            raise self._refusal(found, verdict)
+        found = self._choose_backend()
+        reason = self._refusal_reason(found, is_retry=is_retry)
+        if found is None or reason is not None:
+            raise self._refused_error(found, reason)
         return found.best.backend
 
-    def _refuse_if_ending(self) -> None:
+    def _refuse_if_it_ends_servers(self) -> None:
         """Refuse what ends the servers that run it, before any ends more.
 
         Unbounded, one such request that came every 0.2 to 3 s ended 17 to 75
@@ -97,9 +97,9 @@
             return
         ends = endings.against(self._plan)
         self._edge_state.figures.suspect_refused(self._plan.service)
-        raise request_errors.ends_servers(len(ends), endings.lapses(ends))
+        raise request_errors.servers_ended(len(ends), endings.lapses(ends))
 
-    def _verdict(
+    def _refusal_reason(
         self, found: choice.Choice | None, *, is_retry: bool
     ) -> str | None:
         plan = self._plan
@@ -114,30 +114,30 @@
             ),
         )
 
-    def _refusal(
-        self, found: choice.Choice | None, verdict: str | None
+    def _refused_error(
+        self, found: choice.Choice | None, reason: str | None
     ) -> request_errors.RequestError:
         if found is not None:
             return request_errors.overloaded(
-                verdict or "", self._left(), self._rng
+                reason or "", self._time_left(), self._rng
             )
         rest = self._edge_state.remaining_rest(self._plan.service)
         if rest is not None:
-            return self._resting(rest)
+            return self._all_resting_error(rest)
         if self._edge_state.backends.of(self._plan.service):
-            return request_errors.out_of_order(
-                "its groups of ranks are broken", self._left()
+            return request_errors.unavailable(
+                "its groups of ranks are broken", self._time_left()
             )
         return request_errors.not_ready("no backend server is known")
 
-    def _resting(
+    def _all_resting_error(
         self, rest: datetime.timedelta
     ) -> request_errors.RequestError:
         """Return the refusal while all servers rest or are on trial."""
         self._edge_state.figures.rest_refused(self._plan.service)
-        return request_errors.resting(rest, self._rng)
+        return request_errors.all_resting(rest, self._rng)
 
-    async def _send_all(self, first: desired.Backend) -> None:
+    async def _send_until_answered(self, first: desired.Backend) -> None:
         backend = first
         while True:
             self._tried.add(backend.key)
@@ -147,16 +147,16 @@
                 return
             self._edge_state.figures.attempt(self._plan.service, event.value)
             self._state = lifecycle.after(self._state, event)
-            await self._look_if_ended(event, backend)
-            found = self._choose()
+            await self._check_if_backend_ended(event, backend)
+            found = self._choose_backend()
             action = lifecycle.decide(
                 self._state,
                 event,
-                another=found is not None and self._may_repeat(event),
+                another=found is not None and self._spend_repeat(event),
             )
-            self._log(event, backend, action)
+            self._log_attempt(event, backend, action)
             if action is not lifecycle.Action.AGAIN or found is None:
-                await self._give_up(action, event)
+                await self._finish_unanswered(action, event)
                 return
             backend = found.best.backend
 
@@ -166,40 +166,42 @@
             self._clock,
             self._plan,
             backend,
-            self._answer,
-            again=self._may_go_on,
-            fresh=self._is_suspect(),
+            self._response,
+            may_resend=self._may_resend,
+            new_connection=self._is_suspect(),
         )
-        self._changed()
+        self._on_change()
         self._sent_at = self._clock.monotonic()
         try:
             event = await attempt.run()
         finally:
-            self._changed()
-        self._cut_off = attempt.cut_off
+            self._on_change()
+        self._connection_lost = attempt.connection_lost
         if event in (None, lifecycle.Event.FAILED):
             self._edge_state.endings.answered(
                 self._plan, backend, self._sent_at
             )
-        begun = self._answer.begun
+        begun = self._response.begun
         self._state = dataclasses.replace(self._state, begun=begun)
         return event
 
-    async def _look_if_ended(
+    async def _check_if_backend_ended(
         self, event: lifecycle.Event, backend: desired.Backend
     ) -> None:
         """Find out whether a server has ended under this request."""
-        if event is lifecycle.Event.BROKEN and self._cut_off:
+        if event is lifecycle.Event.BROKEN and self._connection_lost:
             await self._edge_state.endings.broke(
                 self._plan, backend, self._sent_at
             )
 
-    def _may_go_on(self) -> bool:
+    def _may_resend(self) -> bool:
         """Tell whether another server is left if this attempt breaks."""
         broken = lifecycle.after(self._state, lifecycle.Event.BROKEN)
-        return lifecycle.may_send(broken) and self._choose() is not None
+        return (
+            lifecycle.may_send(broken) and self._choose_backend() is not None
+        )
 
-    def _may_repeat(self, event: lifecycle.Event) -> bool:
+    def _spend_repeat(self, event: lifecycle.Event) -> bool:
         """Take one repeat from the budget, unless it would be the first.
 
         Only what arrived at a backend server counts against it.
@@ -213,7 +215,7 @@
             return True
         return self._edge_state.spend_repeat(self._plan.service, event)
 
-    def _choose(self) -> choice.Choice | None:
+    def _choose_backend(self) -> choice.Choice | None:
         if self._is_suspect():
             return self._edge_state.choose_backend_for_suspect(
                 self._plan, self._tried
@@ -224,36 +226,38 @@
         standing = self._edge_state.endings.standing(self._plan)
         return standing is suspects.Standing.SUSPECT
 
-    async def _give_up(
+    async def _finish_unanswered(
         self, action: lifecycle.Action, event: lifecycle.Event
     ) -> None:
         if action is lifecycle.Action.PASS_ON:
-            await self._answer.pass_on()
+            await self._response.write_held_failure()
         elif action is lifecycle.Action.CUT:
-            raise request_errors.broken("the answer broke off")
+            raise request_errors.answer_interrupted("the answer broke off")
         elif action is lifecycle.Action.REFUSE:
             rest = self._edge_state.remaining_rest(self._plan.service)
             if rest:
-                raise self._resting(rest)
-            raise request_errors.out_of_order(
-                f"no backend server ran it ({event.value})", self._left()
+                raise self._all_resting_error(rest)
+            raise request_errors.unavailable(
+                f"no backend server ran it ({event.value})", self._time_left()
             )
         else:
-            raise request_errors.unknown("a backend server broke off")
+            raise request_errors.outcome_unknown("a backend server broke off")
 
-    def _time_out(self) -> None:
-        if self._answer.begun:
-            raise request_errors.broken("its time is over")
+    def _raise_timeout(self) -> None:
+        if self._response.begun:
+            raise request_errors.answer_interrupted("its time is over")
         raise request_errors.timed_out()
 
     def _log_answer(self, backend: desired.Backend) -> None:
         """Tell how a request that has its answer came by it."""
         plan = self._plan
-        first = self._answer.first_at
-        took = None if first is None else first - plan.req.at
-        status = self._answer.status
-        self._edge_state.figures.answered(plan.service, status, took)
-        whole = self._clock.monotonic() - plan.req.at
+        first = self._response.first_byte_at
+        first_byte_after = None if first is None else first - plan.req.at
+        status = self._response.status
+        self._edge_state.figures.answered(
+            plan.service, status, first_byte_after
+        )
+        total = self._clock.monotonic() - plan.req.at
         logging.info(
             "answered",
             extra={
@@ -266,13 +270,15 @@
                 "domain": backend.domain,
                 "status": status,
                 "sent": self._state.sent + 1,
-                "first_ms": None if took is None else round(took / _MS),
-                "whole_ms": round(whole / _MS),
-                "last_id": self._answer.last_id,
+                "first_ms": None
+                if first_byte_after is None
+                else round(first_byte_after / _MS),
+                "whole_ms": round(total / _MS),
+                "last_id": self._response.last_event_id,
             },
         )
 
-    def _log(
+    def _log_attempt(
         self,
         event: lifecycle.Event,
         backend: desired.Backend,
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -26,22 +26,22 @@
 class RequestHandler:
     """Serves requests from the edge state of the process.
 
-    :param closed: whether new requests can no longer be finished here.
-    :param changed: called when requests in progress have changed.
+    :param is_stopping: whether new requests can no longer be finished here.
+    :param on_change: called when requests in progress have changed.
     """
 
     def __init__(
         self,
         edge_state: edge_state_lib.EdgeState,
         *,
-        closed: Callable[[], bool],
-        changed: Callable[[], None],
+        is_stopping: Callable[[], bool],
+        on_change: Callable[[], None],
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
         self._edge_state = edge_state
-        self._closed = closed
-        self._changed = changed
+        self._is_stopping = is_stopping
+        self._on_change = on_change
         self._clock = clock
         self._rng = rng
 
@@ -52,13 +52,13 @@
         head = platform.read_caller_head(req.headers)
         plan: plan_lib.Plan | None = None
         try:
-            plan = self._plan(req, head)
+            plan = self._make_plan(req, head)
             await request_forwarder.RequestForwarder(
                 self._edge_state,
                 self._clock,
                 exchange,
                 plan,
-                self._changed,
+                self._on_change,
                 self._rng,
             ).run()
         except request_errors.RequestError as exc:
@@ -69,28 +69,28 @@
                 exc.status, exc.headers(), exc.body(), whole=True
             )
 
-    def _plan(
+    def _make_plan(
         self, req: http1.Request, head: platform.CallerHead
     ) -> plan_lib.Plan:
-        if self._closed():
+        if self._is_stopping():
             raise request_errors.not_ready("this process is being stopped")
         state = self._edge_state.desired
         if state is None:
             raise request_errors.not_ready("no desired state is known yet")
-        route = self._route(state, req)
-        workspace = self._workspace(state, route, head)
+        route = self._find_route(state, req)
+        workspace = self._authenticate(state, route, head)
         wait = min(head.time_left or route.timeout, route.timeout)
         return plan_lib.Plan(
             req=req,
             head=head,
             route=route,
-            service=self._service(route),
+            service=self._pick_service(route),
             workspace=workspace,
             deadline=req.at + wait,
             version=state.version,
         )
 
-    def _route(
+    def _find_route(
         self, state: desired.Desired, req: http1.Request
     ) -> desired.Route:
         hosts = [value for name, value in req.headers if name == b"host"]
@@ -103,7 +103,7 @@
             raise request_errors.no_route(host, path)
         return route
 
-    def _workspace(
+    def _authenticate(
         self,
         state: desired.Desired,
         route: desired.Route,
@@ -113,10 +113,10 @@
             return None
         workspace = state.keys.get(head.key)
         if workspace is None:
-            raise request_errors.bad_key()
+            raise request_errors.unknown_key()
         return workspace
 
-    def _service(self, route: desired.Route) -> ids.ServiceName:
+    def _pick_service(self, route: desired.Route) -> ids.ServiceName:
         if len(route.shares) == 1:
             return route.shares[0].service
         weights = [share.weight for share in route.shares]
@@ -149,7 +149,7 @@
                     ),
                     2,
                 ),
-                **self._share(plan, snapshot),
+                **self._share_fields(plan, snapshot),
                 "list_age_s": round(
                     self._edge_state.backends.age().total_seconds(), 3
                 ),
@@ -167,7 +167,7 @@
             },
         )
 
-    def _share(
+    def _share_fields(
         self, plan: plan_lib.Plan, snapshot: admission.LoadSnapshot
     ) -> dict[str, object]:
         """Return for a log line what the request's workspace may have."""
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -297,7 +297,7 @@
 @pytest.fixture
 def looked_at_once(monkeypatch):
     """Look at once whether a request was heard: no answer is as fast."""
-    monkeypatch.setattr(attempt, "HEARD_WITHIN", datetime.timedelta())
+    monkeypatch.setattr(attempt, "ACK_TIMEOUT", datetime.timedelta())
 
 
 def _nobody_hears(monkeypatch, port: int) -> None:
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -300,14 +300,14 @@
         for _ in range(50)
     }
     assert len(waits) > 10
-    assert all(request_errors.RETRY_AFTER <= wait < left / 3 for wait in waits)
+    assert all(
+        request_errors.MIN_RETRY_AFTER <= wait < left / 3 for wait in waits
+    )
 
 
 def test_caller_with_little_time_is_not_told_less_than_the_least():
-    found = request_errors.out_of_order(
-        "broken", datetime.timedelta(seconds=1)
-    )
-    assert found.retry_after == request_errors.RETRY_AFTER
+    found = request_errors.unavailable("broken", datetime.timedelta(seconds=1))
+    assert found.retry_after == request_errors.MIN_RETRY_AFTER
 
 
 def test_servers_told_broken_are_believed_until_that_is_old(manual_clock):
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -261,8 +261,8 @@
         self.leaving = False
         self.request_handler = request_handler.RequestHandler(
             self.edge_state,
-            closed=lambda: self.closed,
-            changed=lambda: None,
+            is_stopping=lambda: self.closed,
+            on_change=lambda: None,
             clock=self.clock,
             rng=rng,
         )
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -334,8 +334,8 @@
         answer = Answer(asyncio.get_running_loop().time(), body)
         handler = request_handler.RequestHandler(
             node.edge_state,
-            closed=lambda: False,
-            changed=node.knowledge.peers.changed,
+            is_stopping=lambda: False,
+            on_change=node.knowledge.peers.changed,
             clock=clock,
             rng=self.rng,
         )
