--- a/testing/edge/conftest.py
+++ b/testing/edge/conftest.py
@@ -12,7 +12,7 @@
 
 
 @pytest.fixture
-def play() -> Callable[..., object]:
+def run_with_rig() -> Callable[..., object]:
     """Run a coroutine with a started rig and clean up after it."""
 
     def run(
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -18,14 +18,14 @@
 _EMPTY = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_answer_comes_whole_with_seal_and_id(play):
-    got = play(rig.SAFE, [[rig.answer()]], lambda r: r.ask())
+def test_answer_comes_whole_with_seal_and_id(run_with_rig):
+    got = run_with_rig(rig.SAFE_ROUTE, [[rig.answer()]], lambda r: r.ask())
     assert (got.status, got.body, got.whole) == (200, b"whole", True)
     assert got.headers[b"response-seal"] == b"s1"
     assert got.headers[b"attempt-identifier"] == b"a1"
 
 
-def test_backend_gets_path_body_and_only_the_systems_own_headers(play):
+def test_backend_gets_path_body_and_only_the_systems_own_headers(run_with_rig):
     async def act(r):
         await r.ask(
             b"Tenant: forged",
@@ -39,7 +39,7 @@
         )
         return r.backends[0].seen[0]
 
-    seen = play(rig.SAFE, [[rig.answer()]], act)
+    seen = run_with_rig(rig.SAFE_ROUTE, [[rig.answer()]], act)
     assert seen.line == b"POST /r/a?b=%20c HTTP/1.1"
     assert seen.body == b"bytes"
     assert seen.headers[b"tenant"] == b"space-a"
@@ -49,12 +49,12 @@
         assert name not in seen.headers
 
 
-def test_backend_gets_less_time_than_the_caller_has(play):
+def test_backend_gets_less_time_than_the_caller_has(run_with_rig):
     async def act(r):
         await r.ask(time_left=3000)
         return r.backends[0].seen[0]
 
-    seen = play(rig.SAFE, [[rig.answer()]], act)
+    seen = run_with_rig(rig.SAFE_ROUTE, [[rig.answer()]], act)
     assert 2000 < int(seen.headers[b"time-remaining"]) < 3000
 
 
@@ -63,7 +63,9 @@
     [(b"X-Api-Key: nobodys", 401), (b"X-Other: 1", 404)],
     ids=["unknown-key", "unknown-path"],
 )
-def test_what_no_desired_state_allows_reaches_nobody(play, header, status):
+def test_what_no_desired_state_allows_reaches_nobody(
+    run_with_rig, header, status
+):
     async def act(r):
         data = rig.request(header, path=b"/none/")
         if status == 401:
@@ -71,53 +73,60 @@
         got = await r.send(data)
         return got.status, len(r.backends[0].seen)
 
-    assert play(rig.SAFE, [[]], act) == (status, 0)
+    assert run_with_rig(rig.SAFE_ROUTE, [[]], act) == (status, 0)
 
 
-def test_not_run_goes_on_elsewhere(play):
+def test_not_run_goes_on_elsewhere(run_with_rig):
     scripts = [[rig.answer(503, b"", NOT_RUN)], [rig.answer()]]
-    got = play(rig.UNSAFE_TWICE, scripts, lambda r: r.ask())
+    got = run_with_rig(
+        rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, lambda r: r.ask()
+    )
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_not_run_everywhere_is_told_with_when_to_come_back(play):
+def test_not_run_everywhere_is_told_with_when_to_come_back(run_with_rig):
     scripts = [[rig.answer(503, b"", NOT_RUN)]]
-    got = play(rig.UNSAFE, scripts, lambda r: r.ask())
+    got = run_with_rig(rig.UNSAFE_ROUTE, scripts, lambda r: r.ask())
     assert got.status == 503
     # As late as a caller that waits 5 s can come back and be answered.
     assert 1.0 < float(got.headers[b"retry-after"]) < 5.0 / 3
 
 
-def test_refusal_without_proof_is_not_passed_on_as_not_run(play):
+def test_refusal_without_proof_is_not_passed_on_as_not_run(run_with_rig):
     scripts = [[rig.answer(503, b"")], [rig.answer()]]
-    got = play(rig.UNSAFE_TWICE, scripts, lambda r: r.ask())
+    got = run_with_rig(
+        rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, lambda r: r.ask()
+    )
     assert got.status == 502
     assert b"response-seal" not in got.headers
 
 
-def test_unsafe_request_that_may_have_run_is_sent_once(play):
+def test_unsafe_request_that_may_have_run_is_sent_once(run_with_rig):
     async def act(r):
         got = await r.ask(method=b"POST", body=b"x")
         return got.status, len(r.backends[1].seen)
 
-    scripts = [[rig.raw(b"", close=True)], [rig.answer()]]
-    assert play(rig.UNSAFE_TWICE, scripts, act) == (502, 0)
+    scripts = [[rig.raw_bytes(b"", close=True)], [rig.answer()]]
+    assert run_with_rig(rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, act) == (
+        502,
+        0,
+    )
 
 
-def test_safe_request_that_broke_is_sent_again(play):
-    scripts = [[rig.raw(b"", close=True)], [rig.answer()]]
-    got = play(rig.SAFE, scripts, lambda r: r.ask())
+def test_safe_request_that_broke_is_sent_again(run_with_rig):
+    scripts = [[rig.raw_bytes(b"", close=True)], [rig.answer()]]
+    got = run_with_rig(rig.SAFE_ROUTE, scripts, lambda r: r.ask())
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_attempts_of_the_route_are_the_most(play):
+def test_attempts_of_the_route_are_the_most(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, sum(len(b.seen) for b in r.backends)
 
-    broken = rig.raw(b"", close=True)
+    broken = rig.raw_bytes(b"", close=True)
     scripts = [[broken], [broken], [broken]]
-    assert play(rig.SAFE, scripts, act) == (502, 2)
+    assert run_with_rig(rig.SAFE_ROUTE, scripts, act) == (502, 2)
 
 
 @pytest.mark.parametrize(
@@ -125,8 +134,8 @@
     [
         rig.answer(seal=False),
         rig.answer(200, b"x", b"Content-Encoding: gzip"),
-        rig.raw(b"not an answer\r\n\r\n", close=True),
-        rig.raw(
+        rig.raw_bytes(b"not an answer\r\n\r\n", close=True),
+        rig.raw_bytes(
             b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n"
             b"Attempt-Identifier: a1\r\nResponse-Seal: s\r\n\r\nshort",
             close=True,
@@ -134,13 +143,13 @@
     ],
     ids=["unsigned", "encoded", "no-http", "cut-short"],
 )
-def test_bad_answer_is_never_passed_on(play, bad):
-    got = play(rig.UNSAFE, [[bad]], lambda r: r.ask())
+def test_bad_answer_is_never_passed_on(run_with_rig, bad):
+    got = run_with_rig(rig.UNSAFE_ROUTE, [[bad]], lambda r: r.ask())
     assert got.status == 502
     assert b"response-seal" not in got.headers
 
 
-def test_surplus_answer_to_an_earlier_request_is_skipped(play):
+def test_surplus_answer_to_an_earlier_request_is_skipped(run_with_rig):
     other = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
         b"Attempt-Identifier: other\r\nResponse-Seal: s0\r\n\r\nother"
@@ -150,11 +159,11 @@
         writer.write(other)
         await rig.answer()(seen, writer)
 
-    got = play(rig.UNSAFE, [[both]], lambda r: r.ask())
+    got = run_with_rig(rig.UNSAFE_ROUTE, [[both]], lambda r: r.ask())
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_connection_with_bytes_past_an_answer_is_not_used_again(play):
+def test_connection_with_bytes_past_an_answer_is_not_used_again(run_with_rig):
     async def surplus(seen, writer):
         await rig.answer()(seen, writer)
         writer.write(b"HTTP/1.1 200 OK\r\n")
@@ -164,35 +173,40 @@
         await r.ask()
         return r.backends[0].connections
 
-    assert play(rig.SAFE, [[surplus, rig.answer()]], act) == 2
+    assert run_with_rig(rig.SAFE_ROUTE, [[surplus, rig.answer()]], act) == 2
 
 
-def test_connection_is_used_again_after_a_whole_answer(play):
+def test_connection_is_used_again_after_a_whole_answer(run_with_rig):
     async def act(r):
         await r.ask()
         await r.ask()
         return r.backends[0].connections
 
-    assert play(rig.SAFE, [[rig.answer(), rig.answer()]], act) == 1
+    assert (
+        run_with_rig(rig.SAFE_ROUTE, [[rig.answer(), rig.answer()]], act) == 1
+    )
 
 
-def test_another_life_at_the_address_gets_nothing_more(play):
+def test_another_life_at_the_address_gets_nothing_more(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, [one.key for one in r.edge_state.backends.all()]
 
     scripts = [[rig.answer(421, b"")], [rig.answer()]]
-    assert play(rig.UNSAFE_TWICE, scripts, act) == (200, ["i-1"])
+    assert run_with_rig(rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, act) == (
+        200,
+        ["i-1"],
+    )
 
 
-def test_failure_that_ran_keeps_status_and_seal(play):
+def test_failure_that_ran_keeps_status_and_seal(run_with_rig):
     scripts = [[rig.answer(500, b"sorry")]]
-    got = play(rig.UNSAFE, scripts, lambda r: r.ask())
+    got = run_with_rig(rig.UNSAFE_ROUTE, scripts, lambda r: r.ask())
     assert (got.status, got.body) == (500, b"sorry")
     assert got.headers[b"response-seal"] == b"s1"
 
 
-def test_stream_goes_on_elsewhere_after_its_last_whole_event(play):
+def test_stream_goes_on_elsewhere_after_its_last_whole_event(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got, r.backends[1].seen[0]
@@ -201,94 +215,100 @@
         [rig.events(E1, E2, E3[:5], end=False)],
         [rig.events(E2, E3, seal=b"s2")],
     ]
-    got, seen = play(rig.STREAM, scripts, act)
+    got, seen = run_with_rig(rig.RESUMABLE_STREAM_ROUTE, scripts, act)
     assert (got.body, got.whole) == (E1 + E2 + E3, True)
     assert got.headers[b"response-seal"] == b"s1"
     assert seen.headers[b"last-event-id"] == b"2"
 
 
-def test_stream_that_may_not_go_on_ends_visibly_broken(play):
+def test_stream_that_may_not_go_on_ends_visibly_broken(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.body, got.whole, len(r.backends[1].seen)
 
     scripts = [[rig.events(E1, end=False)], [rig.events(E2)]]
-    assert play(rig.STREAM_ONCE, scripts, act) == (E1, False, 0)
+    assert run_with_rig(rig.STREAM_ROUTE, scripts, act) == (E1, False, 0)
 
 
-def test_resume_where_the_caller_says_is_passed_on(play):
+def test_resume_where_the_caller_says_is_passed_on(run_with_rig):
     async def act(r):
         got = await r.ask(b"Last-Event-Id: 2")
         return got.body, r.backends[0].seen[0].headers[b"last-event-id"]
 
-    assert play(rig.STREAM, [[rig.events(E3)]], act) == (E3, b"2")
+    assert run_with_rig(
+        rig.RESUMABLE_STREAM_ROUTE, [[rig.events(E3)]], act
+    ) == (E3, b"2")
 
 
-def test_caller_that_leaves_ends_the_work(play):
+def test_caller_that_leaves_ends_the_work(run_with_rig):
     async def act(r):
         reader, writer = await asyncio.open_connection(rig.HOST, r.port)
         writer.write(rig.request())
-        await r.backends[0].asked.wait()
+        await r.backends[0].request_received.wait()
         writer.close()
-        await r.backends[0].gone.wait()
+        await r.backends[0].disconnected.wait()
         del reader
         return True
 
-    assert play(rig.SAFE, [[rig.hang]], act)
+    assert run_with_rig(rig.SAFE_ROUTE, [[rig.never_answer]], act)
 
 
-def test_request_past_its_time_gets_an_answer_that_promises_nothing(play):
-    got = play(rig.UNSAFE, [[rig.hang]], lambda r: r.ask(time_left=30))
+def test_request_past_its_time_gets_an_answer_that_promises_nothing(
+    run_with_rig,
+):
+    got = run_with_rig(
+        rig.UNSAFE_ROUTE, [[rig.never_answer]], lambda r: r.ask(time_left=30)
+    )
     assert got.status == 504
     assert b"retry-after" not in got.headers
 
 
-def test_no_connection_proves_that_nothing_ran(play):
+def test_no_connection_proves_that_nothing_ran(run_with_rig):
     async def act(r):
         r.backends[0].close()
         return await r.ask()
 
-    got = play(rig.UNSAFE, [[]], act)
+    got = run_with_rig(rig.UNSAFE_ROUTE, [[]], act)
     assert got.status == 503
     assert b"retry-after" in got.headers
 
 
-def test_process_that_is_stopping_refuses_late_requests(play):
+def test_process_that_is_stopping_refuses_late_requests(run_with_rig):
     async def act(r):
-        r.closed = r.leaving = True
+        r.stopping = r.leaving = True
         got = await r.ask()
         return got.status, got.headers[b"connection"], r.backends[0].seen
 
-    assert play(rig.SAFE, [[]], act) == (503, b"close", [])
+    assert run_with_rig(rig.SAFE_ROUTE, [[]], act) == (503, b"close", [])
 
 
-def test_answer_of_a_stopping_process_closes_the_connection(play):
+def test_answer_of_a_stopping_process_closes_the_connection(run_with_rig):
     async def act(r):
         r.leaving = True
         data = rig.request().replace(b"Connection: close\r\n", b"")
         return await r.send(data)
 
-    got = play(rig.SAFE, [[rig.answer()]], act)
+    got = run_with_rig(rig.SAFE_ROUTE, [[rig.answer()]], act)
     assert (got.status, got.headers[b"connection"]) == (200, b"close")
 
 
-def test_process_that_knows_no_desired_state_promises_not_run(play):
+def test_process_that_knows_no_desired_state_promises_not_run(run_with_rig):
     async def act(r):
         r.edge_state.desired = None
         return await r.ask()
 
-    got = play(rig.SAFE, [[]], act)
+    got = run_with_rig(rig.SAFE_ROUTE, [[]], act)
     assert got.status == 503
     assert float(got.headers[b"retry-after"]) > 0
 
 
-def test_figures_count_answers_refusals_and_attempts(play):
+def test_figures_count_answers_refusals_and_attempts(run_with_rig):
     async def act(r):
         await r.ask()
         return r.edge_state.figures.text().decode()
 
     scripts = [[rig.answer(503, b"", NOT_RUN)], [rig.answer()]]
-    text = play(rig.UNSAFE_TWICE, scripts, act)
+    text = run_with_rig(rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, act)
     assert 'lugcross_attempts_total{event="not-run",service="app"} 1.0' in text
     assert 'lugcross_requests_total{service="app",status="200"} 1.0' in text
     assert 'lugcross_first_byte_seconds_count{service="app"} 1.0' in text
@@ -317,15 +337,15 @@
 @pytest.mark.parametrize(
     ("route", "elsewhere"),
     [
-        (rig.SAFE, 1),
-        (rig.STREAM, 1),
-        (rig.UNSAFE_TWICE, 0),
+        (rig.SAFE_ROUTE, 1),
+        (rig.RESUMABLE_STREAM_ROUTE, 1),
+        (rig.UNSAFE_ROUTE_TWO_ATTEMPTS, 0),
         (rig.route(desired.Kind.SAFE, attempts=1), 0),
     ],
     ids=["repeatable", "resumable", "not-repeatable", "one-attempt"],
 )
 def test_unacknowledged_request_goes_elsewhere_if_it_may(
-    play, monkeypatch, route, elsewhere
+    run_with_rig, monkeypatch, route, elsewhere
 ):
     # Symptom: requests to a server whose connection had gone silent, or
     # that was cut off, got 504 at the end of their time. Cause: nothing but
@@ -338,20 +358,24 @@
         return got.status, len(r.backends[1].seen)
 
     scripts = [[rig.answer()], [rig.answer()]]
-    assert play(route, scripts, act) == (200, elsewhere)
+    assert run_with_rig(route, scripts, act) == (200, elsewhere)
 
 
 @pytest.mark.usefixtures("looked_at_once")
-def test_answer_to_an_acknowledged_request_is_waited_for(play):
+def test_answer_to_an_acknowledged_request_is_waited_for(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, len(r.backends[1].seen)
 
-    assert play(rig.SAFE, [[rig.answer()], [rig.answer()]], act) == (200, 0)
+    assert run_with_rig(
+        rig.SAFE_ROUTE, [[rig.answer()], [rig.answer()]], act
+    ) == (200, 0)
 
 
 @pytest.mark.usefixtures("looked_at_once")
-def test_silence_gives_up_what_is_kept_to_that_server(play, monkeypatch):
+def test_silence_gives_up_what_is_kept_to_that_server(
+    run_with_rig, monkeypatch
+):
     async def act(r):
         _nobody_hears(monkeypatch, r.backends[0].port)
         known = {one.key: one for one in r.edge_state.backends.all()}
@@ -366,5 +390,5 @@
         await r.ask()
         return idle.closing
 
-    scripts = [[rig.raw(_EMPTY), rig.answer()], [rig.answer()]]
-    assert play(rig.SAFE, scripts, act) is True
+    scripts = [[rig.raw_bytes(_EMPTY), rig.answer()], [rig.answer()]]
+    assert run_with_rig(rig.SAFE_ROUTE, scripts, act) is True
--- a/testing/edge/test_backends.py
+++ b/testing/edge/test_backends.py
@@ -20,7 +20,7 @@
 
 
 def _entry(offset: int, key: str, **changes: object):
-    value = edge_rig.entry("s", "10.0.0.1:80", **changes)
+    value = edge_rig.backend_entry("s", "10.0.0.1:80", **changes)
     return platform.KeyedRecord(ids.Offset(offset), key, value)
 
 
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -174,7 +174,7 @@
     told: list[None] = []
     node.known.peers.changed = lambda: told.append(None)
     row = platform.KeyedRecord(
-        ids.Offset(0), "i-1", edge_rig.entry("s", "10.0.0.1:80")
+        ids.Offset(0), "i-1", edge_rig.backend_entry("s", "10.0.0.1:80")
     )
     empty = platform.Tail(end=ids.Offset(0), records=())
     node.known.take_backends(empty, newest=False)
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -43,7 +43,9 @@
 
 
 def _entry(state: str = "ready", **fields: object) -> bytes:
-    return edge_rig.entry("app", "10.0.0.1:80", "d0", state=state, **fields)
+    return edge_rig.backend_entry(
+        "app", "10.0.0.1:80", "d0", state=state, **fields
+    )
 
 
 class _Servers:
--- a/testing/edge/test_endings.py
+++ b/testing/edge/test_endings.py
@@ -62,7 +62,7 @@
         one = rig.Rig(clock_lib.ManualClock())
         servers = _Ending(one, ends)
         await one.start(*([servers.script(num)] for num in range(3)))
-        one.adopt(rig.SAFE)
+        one.adopt(rig.SAFE_ROUTE)
         got = []
         for _ in range(times):
             got.append(await one.ask())
@@ -89,14 +89,14 @@
         del seen
         writer.transport.abort()
 
-    got, one = _play(rig.SAFE, resets, rig.answer())
+    got, one = _play(rig.SAFE_ROUTE, resets, rig.answer())
     assert got.status == 200
     assert one.edge_state.endings.ledger.cases() == []
 
 
 def test_server_that_answers_with_a_failure_does_not():
     failure = rig.answer(500, b"no")
-    _, one = _play(rig.SAFE, failure, failure)
+    _, one = _play(rig.SAFE_ROUTE, failure, failure)
     assert one.edge_state.endings.ledger.cases() == []
 
 
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -28,7 +28,7 @@
 HOST = edge_rig.HOST
 
 
-BACKEND = edge_rig.entry("s", "10.0.0.1:80")
+BACKEND = edge_rig.backend_entry("s", "10.0.0.1:80")
 
 
 class _Node:
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_maps.py
@@ -166,7 +166,7 @@
             platform.KeyedRecord(
                 ids.Offset(rank),
                 str(rank),
-                edge_rig.entry("llm", f"10.0.0.1:{1000 + rank}"),
+                edge_rig.backend_entry("llm", f"10.0.0.1:{1000 + rank}"),
             )
             for rank in range(SIZE)
         )
--- a/testing/edge/test_news_soak.py
+++ b/testing/edge/test_news_soak.py
@@ -46,7 +46,7 @@
         """Change the desired state and the list of servers."""
         self.version += 1
         self.fleet.change(self.version)
-        row = edge_rig.entry("s", "10.0.0.1:80")
+        row = edge_rig.backend_entry("s", "10.0.0.1:80")
         self.fleet.store.standin.append(
             platform.BACKENDS_TOPIC, f"i-{self.version}", row
         )
--- a/testing/edge/test_process.py
+++ b/testing/edge/test_process.py
@@ -51,17 +51,17 @@
     )
 
 
-async def _get(port: int, path: bytes) -> rig.Got:
+async def _get(port: int, path: bytes) -> rig.CallerAnswer:
     try:
         reader, writer = await asyncio.open_connection(rig.HOST, port)
     except OSError:
-        return rig.Got(0, {}, b"", False)
+        return rig.CallerAnswer(0, {}, b"", False)
     writer.write(
         b"GET " + path + b" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
     )
     got = await reader.read()
     writer.close()
-    return rig.take_apart(got)
+    return rig.parse_answer(got)
 
 
 async def _until_status(port: int, status: int) -> None:
@@ -87,7 +87,7 @@
         address = await store.start(rig.HOST)
         store.append("keyed.op", "config", DESIRED)
         address_of = f"{rig.HOST}:{backend.port}"
-        entry = rig.entry("app", address_of, "d1", slots=2)
+        entry = rig.backend_entry("app", address_of, "d1", slots=2)
         store.append("keyed.servers", "i-1", entry)
         ports = {
             name: rig.free_port()
@@ -105,7 +105,7 @@
         proc.send_signal(signal.SIGTERM)
         await _until_status(ports["ready"], 503)
         go_on.set()
-        got = rig.take_apart(first + await reader.read())
+        got = rig.parse_answer(first + await reader.read())
         logs, _ = await proc.communicate()
         backend.close()
         store.close()
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -22,21 +22,23 @@
     return looks
 
 
-def test_first_request_of_a_broken_group_is_refused_at_once(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
+def test_first_request_of_a_broken_group_is_refused_at_once(run_with_rig):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         rig.edge_state.outages.told("peer", KEYS)
         got = await rig.ask()
         assert not rig.backends[0].seen
         return got
 
-    got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
     assert got.status == 503
     # As late as leaves time for an answer: a group takes seconds to form.
     assert 1.0 < float(got.headers[b"retry-after"]) < 5.0 / 3
 
 
-def test_request_that_comes_back_to_a_broken_group_is_refused_at_once(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
+def test_request_that_comes_back_to_a_broken_group_is_refused_at_once(
+    run_with_rig,
+):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
         rig.edge_state.outages.told("peer", KEYS)
         looks = _count_looks(rig)
@@ -46,30 +48,30 @@
         assert len(rig.backends[0].seen) == 1
         return got
 
-    got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
     assert got.status == 503
     assert b"retry-after" in got.headers
 
 
-def test_request_that_comes_back_to_an_open_group_is_served(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
+def test_request_that_comes_back_to_an_open_group_is_served(run_with_rig):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         rig.edge_state.outages.told("peer", KEYS)
         await rig.ask(time_left=5000)
         rig.edge_state.outages.told("peer", [])
         return await rig.ask(time_left=4000)
 
-    got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_refused_request_that_may_not_be_repeated_has_not_run(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
+def test_refused_request_that_may_not_be_repeated_has_not_run(run_with_rig):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
         rig.edge_state.outages.told("peer", KEYS)
         got = await rig.ask(time_left=1000)
         assert len(rig.backends[0].seen) == 1
         return got
 
-    got = play(edge_rig.UNSAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.UNSAFE_ROUTE, [[edge_rig.answer()]], act)
     assert got.status == 503
     assert b"retry-after" in got.headers
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_rest.py
@@ -62,7 +62,7 @@
 GOOD = edge_rig.answer()
 
 
-def _play(scripts, act, one=edge_rig.SAFE):
+def _play(scripts, act, one=edge_rig.SAFE_ROUTE):
     """Run ``act`` before servers that follow scripts, by a manual clock."""
 
     async def main():
@@ -271,13 +271,13 @@
         reader, writer = await asyncio.open_connection(edge_rig.HOST, rig.port)
         del reader
         writer.write(edge_rig.request())
-        await rig.backends[0].asked.wait()
+        await rig.backends[0].request_received.wait()
         assert health.ejected(clock.monotonic())
         writer.close()
-        await rig.backends[0].gone.wait()
+        await rig.backends[0].disconnected.wait()
         return health.ejected(clock.monotonic())
 
-    assert not _play([[edge_rig.hang]], act)
+    assert not _play([[edge_rig.never_answer]], act)
 
 
 SAYS = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
@@ -297,7 +297,7 @@
         rig.edge_state.outages.told("peer", [])
         gone = platform.KeyedRecord(ids.Offset(10), "i-0", b"")
         address = f"{edge_rig.HOST}:{first.port}"
-        entry = edge_rig.entry("app", address, "d1", state=state)
+        entry = edge_rig.backend_entry("app", address, "d1", state=state)
         again = platform.KeyedRecord(ids.Offset(11), "i-0", entry)
         for record in (gone, again):
             tail = platform.Tail(end=record.offset, records=(record,))
@@ -358,8 +358,8 @@
     assert _play([[script], [GOOD] * 6], act) == 1
 
 
-def test_late_answer_to_an_earlier_request_counts(play):
-    late = edge_rig.raw(
+def test_late_answer_to_an_earlier_request_counts(run_with_rig):
+    late = edge_rig.raw_bytes(
         b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n"
         b"Attempt-Identifier: other\r\nRetry-After: 3\r\n\r\n"
     )
@@ -401,14 +401,16 @@
         await rig.ask()
         clock.advance(REST)
         trial = asyncio.create_task(rig.ask())
-        await rig.backends[0].asked.wait()
+        await rig.backends[0].request_received.wait()
         while len(rig.backends[0].seen) < 2:
             await asyncio.sleep(0)
         others = [await rig.ask() for _ in range(3)]
         trial.cancel()
         return others, len(rig.backends[0].seen)
 
-    others, seen = _play([[AWAY, edge_rig.hang, GOOD, GOOD, GOOD]], act)
+    others, seen = _play(
+        [[AWAY, edge_rig.never_answer, GOOD, GOOD, GOOD]], act
+    )
     assert seen == 2
     for got in others:
         assert got.status == 503
--- a/testing/platform/test_state.py
+++ b/testing/platform/test_state.py
@@ -114,7 +114,7 @@
 
 
 def test_backend_server_is_decoded():
-    value = edge_rig.entry(
+    value = edge_rig.backend_entry(
         "s", "10.1.2.3:80", "z", state="draining", models=[{"name": "m"}]
     )
     found = platform.read_backend("i-1", value)
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("born", [None, 0, 1_790_000_000_000])
 def test_life_is_told_by_its_start(born):
-    value = edge_rig.entry("s", "10.1.2.3:80", born=born)
+    value = edge_rig.backend_entry("s", "10.1.2.3:80", born=born)
     found = platform.read_backend("i-1", value)
     assert (found.id, found.born) == ("i-1", born)
     assert (found.key == "i-1") == (born is None)
@@ -167,7 +167,7 @@
     [(name, one) for name, some in BAD_FIELDS.items() for one in some],
 )
 def test_entry_with_a_bad_field_names_no_server(field, value):
-    entry = edge_rig.entry("s", "10.1.2.3:80", **{field: value})
+    entry = edge_rig.backend_entry("s", "10.1.2.3:80", **{field: value})
     with pytest.raises(errors.ChangeError):
         platform.read_backend("i-1", entry)
 
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nX: 1", "\u00e9", "\ufffd"])
 def test_key_that_no_header_can_carry_names_no_server(key):
     with pytest.raises(errors.ChangeError):
-        platform.read_backend(key, edge_rig.entry("s", "10.1.2.3:80"))
+        platform.read_backend(key, edge_rig.backend_entry("s", "10.1.2.3:80"))
 
 
 JSON = strategies.recursive(
@@ -192,7 +192,7 @@
     ),
     max_leaves=5,
 )
-FIELDS = json.loads(edge_rig.entry("s", "10.1.2.3:80", born=1000))
+FIELDS = json.loads(edge_rig.backend_entry("s", "10.1.2.3:80", born=1000))
 
 
 @given(
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -54,7 +54,7 @@
     )
 
 
-def entry(
+def backend_entry(
     service: str, address: str, domain: str = "d", /, **changes: object
 ) -> bytes:
     """Return a server's whole entry, as the list has it.
@@ -104,7 +104,7 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class ReceivedRequest:
     """One request that reached a backend server."""
 
     line: bytes
@@ -113,7 +113,7 @@
 
 
 #: What a backend server does with one request.
-Script = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 def answer(
@@ -124,7 +124,9 @@
 ) -> Script:
     """Return a script that answers, with the request's id and a seal."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(
+        seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         lines = [
             b"HTTP/1.1 %d X" % status,
             b"Content-Length: %d" % len(body),
@@ -141,7 +143,9 @@
 def events(*parts: bytes, end: bool = True, seal: bytes = b"s1") -> Script:
     """Return a script that streams ``parts``; cut short without an end."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(
+        seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         attempt_id = seen.headers[b"attempt-identifier"]
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
@@ -162,10 +166,12 @@
     return script
 
 
-def raw(data: bytes, *, close: bool = False) -> Script:
+def raw_bytes(data: bytes, *, close: bool = False) -> Script:
     """Return a script that writes bytes as they are."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(
+        seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         del seen
         writer.write(data)
         if close:
@@ -174,7 +180,9 @@
     return script
 
 
-async def hang(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Never answer."""
     del seen, writer
 
@@ -184,10 +192,10 @@
 
     def __init__(self, scripts: list[Script]) -> None:
         self.scripts = scripts
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.connections = 0
-        self.gone = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.disconnected = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.port = 0
         self._server: asyncio.Server | None = None
 
@@ -209,13 +217,13 @@
                 self.seen.append(seen)
                 script = self.scripts.pop(0)
                 await script(seen, writer)
-                self.asked.set()
+                self.request_received.set()
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.gone.set()
+            self.disconnected.set()
             writer.close()
 
 
-async def _read(reader: asyncio.StreamReader) -> Seen:
+async def _read(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = await reader.readuntil(b"\r\n\r\n")
     line, *rest = head[:-4].split(b"\r\n")
     headers = {}
@@ -223,11 +231,11 @@
         name, _, value = one.partition(b":")
         headers[name.lower()] = value.strip()
     length = int(headers.get(b"content-length", b"0"))
-    return Seen(line, headers, await reader.readexactly(length))
+    return ReceivedRequest(line, headers, await reader.readexactly(length))
 
 
 @dataclasses.dataclass
-class Got:
+class CallerAnswer:
     """What a caller received, as raw bytes and taken apart."""
 
     status: int
@@ -257,11 +265,11 @@
         self.edge_state = edge_state_lib.EdgeState(
             settings, clock=self.clock, rng=rng
         )
-        self.closed = False
+        self.stopping = False
         self.leaving = False
         self.request_handler = request_handler.RequestHandler(
             self.edge_state,
-            is_stopping=lambda: self.closed,
+            is_stopping=lambda: self.stopping,
             on_change=lambda: None,
             clock=self.clock,
             rng=rng,
@@ -278,7 +286,7 @@
             await backend.start()
             self.backends.append(backend)
             # The slots make the first one the least busy by far.
-            value = entry(
+            value = backend_entry(
                 "app", f"{HOST}:{backend.port}", "d1", slots=100 - 10 * num
             )
             rows.append(
@@ -324,13 +332,13 @@
         )
         await conn.run()
 
-    async def send(self, data: bytes) -> Got:
+    async def send(self, data: bytes) -> CallerAnswer:
         """Send raw bytes and read until the connection ends."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(data)
         got = await reader.read()
         writer.close()
-        return take_apart(got)
+        return parse_answer(got)
 
     async def ask(
         self,
@@ -339,7 +347,7 @@
         path: bytes = b"/r/x",
         body: bytes = b"",
         time_left: int = 5000,
-    ) -> Got:
+    ) -> CallerAnswer:
         """Send one request with all that a proper one has."""
         return await self.send(
             request(
@@ -374,7 +382,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def take_apart(data: bytes) -> Got:
+def parse_answer(data: bytes) -> CallerAnswer:
     """Return what the bytes of one answer say."""
     head, _, rest = data.partition(b"\r\n\r\n")
     line, *lines = head.split(b"\r\n")
@@ -388,7 +396,7 @@
     else:
         body = rest
         whole = len(rest) == int(headers.get(b"content-length", b"-1"))
-    return Got(status, headers, body, whole)
+    return CallerAnswer(status, headers, body, whole)
 
 
 def _unchunk(data: bytes) -> tuple[bytes, bool]:
@@ -419,8 +427,8 @@
     )
 
 
-SAFE = route(desired.Kind.SAFE)
-UNSAFE = route(desired.Kind.UNSAFE, attempts=1)
-UNSAFE_TWICE = route(desired.Kind.UNSAFE, attempts=2)
-STREAM = route(desired.Kind.STREAM, resumable=True)
-STREAM_ONCE = route(desired.Kind.STREAM)
+SAFE_ROUTE = route(desired.Kind.SAFE)
+UNSAFE_ROUTE = route(desired.Kind.UNSAFE, attempts=1)
+UNSAFE_ROUTE_TWO_ATTEMPTS = route(desired.Kind.UNSAFE, attempts=2)
+RESUMABLE_STREAM_ROUTE = route(desired.Kind.STREAM, resumable=True)
+STREAM_ROUTE = route(desired.Kind.STREAM)
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -235,7 +235,7 @@
         server.up = True
         server.running = 0
         server.ended = asyncio.Event()
-        value = edge_rig.entry(
+        value = edge_rig.backend_entry(
             "app",
             f"{server.host}:{_SERVER_PORT}",
             f"d{server.place % 2}",
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -268,7 +268,7 @@
         self.servers[num].ends = functools.partial(self._end, num, name)
 
     def _write(self, num: int) -> None:
-        row = edge_rig.entry(
+        row = edge_rig.backend_entry(
             "app", f"{HOST}:{self.ways[num].port}", f"d{num % 3}", slots=8
         )
         name = self.servers[num].name
