--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -36,7 +36,7 @@
 
 
 @final
-class ResponseWriter:
+class AnswerWriter:
     """What the caller was given, over all attempts.
 
     :ivar begun: whether the caller has part of the answer.
@@ -119,7 +119,7 @@
         clock: clock_lib.Clock,
         plan: plan_lib.Plan,
         backend: desired.Backend,
-        response: ResponseWriter,
+        answer_writer: AnswerWriter,
         *,
         may_resend: Callable[[], bool],
         new_connection: bool,
@@ -130,7 +130,7 @@
         self._clock = clock
         self._plan = plan
         self._backend = backend
-        self._response = response
+        self._answer_writer = answer_writer
         self._keep_alive: datetime.timedelta | None = None
         self._unacknowledged = False
         #: Whether the attempt told how the server is.
@@ -198,7 +198,7 @@
 
     def _send(self, conn: http1.ClientConn) -> None:
         plan = self._plan
-        resumed = self._response.begun
+        resumed = self._answer_writer.begun
         left = plan.deadline - self._clock.monotonic() - _TRANSIT_MARGIN
         headers = platform.request_headers(
             plan.req.raw,
@@ -206,7 +206,7 @@
             workspace=plan.space,
             time_left=left,
             body_bytes=None if plan.req.body is None else len(plan.req.body),
-            resume_after=self._response.last_event_id if resumed else "",
+            resume_after=self._answer_writer.last_event_id if resumed else "",
         )
         conn.send(
             plan.req.method, plan.req.target, headers, plan.req.body or b""
@@ -304,19 +304,23 @@
             if head.status in platform.PROMISES:
                 # Without a proof, the status would promise too much.
                 return lifecycle.Event.BROKEN
-            self._response.hold_failure(answer, body)
+            self._answer_writer.hold_failure(answer, body)
             return lifecycle.Event.FAILED
         self._report_success()
-        if self._response.begun:
+        if self._answer_writer.begun:
             raise _InvalidAnswerError("not a stream, where one was to go on")
-        await self._response.write_whole(answer, body)
+        await self._answer_writer.write_whole(answer, body)
         return None
 
     async def _forward_events(
         self, conn: http1.ClientConn, answer: http1.Answer
     ) -> lifecycle.Event | None:
         splitter = event_stream.EventSplitter()
-        after = self._response.last_event_id if self._response.begun else ""
+        after = (
+            self._answer_writer.last_event_id
+            if self._answer_writer.begun
+            else ""
+        )
         last: clock_lib.Instant | None = None
         while (data := await conn.data()) is not None:
             some = splitter.feed(data)
@@ -327,11 +331,11 @@
                     one for one in some if event_stream.is_later(one, after)
                 ]
             if some:
-                await self._response.write_events(answer, some)
+                await self._answer_writer.write_events(answer, some)
         if splitter.incomplete:
             raise _InvalidAnswerError("the stream ended within an event")
         self._report_success()
-        await self._response.finish(answer)
+        await self._answer_writer.finish(answer)
         return None
 
     def _observe_pause(
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -43,7 +43,7 @@
         self._clock = clock
         self._plan = plan
         self._on_change = on_change
-        self._response = attempt_lib.ResponseWriter(exchange, plan, clock)
+        self._answer_writer = attempt_lib.AnswerWriter(exchange, plan, clock)
         self._tried: set[desired.BackendKey] = set()
         #: Whether the last attempt's server ended its connection.
         self._connection_lost = False
@@ -166,7 +166,7 @@
             self._clock,
             self._plan,
             backend,
-            self._response,
+            self._answer_writer,
             may_resend=self._may_resend,
             new_connection=self._is_suspect(),
         )
@@ -181,7 +181,7 @@
             self._edge_state.endings.answered(
                 self._plan, backend, self._sent_at
             )
-        begun = self._response.begun
+        begun = self._answer_writer.begun
         self._state = dataclasses.replace(self._state, begun=begun)
         return event
 
@@ -230,7 +230,7 @@
         self, action: lifecycle.Action, event: lifecycle.Event
     ) -> None:
         if action is lifecycle.Action.PASS_ON:
-            await self._response.write_held_failure()
+            await self._answer_writer.write_held_failure()
         elif action is lifecycle.Action.CUT:
             raise request_errors.answer_interrupted("the answer broke off")
         elif action is lifecycle.Action.REFUSE:
@@ -244,16 +244,16 @@
             raise request_errors.outcome_unknown("a backend server broke off")
 
     def _raise_timeout(self) -> None:
-        if self._response.begun:
+        if self._answer_writer.begun:
             raise request_errors.answer_interrupted("its time is over")
         raise request_errors.timed_out()
 
     def _log_answer(self, backend: desired.Backend) -> None:
         """Tell how a request that has its answer came by it."""
         plan = self._plan
-        first = self._response.first_byte_at
+        first = self._answer_writer.first_byte_at
         first_byte_after = None if first is None else first - plan.req.at
-        status = self._response.status
+        status = self._answer_writer.status
         self._edge_state.figures.answered(
             plan.service, status, first_byte_after
         )
@@ -274,7 +274,7 @@
                 if first_byte_after is None
                 else round(first_byte_after / _MS),
                 "whole_ms": round(total / _MS),
-                "last_id": self._response.last_event_id,
+                "last_id": self._answer_writer.last_event_id,
             },
         )
 
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -15,7 +15,7 @@
 E2 = b"id: 2\ndata: b\n\n"
 E3 = b"id: 3\ndata: c\n\n"
 NOT_RUN = b"Not-Executed: 1"
-_EMPTY = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"
+_EMPTY_ANSWER = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"
 
 
 def test_answer_comes_whole_with_seal_and_id(run_with_rig):
@@ -63,7 +63,7 @@
     [(b"X-Api-Key: nobodys", 401), (b"X-Other: 1", 404)],
     ids=["unknown-key", "unknown-path"],
 )
-def test_what_no_desired_state_allows_reaches_nobody(
+def test_request_without_key_or_route_reaches_no_server(
     run_with_rig, header, status
 ):
     async def act(r):
@@ -119,7 +119,7 @@
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_attempts_of_the_route_are_the_most(run_with_rig):
+def test_request_is_sent_at_most_as_often_as_its_route_allows(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, sum(len(b.seen) for b in r.backends)
@@ -187,7 +187,7 @@
     )
 
 
-def test_another_life_at_the_address_gets_nothing_more(run_with_rig):
+def test_restarted_server_at_the_same_address_gets_nothing_more(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, [one.key for one in r.edge_state.backends.all()]
@@ -315,25 +315,25 @@
 
 
 @pytest.fixture
-def looked_at_once(monkeypatch):
+def no_ack_timeout(monkeypatch):
     """Look at once whether a request was heard: no answer is as fast."""
     monkeypatch.setattr(attempt, "ACK_TIMEOUT", datetime.timedelta())
 
 
-def _nobody_hears(monkeypatch, port: int) -> None:
+def _leave_unacknowledged(monkeypatch, port: int) -> None:
     """Let connections to ``port`` look as if nothing was acknowledged."""
     connect = http1.connect
 
-    async def connect_unheard(host, to, *, timeout_s):
+    async def connect_unacknowledged(host, to, *, timeout_s):
         conn = await connect(host, to, timeout_s=timeout_s)
         if to == port:
             conn.unheard = lambda: True
         return conn
 
-    monkeypatch.setattr(http1, "connect", connect_unheard)
+    monkeypatch.setattr(http1, "connect", connect_unacknowledged)
 
 
-@pytest.mark.usefixtures("looked_at_once")
+@pytest.mark.usefixtures("no_ack_timeout")
 @pytest.mark.parametrize(
     ("route", "elsewhere"),
     [
@@ -353,7 +353,7 @@
     # requests looked at 0.3 s after they were sent, just the four to the
     # server that was cut off had bytes that nobody had acknowledged.
     async def act(r):
-        _nobody_hears(monkeypatch, r.backends[0].port)
+        _leave_unacknowledged(monkeypatch, r.backends[0].port)
         got = await r.ask()
         return got.status, len(r.backends[1].seen)
 
@@ -361,7 +361,7 @@
     assert run_with_rig(route, scripts, act) == (200, elsewhere)
 
 
-@pytest.mark.usefixtures("looked_at_once")
+@pytest.mark.usefixtures("no_ack_timeout")
 def test_answer_to_an_acknowledged_request_is_waited_for(run_with_rig):
     async def act(r):
         got = await r.ask()
@@ -372,12 +372,12 @@
     ) == (200, 0)
 
 
-@pytest.mark.usefixtures("looked_at_once")
-def test_silence_gives_up_what_is_kept_to_that_server(
+@pytest.mark.usefixtures("no_ack_timeout")
+def test_unacknowledged_request_closes_idle_connections_to_its_server(
     run_with_rig, monkeypatch
 ):
     async def act(r):
-        _nobody_hears(monkeypatch, r.backends[0].port)
+        _leave_unacknowledged(monkeypatch, r.backends[0].port)
         known = {one.key: one for one in r.edge_state.backends.all()}
         backend = known[desired.BackendKey("i-0")]
         kept = await r.edge_state.pool.acquire(backend)
@@ -390,5 +390,5 @@
         await r.ask()
         return idle.closing
 
-    scripts = [[rig.raw_bytes(_EMPTY), rig.answer()], [rig.answer()]]
+    scripts = [[rig.raw_bytes(_EMPTY_ANSWER), rig.answer()], [rig.answer()]]
     assert run_with_rig(rig.SAFE_ROUTE, scripts, act) is True
--- a/testing/edge/test_connection_pool.py
+++ b/testing/edge/test_connection_pool.py
@@ -12,10 +12,10 @@
 from lugcross import http1
 
 BACKEND = edge_rig.backend()
-KEEP = datetime.timedelta(seconds=9)
+KEEP_ALIVE = datetime.timedelta(seconds=9)
 
 
-class _Conn:
+class _FakeConnection:
     """Takes the place of a connection."""
 
     closing = False
@@ -32,14 +32,14 @@
 ) -> connection_pool.ConnectionPool:
     async def connect(host, port, *, timeout_s):
         del host, port, timeout_s
-        return _Conn()
+        return _FakeConnection()
 
     monkeypatch.setattr(http1, "connect", connect)
     return connection_pool.ConnectionPool(manual_clock)
 
 
 @pytest.mark.parametrize(
-    ("rested_s", "not_repeatable", "kept"),
+    ("idle_s", "not_repeatable", "kept"),
     [
         (0.5, True, True),
         (2.0, True, False),
@@ -53,8 +53,8 @@
         "over-what-the-server-keeps",
     ],
 )
-def test_what_rested_is_not_used_for_what_must_not_be_repeated(
-    pool, manual_clock, rested_s, not_repeatable, kept
+def test_idle_connection_is_not_used_for_what_must_not_be_repeated(
+    pool, manual_clock, idle_s, not_repeatable, kept
 ):
     # Symptom: requests that must not be repeated ended with 502 or at their
     # deadline. Sequence: the connection was kept from an earlier request;
@@ -62,8 +62,8 @@
     # may have run for all that is known. Cause: any kept one was used.
     async def act() -> bool:
         conn = await pool.acquire(BACKEND)
-        pool.release(BACKEND, conn, KEEP)
-        manual_clock.advance(datetime.timedelta(seconds=rested_s))
+        pool.release(BACKEND, conn, KEEP_ALIVE)
+        manual_clock.advance(datetime.timedelta(seconds=idle_s))
         return (
             await pool.acquire(BACKEND, not_repeatable=not_repeatable) is conn
         )
@@ -71,12 +71,10 @@
     assert asyncio.run(act()) is kept
 
 
-def test_what_was_left_alone_is_there_for_repeatable_requests(
-    pool, manual_clock
-):
+def test_idle_connection_is_kept_for_repeatable_requests(pool, manual_clock):
     async def act() -> bool:
         conn = await pool.acquire(BACKEND)
-        pool.release(BACKEND, conn, KEEP)
+        pool.release(BACKEND, conn, KEEP_ALIVE)
         manual_clock.advance(datetime.timedelta(seconds=2))
         await pool.acquire(BACKEND, not_repeatable=True)
         return await pool.acquire(BACKEND) is conn
@@ -84,10 +82,10 @@
     assert asyncio.run(act())
 
 
-def test_connections_to_a_silent_host_are_closed(pool):
+def test_close_idle_closes_connections_to_a_silent_host(pool):
     async def act() -> bool:
         conn = await pool.acquire(BACKEND)
-        pool.release(BACKEND, conn, KEEP)
+        pool.release(BACKEND, conn, KEEP_ALIVE)
         pool.close_idle(BACKEND.key)
         return conn.closing and await pool.acquire(BACKEND) is not conn
 
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -44,7 +44,7 @@
     assert _choose(one, two) == "b"
 
 
-def test_own_domain_is_chosen_unless_it_is_busier_by_more_than_the_way():
+def test_own_domain_is_chosen_unless_it_is_much_busier():
     near = choice.Candidate(backend=edge_rig.backend("near"), busy=2)
     far = choice.Candidate(backend=edge_rig.backend("far", "d2"), busy=2)
     idle = choice.Candidate(backend=edge_rig.backend("idle", "d2"), busy=0)
@@ -93,7 +93,7 @@
     assert admission.refusal_reason(_load_snapshot(busy=12), 3.0, RETRY)
 
 
-def test_what_peers_may_have_sent_meanwhile_counts():
+def test_requests_that_peers_have_not_told_yet_count():
     snapshot = _load_snapshot(busy=8, unseen=14.0)
     assert admission.refusal_reason(snapshot, 4.0, FIRST)
 
@@ -116,7 +116,7 @@
 
 
 @given(st.floats(10, 400), st.floats(1, 6))
-def test_learned_fullness_stays_between_half_and_all_slots(pause_ms, load):
+def test_learned_limit_stays_between_half_and_all_slots(pause_ms, load):
     learned = concurrency_limit.ConcurrencyLimit()
     for num in range(50):
         learned.observe_pause(
@@ -209,7 +209,7 @@
     return max_requests[1:]
 
 
-def test_slow_rank_does_not_keep_half_of_the_places_empty():
+def test_slow_rank_does_not_keep_half_of_the_slots_empty():
     """Where no stream can be in time, places are given all the same.
 
     Symptom: with one of 63 ranks four times slower half of the slots stood
@@ -226,7 +226,7 @@
     assert max(after) <= max(before) + 1.0
 
 
-def test_long_passes_without_a_slow_rank_do_not_open_all_places():
+def test_long_passes_without_a_slow_rank_do_not_open_all_slots():
     """A group that has just formed reads many prompts in its first passes."""
     learned = concurrency_limit.ConcurrencyLimit()
     for num in range(20):
@@ -338,7 +338,7 @@
     assert told.servers() == {two}
 
 
-def _many(near: int, far: int) -> serving.Serving:
+def _serving(near: int, far: int) -> serving.Serving:
     return serving.of(
         [edge_rig.backend(f"n{num}") for num in range(near)]
         + [edge_rig.backend(f"f{num}", "d2") for num in range(far)],
@@ -347,7 +347,7 @@
 
 
 def test_choice_among_many_looks_at_few_of_each_kind():
-    servers = _many(40, 150)
+    servers = _serving(40, 150)
     rng = random.Random(1)
     seen = set()
     for _ in range(200):
@@ -359,7 +359,7 @@
 
 
 def test_choice_among_few_looks_at_all():
-    servers = _many(3, 12)
+    servers = _serving(3, 12)
     assert {one.key for one in servers.sample(random.Random(1))} == (
         servers.keys
     )
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -11,11 +11,11 @@
 from lugcross.edge import admission
 
 SERVERS = 4
-SLOTS = 6
+SLOTS_PER_SERVER = 6
 #: Requests that come in a second, some twice of what can be served.
-RATE = 40.0
-LIFE = datetime.timedelta(seconds=8)
-SECONDS = 120
+REQUESTS_PER_S = 40.0
+TIMEOUT = datetime.timedelta(seconds=8)
+DURATION_S = 120
 TICK = datetime.timedelta(milliseconds=10)
 
 
@@ -40,10 +40,10 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = datetime.timedelta()
-        self.busy: list[datetime.timedelta] = []
-        self.later: list[tuple[datetime.timedelta, Request]] = []
+        self.running_until: list[datetime.timedelta] = []
+        self.retries: list[tuple[datetime.timedelta, Request]] = []
         self.retry_detectors: dict[str, admission.RetryDetector] = {}
-        self.asked: collections.Counter[tuple[str, bool, str]] = (
+        self.sent: collections.Counter[tuple[str, bool, str]] = (
             collections.Counter()
         )
         self.served: collections.Counter[tuple[str, bool, str]] = (
@@ -51,63 +51,67 @@
         )
 
     def run(self) -> None:
-        ticks = int(datetime.timedelta(seconds=SECONDS) / TICK)
+        ticks = int(datetime.timedelta(seconds=DURATION_S) / TICK)
         for _ in range(ticks):
             self.now += TICK
-            self.busy = [end for end in self.busy if end > self.now]
-            due = [one for at, one in self.later if at <= self.now]
-            self.later = [pair for pair in self.later if pair[0] > self.now]
-            if self.rng.random() < RATE * TICK.total_seconds():
-                due.append(self._new())
+            self.running_until = [
+                end for end in self.running_until if end > self.now
+            ]
+            due = [one for at, one in self.retries if at <= self.now]
+            self.retries = [
+                pair for pair in self.retries if pair[0] > self.now
+            ]
+            if self.rng.random() < REQUESTS_PER_S * TICK.total_seconds():
+                due.append(self._new_request())
             for one in due:
-                self._ask(one)
+                self._send(one)
 
-    def _new(self) -> Request:
+    def _new_request(self) -> Request:
         request = Request(
             route=self.rng.choice(("draft", "digest")),
             large=self.rng.random() < 0.1,
             workspace=self.rng.choice(("a", "a", "a", "b")),
             since=self.now,
         )
-        self.asked[self._class(request)] += 1
+        self.sent[self._class_of(request)] += 1
         return request
 
-    def _class(self, one: Request) -> tuple[str, bool, str]:
+    def _class_of(self, one: Request) -> tuple[str, bool, str]:
         return one.route, one.large, one.workspace
 
-    def _ask(self, one: Request) -> None:
-        left = LIFE - (self.now - one.since)
+    def _send(self, one: Request) -> None:
+        left = TIMEOUT - (self.now - one.since)
         detector = self.retry_detectors.setdefault(
             one.route, admission.RetryDetector()
         )
         snapshot = admission.LoadSnapshot(
             servers=SERVERS,
-            slots=SERVERS * SLOTS,
-            busy=len(self.busy),
-            least=len(self.busy) // SERVERS,
+            slots=SERVERS * SLOTS_PER_SERVER,
+            busy=len(self.running_until),
+            least=len(self.running_until) // SERVERS,
             unseen=0.0,
         )
         verdict = admission.refusal_reason(
             snapshot,
-            SLOTS,
+            SLOTS_PER_SERVER,
             admission.Requester(is_retry=detector.is_retry(left)),
         )
         if verdict is None:
-            self.busy.append(self.now + one.work)
-            self.served[self._class(one)] += 1
+            self.running_until.append(self.now + one.work)
+            self.served[self._class_of(one)] += 1
         elif not one.is_retry:
             wait = datetime.timedelta(seconds=self.rng.uniform(0.7, 1.6))
             again = dataclasses.replace(one, is_retry=True)
-            self.later.append((self.now + wait, again))
+            self.retries.append((self.now + wait, again))
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_every_class_is_served_nearly_as_often_as_all(seed: int):
     overload = Overload(seed)
     overload.run()
-    total = sum(overload.served.values()) / sum(overload.asked.values())
+    total = sum(overload.served.values()) / sum(overload.sent.values())
     # Without overload the test would say nothing.
     assert 0.3 < total < 0.9
-    for one, asked in overload.asked.items():
-        share = overload.served[one] / asked
+    for one, sent in overload.sent.items():
+        share = overload.served[one] / sent
         assert share > 0.5 * total, one
--- a/testing/edge/test_long_poll.py
+++ b/testing/edge/test_long_poll.py
@@ -42,7 +42,7 @@
         "contact-shorter-than-an-answer",
     ],
 )
-def test_wait_follows_company_and_bounds(peers, bound_s, contact_s, expected):
+def test_wait_follows_peers_and_bounds(peers, bound_s, contact_s, expected):
     assert _wait_s(peers, bound_s, contact_s) == expected
 
 
@@ -58,5 +58,5 @@
 @hypothesis.given(
     st.integers(0, 9), st.floats(0.1, 10.0), st.floats(0.1, 60.0)
 )
-def test_read_waits_at_all(peers, bound_s, contact_s):
+def test_wait_is_positive(peers, bound_s, contact_s):
     assert _wait_s(peers, bound_s, contact_s) > 0.0
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -6,25 +6,25 @@
 from lugcross import desired
 from lugcross import ids
 
-KEYS = [desired.BackendKey("i-0")]
+BACKEND_KEYS = [desired.BackendKey("i-0")]
 
 
-def _count_looks(rig: edge_rig.Rig) -> list[None]:
+def _count_serving_calls(rig: edge_rig.Rig) -> list[None]:
     """Return a list that grows with each look for a place."""
-    looks: list[None] = []
+    calls: list[None] = []
     serving = rig.edge_state.serving
 
     def count(service: ids.ServiceName) -> list[desired.Backend]:
-        looks.append(None)
+        calls.append(None)
         return serving(service)
 
     rig.edge_state.serving = count
-    return looks
+    return calls
 
 
 def test_first_request_of_a_broken_group_is_refused_at_once(run_with_rig):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
-        rig.edge_state.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", BACKEND_KEYS)
         got = await rig.ask()
         assert not rig.backends[0].seen
         return got
@@ -40,11 +40,11 @@
 ):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
-        rig.edge_state.outages.told("peer", KEYS)
-        looks = _count_looks(rig)
+        rig.edge_state.outages.told("peer", BACKEND_KEYS)
+        calls = _count_serving_calls(rig)
         got = await rig.ask(time_left=4000)
         # One choice, one snapshot for the verdict, one for the log line.
-        assert len(looks) <= 3
+        assert len(calls) <= 3
         assert len(rig.backends[0].seen) == 1
         return got
 
@@ -55,7 +55,7 @@
 
 def test_request_that_comes_back_to_an_open_group_is_served(run_with_rig):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
-        rig.edge_state.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", BACKEND_KEYS)
         await rig.ask(time_left=5000)
         rig.edge_state.outages.told("peer", [])
         return await rig.ask(time_left=4000)
@@ -67,7 +67,7 @@
 def test_refused_request_that_may_not_be_repeated_has_not_run(run_with_rig):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
-        rig.edge_state.outages.told("peer", KEYS)
+        rig.edge_state.outages.told("peer", BACKEND_KEYS)
         got = await rig.ask(time_left=1000)
         assert len(rig.backends[0].seen) == 1
         return got
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -20,14 +20,14 @@
 from lugcross import shares
 
 SERVICE = ids.ServiceName("s")
-A, B = ids.WorkspaceName("a"), ids.WorkspaceName("b")
+SPACE_A, SPACE_B = ids.WorkspaceName("a"), ids.WorkspaceName("b")
 
 SURGE = bench_shares.SURGE
 OTHERS = bench_shares.OTHERS
 RATES = bench_shares.RATES
 
 
-def _play(
+def _run_fleet(
     load: share_fleet.Load, processes: int, news: share_fleet.News, **kwargs
 ) -> share_fleet.Fleet:
     fleet = share_fleet.Fleet(
@@ -58,7 +58,7 @@
     place that came free. Settled by this load: without the workspaces looked
     at, the others are served 0.49 of the time.
     """
-    fleet = _play(SURGE, processes, news, seed=seed)
+    fleet = _run_fleet(SURGE, processes, news, seed=seed)
     assert fleet.share_served(OTHERS, 4, 12) > least
     # What the others leave goes to the one that asks for it.
     hot = fleet.share_served({"w0"}, 4, 12)
@@ -68,19 +68,21 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_the_load_shows_the_fault_without_shares(seed: int):
-    fleet = _play(SURGE, 7, share_fleet.News(), seed=seed, by_workspace=False)
+    fleet = _run_fleet(
+        SURGE, 7, share_fleet.News(), seed=seed, by_workspace=False
+    )
     assert fleet.share_served(OTHERS, 4, 12) < 0.6
 
 
 def test_process_that_hears_nobody_shares_what_it_sees():
     """Cut off, a process still goes by its own requests in progress."""
-    fleet = _play(SURGE, 1, share_fleet.News(gap_s=0.0), seed=1)
+    fleet = _run_fleet(SURGE, 1, share_fleet.News(gap_s=0.0), seed=1)
     assert fleet.share_served(OTHERS, 4, 12) > 0.95
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_usual_load_of_a_large_workspace_is_not_cut(seed: int):
-    fleet = _play(
+    fleet = _run_fleet(
         share_fleet.Load(rates=RATES), 7, share_fleet.News(), seed=seed
     )
     assert fleet.share_served({"w0"}, 0, 12) > 0.98
@@ -88,7 +90,7 @@
 
 def test_two_that_want_everything_end_up_with_equally_many():
     load = share_fleet.Load(rates={"w0": 60.0, "w1": 25.0, "w2": 1.0})
-    fleet = _play(load, 7, share_fleet.News(), seed=1)
+    fleet = _run_fleet(load, 7, share_fleet.News(), seed=1)
     served = {
         name: sum(fleet.served[name, second] for second in range(4, 12))
         for name in load.rates
@@ -122,28 +124,28 @@
 
 def _workspace_usage(**weights: float) -> workspace_usage.WorkspaceUsage:
     found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
-    found.set_names([SERVICE], [A, B])
+    found.set_names([SERVICE], [SPACE_A, SPACE_B])
     found.weights = weights
     return found
 
 
 def test_what_peers_have_counts_for_the_workspace():
     here, there = _workspace_usage(), _workspace_usage()
-    there.request_started(SERVICE, A)
-    there.request_started(SERVICE, A)
+    there.request_started(SERVICE, SPACE_A)
+    there.request_started(SERVICE, SPACE_A)
     here.apply_peer_counts("n2", there.own_counts())
-    here.request_started(SERVICE, B)
-    assert here.claim(SERVICE, A).use == 2
-    assert here.claim(SERVICE, A).weights == 2.0
+    here.request_started(SERVICE, SPACE_B)
+    assert here.claim(SERVICE, SPACE_A).use == 2
+    assert here.claim(SERVICE, SPACE_A).weights == 2.0
     here.apply_peer_counts("n2", {})
-    assert here.claim(SERVICE, A).use == 0
+    assert here.claim(SERVICE, SPACE_A).use == 0
 
 
 def test_weight_of_the_settings_counts():
     found = _workspace_usage(a=3.0)
-    found.request_started(SERVICE, B)
-    assert found.claim(SERVICE, A).share(40.0) == 30.0
-    assert found.claim(SERVICE, B).share(40.0) == 40.0
+    found.request_started(SERVICE, SPACE_B)
+    assert found.claim(SERVICE, SPACE_A).share(40.0) == 30.0
+    assert found.claim(SERVICE, SPACE_B).share(40.0) == 40.0
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf")], ids=str)
@@ -165,7 +167,7 @@
 def test_number_that_nobody_knows_changes_nothing():
     found = _workspace_usage()
     found.apply_peer_counts("n2", {12345: 9})
-    assert found.claim(SERVICE, A).use == 0
+    assert found.claim(SERVICE, SPACE_A).use == 0
 
 
 def _requester(**fields) -> admission.Requester:
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -20,7 +20,7 @@
 from lugcross import platform
 
 HOST = "127.0.0.1"
-KEY = "key-of-a"
+API_KEY = "key-of-a"
 #: Times are far off: no test waits for them.
 LIMITS = desired.Limits(
     head_bytes=4096,
@@ -313,7 +313,7 @@
                 routes={"h": routes},
                 services={},
                 limits=LIMITS,
-                keys={KEY: workspace},
+                keys={API_KEY: workspace},
                 keyed=True,
             ),
             b"",
@@ -373,7 +373,7 @@
         b"Host: h",
         b"Attempt-Identifier: a1",
         b"Time-Remaining: %d" % time_left,
-        b"X-Api-Key: " + KEY.encode(),
+        b"X-Api-Key: " + API_KEY.encode(),
         b"Connection: close",
         *headers,
     ]
