--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -74,11 +74,11 @@
         await self.write_whole(*self._held_failure)
 
     async def write_events(
-        self, answer: http1.Answer, some: list[bytes]
+        self, answer: http1.Answer, events: list[bytes]
     ) -> None:
         """Give events; before the first of them the head."""
-        data = b"".join(some)
-        for event in some:
+        data = b"".join(events)
+        for event in events:
             self.last_event_id = (
                 event_stream.event_id(event) or self.last_event_id
             )
@@ -323,15 +323,15 @@
         )
         last: clock_lib.Instant | None = None
         while (data := await conn.data()) is not None:
-            some = splitter.feed(data)
-            if some:
+            events = splitter.feed(data)
+            if events:
                 last = self._observe_pause(last)
             if after:
-                some = [
-                    one for one in some if event_stream.is_later(one, after)
+                events = [
+                    one for one in events if event_stream.is_later(one, after)
                 ]
-            if some:
-                await self._answer_writer.write_events(answer, some)
+            if events:
+                await self._answer_writer.write_events(answer, events)
         if splitter.incomplete:
             raise _InvalidAnswerError("the stream ended within an event")
         self._report_success()
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -11,9 +11,9 @@
 from lugcross.edge import attempt
 from lugcross import http1
 
-E1 = b"id: 1\ndata: a\n\n"
-E2 = b"id: 2\ndata: b\n\n"
-E3 = b"id: 3\ndata: c\n\n"
+EVENT_1 = b"id: 1\ndata: a\n\n"
+EVENT_2 = b"id: 2\ndata: b\n\n"
+EVENT_3 = b"id: 3\ndata: c\n\n"
 NOT_RUN = b"Not-Executed: 1"
 _EMPTY_ANSWER = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"
 
@@ -212,11 +212,11 @@
         return got, r.backends[1].seen[0]
 
     scripts = [
-        [rig.events(E1, E2, E3[:5], end=False)],
-        [rig.events(E2, E3, seal=b"s2")],
+        [rig.events(EVENT_1, EVENT_2, EVENT_3[:5], end=False)],
+        [rig.events(EVENT_2, EVENT_3, seal=b"s2")],
     ]
     got, seen = run_with_rig(rig.RESUMABLE_STREAM_ROUTE, scripts, act)
-    assert (got.body, got.whole) == (E1 + E2 + E3, True)
+    assert (got.body, got.whole) == (EVENT_1 + EVENT_2 + EVENT_3, True)
     assert got.headers[b"response-seal"] == b"s1"
     assert seen.headers[b"last-event-id"] == b"2"
 
@@ -226,8 +226,8 @@
         got = await r.ask()
         return got.body, got.whole, len(r.backends[1].seen)
 
-    scripts = [[rig.events(E1, end=False)], [rig.events(E2)]]
-    assert run_with_rig(rig.STREAM_ROUTE, scripts, act) == (E1, False, 0)
+    scripts = [[rig.events(EVENT_1, end=False)], [rig.events(EVENT_2)]]
+    assert run_with_rig(rig.STREAM_ROUTE, scripts, act) == (EVENT_1, False, 0)
 
 
 def test_resume_where_the_caller_says_is_passed_on(run_with_rig):
@@ -236,8 +236,8 @@
         return got.body, r.backends[0].seen[0].headers[b"last-event-id"]
 
     assert run_with_rig(
-        rig.RESUMABLE_STREAM_ROUTE, [[rig.events(E3)]], act
-    ) == (E3, b"2")
+        rig.RESUMABLE_STREAM_ROUTE, [[rig.events(EVENT_3)]], act
+    ) == (EVENT_3, b"2")
 
 
 def test_caller_that_leaves_ends_the_work(run_with_rig):
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Choice, admission, pace and what comes of events, without I/O."""
+"""Choice, admission, limits and what comes of events, without I/O."""
 
 import datetime
 import random
