--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -195,7 +195,7 @@
         found = edge_state.choose_backend(SERVICE, ())
         if found is None:
             return None
-        snapshot = edge_state.load_snapshot(SERVICE, least=found.least)
+        snapshot = edge_state.load_snapshot(SERVICE, min_busy=found.least)
         space = desired.Workspace(name=ids.WorkspaceName(name))
         requester = edge_state.requester(ROUTE, SERVICE, space)
         if not self.by_workspace:
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -32,14 +32,14 @@
     :param servers: backend servers that may be used.
     :param slots: slots of all of them.
     :param busy: requests that all of them probably have.
-    :param least: requests of the least busy one that was looked at.
+    :param min_busy: requests of the least busy one that was looked at.
     :param unseen: requests that peers have probably sent and not told yet.
     """
 
     servers: int
     slots: int
     busy: int
-    least: int
+    min_busy: int
     unseen: float
 
     def has_free_slot(self) -> bool:
@@ -50,7 +50,7 @@
         of a second.
         """
         free_of_all = self.busy < self.slots
-        return free_of_all and self.least * self.servers < self.slots
+        return free_of_all and self.min_busy * self.servers < self.slots
 
 
 @final
@@ -99,7 +99,9 @@
         - snapshot.busy
         - snapshot.unseen
     )
-    has_free_place = free >= 1.0 and snapshot.least < max(max_per_server, 1.0)
+    has_free_place = free >= 1.0 and snapshot.min_busy < max(
+        max_per_server, 1.0
+    )
     if has_free_place and (claim is None or claim.fits(free)):
         return None
     if (
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -328,7 +328,9 @@
                 last = self._observe_pause(last)
             if after:
                 events = [
-                    one for one in events if event_stream.is_later(one, after)
+                    one
+                    for one in events
+                    if event_stream.has_later_id(one, after)
                 ]
             if events:
                 await self._answer_writer.write_events(answer, events)
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -212,18 +212,18 @@
         self.loads.health(key).rests(self._clock.monotonic() + head.rest)
 
     def load_snapshot(
-        self, service: ids.ServiceName, *, least: int = 0
+        self, service: ids.ServiceName, *, min_busy: int = 0
     ) -> admission.LoadSnapshot:
         """Return the load of ``service`` as it looks from here.
 
-        :param least: requests of the least busy server looked at.
+        :param min_busy: requests of the least busy server looked at.
         """
         servers = self.serving(service)
         return admission.LoadSnapshot(
             servers=len(servers),
             slots=servers.slots,
             busy=self.loads.busy_all(servers.keys),
-            least=least,
+            min_busy=min_busy,
             unseen=self.loads.unseen(service),
         )
 
--- a/src/lugcross/edge/event_stream.py
+++ b/src/lugcross/edge/event_stream.py
@@ -39,12 +39,12 @@
     return ""
 
 
-def is_later(event: bytes, than: str) -> bool:
-    """Tell whether an event's id is past ``than``.
+def has_later_id(event: bytes, last_id: str) -> bool:
+    """Tell whether an event's id is past ``last_id``.
 
     After a resume, what the caller already has must not come twice.
     """
     found = event_id(event)
-    if found.isdigit() and than.isdigit():
-        return int(found) > int(than)
+    if found.isdigit() and last_id.isdigit():
+        return int(found) > int(last_id)
     return True
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -106,7 +106,7 @@
         edge_state = self._edge_state
         return admission.refusal_reason(
             edge_state.load_snapshot(
-                plan.service, least=found.least if found else 0
+                plan.service, min_busy=found.least if found else 0
             ),
             edge_state.max_requests_per_server(plan.route, plan.service),
             edge_state.requester(
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -67,7 +67,7 @@
         "servers": 4,
         "slots": 24,
         "busy": 0,
-        "least": 0,
+        "min_busy": 0,
         "unseen": 0.0,
     }
     return admission.LoadSnapshot(**(usual | fields))
@@ -289,7 +289,7 @@
     ids=["next", "same", "after-another-line", "no-id"],
 )
 def test_event_is_later_by_its_number(event, than, later):
-    assert event_stream.is_later(event, than) is later
+    assert event_stream.has_later_id(event, than) is later
 
 
 def test_callers_of_a_full_service_come_back_spread_and_in_time():
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -88,7 +88,7 @@
             servers=SERVERS,
             slots=SERVERS * SLOTS_PER_SERVER,
             busy=len(self.running_until),
-            least=len(self.running_until) // SERVERS,
+            min_busy=len(self.running_until) // SERVERS,
             unseen=0.0,
         )
         verdict = admission.refusal_reason(
