--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -16,11 +16,11 @@
 from lugcross import address
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import duty as duty_lib
-from lugcross.edge import engines as engines_lib
+from lugcross.edge import engine_client
 from lugcross.edge import figures as figures_lib
 from lugcross.edge import knowledge as knowledge_lib
-from lugcross.edge import maps as maps_lib
+from lugcross.edge import map_leadership
+from lugcross.edge import map_manager
 from lugcross.edge import ready as ready_lib
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
@@ -90,27 +90,27 @@
             rng=rng,
         )
         pool = self.world.pool
-        reports = engines_lib.Caller(
+        reports = engine_client.Caller(
             pool,
-            answer_s=engines_lib.REPORT_S,
+            answer_s=engine_client.REPORT_S,
             heard=self.world.heard,
             may_send=self.world.rests.may_ask,
         )
-        orders = engines_lib.Caller(
+        orders = engine_client.Caller(
             pool,
-            answer_s=engines_lib.ORDER_S,
+            answer_s=engine_client.ORDER_S,
             heard=self.world.heard,
             may_send=self.world.rests.may_disturb,
         )
         urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
-        self._duty = duty_lib.Duty(
+        self._duty = map_leadership.Duty(
             experts.Lease(self.knowledge.incarnation, clock),
             self._store,
             self.knowledge,
             fenced=lambda: self.world.bounds.fenced,
             changed=urgent,
         )
-        self._maps = maps_lib.Maps(
+        self._maps = map_manager.Maps(
             self.world,
             platform.Engines(reports.exchange, orders.exchange),
             clock=clock,
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -11,9 +11,9 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
+from lugcross.edge import checked_request
 from lugcross.edge import events
 from lugcross.edge import lifecycle
-from lugcross.edge import plan as plan_lib
 from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import platform
@@ -47,7 +47,7 @@
     def __init__(
         self,
         exchange: http1.Exchange,
-        plan: plan_lib.Plan,
+        plan: checked_request.Plan,
         clock: clock_lib.Clock,
     ) -> None:
         self._exchange = exchange
@@ -111,7 +111,7 @@
         self,
         world: world_lib.World,
         clock: clock_lib.Clock,
-        plan: plan_lib.Plan,
+        plan: checked_request.Plan,
         backend: desired.Backend,
         delivery: Delivery,
         *,
--- a/src/lugcross/edge/sight.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -10,7 +10,7 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import groups as groups_lib
+from lugcross.edge import rank_groups
 from lugcross.edge import rests as rests_lib
 from lugcross import experts
 from lugcross import ids
@@ -90,7 +90,7 @@
     async def look(
         self,
         service: ids.ServiceName,
-        groups: Iterable[groups_lib.Group],
+        groups: Iterable[rank_groups.Group],
         limits: experts.Limits,
     ) -> None:
         """Read the counts of one rank, if that is due.
@@ -129,7 +129,7 @@
         return self._gaps.get(service, usual)
 
     def demand(
-        self, service: ids.ServiceName, group: groups_lib.Group
+        self, service: ids.ServiceName, group: rank_groups.Group
     ) -> Seen | None:
         """Return what a group's map should be planned by, if it is known.
 
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -22,9 +22,9 @@
 from lugcross.edge import news as news_lib
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import questions
-from lugcross.edge import readers
 from lugcross.edge import registration as registration_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import store_readers
 from lugcross.edge import world as world_lib
 from lugcross import errors
 from lugcross import experts
@@ -201,20 +201,20 @@
 
     def rests(self) -> bool:
         """Tell whether peers of this domain ask the store for this one."""
-        return not readers.asks(self._reader(), self._other_readers())
+        return not store_readers.asks(self._reader(), self._other_readers())
 
     def reads_after(self) -> int:
         """Return how many processes ask the store before this one."""
-        return readers.rank(self._reader(), self._other_readers())
+        return store_readers.rank(self._reader(), self._other_readers())
 
-    def _reader(self) -> readers.Reader:
-        return readers.Reader(
+    def _reader(self) -> store_readers.Reader:
+        return store_readers.Reader(
             self._incarnation, not self.trouble.now, self._settings.domain
         )
 
-    def _other_readers(self) -> list[readers.Reader]:
+    def _other_readers(self) -> list[store_readers.Reader]:
         return [
-            readers.Reader(beat.incarnation, beat.reads, beat.domain)
+            store_readers.Reader(beat.incarnation, beat.reads, beat.domain)
             for beat in self._live_beats(_DUTY_SILENT)
         ]
 
--- a/src/lugcross/edge/maps.py
+++ b/src/lugcross/edge/map_manager.py
@@ -10,13 +10,13 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import duty as duty_lib
-from lugcross.edge import groups as groups_lib
-from lugcross.edge import looks as looks_lib
+from lugcross.edge import demand_reader
+from lugcross.edge import map_leadership
+from lugcross.edge import rank_groups
+from lugcross.edge import rank_queries
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import sight as sight_lib
-from lugcross.edge import switches as switches_lib
-from lugcross.edge import switching
+from lugcross.edge import switch_driver
+from lugcross.edge import switch_runner
 from lugcross.edge import world as world_lib
 from lugcross import experts
 from lugcross import ids
@@ -59,8 +59,8 @@
         engines: platform.Engines,
         *,
         clock: clock_lib.Clock,
-        sleep: switching.Sleep,
-        duty: duty_lib.Duty,
+        sleep: switch_driver.Sleep,
+        duty: map_leadership.Duty,
         owner: experts.Owner,
         changed: Callable[[], None],
         node: str,
@@ -74,12 +74,12 @@
         self._clock = clock
         self._duty = duty
         self._sleep = sleep
-        self._groups = groups_lib.Groups()
-        self._sight = sight_lib.Sight(engines, clock, world.rests)
-        self._looks = looks_lib.Looks(
+        self._groups = rank_groups.Groups()
+        self._sight = demand_reader.Sight(engines, clock, world.rests)
+        self._looks = rank_queries.Looks(
             engines, self._groups, clock, world.rests
         )
-        self.switches = switches_lib.Switches(
+        self.switches = switch_runner.Switches(
             engines,
             self._looks,
             owner=owner,
@@ -178,7 +178,7 @@
                 group.planned_at = seen.at
                 await self._consider(group, seen.uses)
 
-    async def _look(self, group: groups_lib.Group) -> None:
+    async def _look(self, group: rank_groups.Group) -> None:
         now = self._clock.monotonic()
         if not group.members or not group.look_due(now, _LOOK):
             return
@@ -199,14 +199,14 @@
         if group.hold_is_left(now, after):
             self.switches.finish(group)
 
-    def _note_break(self, group: groups_lib.Group) -> None:
+    def _note_break(self, group: rank_groups.Group) -> None:
         if group.restraint.broke(self._clock.monotonic()):
             logging.warning(
                 "group breaks at each change of its map",
                 extra={"group": group.name, "epoch": group.epoch},
             )
 
-    def _note_state(self, group: groups_lib.Group) -> None:
+    def _note_state(self, group: rank_groups.Group) -> None:
         logging.info(
             "group opened" if group.is_open else "group broken",
             extra={"group": group.name, "epoch": group.epoch},
@@ -215,7 +215,7 @@
         self._changed()
 
     async def _plan(
-        self, group: groups_lib.Group, uses: experts.Demand
+        self, group: rank_groups.Group, uses: experts.Demand
     ) -> experts.Plan:
         """Plan a map; requests are served between its steps."""
         assert group.used is not None
@@ -239,7 +239,7 @@
                 begun = self._clock.monotonic()
 
     async def _reconsider(
-        self, group: groups_lib.Group, uses: experts.Demand
+        self, group: rank_groups.Group, uses: experts.Demand
     ) -> None:
         """Leave a map that demand has left behind while it is copied."""
         copying = group.copying
@@ -255,7 +255,7 @@
             group.planned_at = None
 
     async def _consider(
-        self, group: groups_lib.Group, uses: experts.Demand
+        self, group: rank_groups.Group, uses: experts.Demand
     ) -> None:
         plan = await self._plan(group, uses)
         saving = experts.saving(
@@ -277,7 +277,7 @@
             group.restraint.began()
             self.switches.change(group, plan)
 
-    def _keeps_map(self, group: groups_lib.Group) -> bool:
+    def _keeps_map(self, group: rank_groups.Group) -> bool:
         """Tell whether a map is to be left as it is for now.
 
         A switch needs orders to all ranks, also to those that want nothing.
--- a/src/lugcross/edge/pace.py
+++ b/src/lugcross/edge/pace.py
@@ -14,7 +14,7 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import pulse
+from lugcross.edge import pass_times
 
 #: Weight of one pass against what was learned before: half of a jump is
 #: followed after two passes, and one pass that reads a long prompt, a third
@@ -57,7 +57,7 @@
         self._held_back_ms: float | None = None
         #: Whether no count of requests was in time when last asked.
         self._out_of_reach = False
-        self._passes = pulse.Passes()
+        self._passes = pass_times.Passes()
 
     def paused(
         self,
--- a/src/lugcross/edge/groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -10,8 +10,8 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import pulse as pulse_lib
-from lugcross.edge import slowness as slowness_lib
+from lugcross.edge import pass_times as pass_times_lib
+from lugcross.edge import rank_slowness as rank_slowness_lib
 from lugcross import experts
 from lugcross import ids
 
@@ -66,9 +66,11 @@
     planned_at: clock_lib.Instant | None = None
     copying: experts.ExpertMap | None = None
     report_lag: datetime.timedelta = datetime.timedelta()
-    pulse: pulse_lib.Pulse = dataclasses.field(default_factory=pulse_lib.Pulse)
-    slowness: slowness_lib.Slowness = dataclasses.field(
-        default_factory=slowness_lib.Slowness
+    pulse: pass_times_lib.Pulse = dataclasses.field(
+        default_factory=pass_times_lib.Pulse
+    )
+    slowness: rank_slowness_lib.Slowness = dataclasses.field(
+        default_factory=rank_slowness_lib.Slowness
     )
     restraint: experts.Restraint = dataclasses.field(
         default_factory=experts.Restraint
--- a/src/lugcross/edge/looks.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -9,7 +9,7 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import groups as groups_lib
+from lugcross.edge import rank_groups
 from lugcross.edge import rests as rests_lib
 from lugcross import experts
 from lugcross import ids
@@ -33,7 +33,7 @@
     def __init__(
         self,
         engines: platform.Engines,
-        groups: groups_lib.Groups,
+        groups: rank_groups.Groups,
         clock: clock_lib.Clock,
         rests: rests_lib.Rests,
     ) -> None:
@@ -71,7 +71,7 @@
             )
             return None
 
-    async def ask_ranks(self, group: groups_lib.Group) -> None:
+    async def ask_ranks(self, group: rank_groups.Group) -> None:
         """Take over what a few ranks tell; one of them may be cut off."""
         resting = self._rests.servers()
         ranks = group.sample(1 if group.is_open else _ASKED, resting)
@@ -87,7 +87,7 @@
         for report in reports:
             group.take(report, now)
 
-    async def ask_slowness(self, group: groups_lib.Group) -> None:
+    async def ask_slowness(self, group: rank_groups.Group) -> None:
         """Ask all ranks how slow they are, if that is due."""
         if not group.slowness.is_due(self._clock.monotonic()):
             return
@@ -109,7 +109,7 @@
             group.planned_at = None
 
     async def _reports(
-        self, group: groups_lib.Group, ranks: list[experts.Rank]
+        self, group: rank_groups.Group, ranks: list[experts.Rank]
     ) -> list[experts.Report]:
         found = await asyncio.gather(
             *(self.report(group.members[rank]) for rank in ranks)
@@ -118,12 +118,12 @@
             one for one in found if one is not None and one.group == group.name
         ]
 
-    def is_resting(self, group: groups_lib.Group) -> bool:
+    def is_resting(self, group: rank_groups.Group) -> bool:
         """Tell whether a rank wants nothing from this process now."""
         return len(group.awake(self._rests.servers())) < len(group.members)
 
     async def read_map(
-        self, group: groups_lib.Group
+        self, group: rank_groups.Group
     ) -> experts.ExpertMap | None:
         """Return the map that a group uses; none if a rank is silent."""
         if self.is_resting(group):
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -11,7 +11,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import plan as plan_lib
+from lugcross.edge import checked_request
 from lugcross.edge import refusal
 from lugcross.edge import sending
 from lugcross.edge import world as world_lib
@@ -50,7 +50,7 @@
     ) -> None:
         """Answer one request."""
         head = platform.read_caller_head(req.headers)
-        plan: plan_lib.Plan | None = None
+        plan: checked_request.Plan | None = None
         try:
             plan = self._plan(req, head)
             await sending.Sending(
@@ -71,7 +71,7 @@
 
     def _plan(
         self, req: http1.Request, head: platform.CallerHead
-    ) -> plan_lib.Plan:
+    ) -> checked_request.Plan:
         if self._closed():
             raise refusal.not_ready("this process is being stopped")
         state = self._world.desired
@@ -80,7 +80,7 @@
         route = self._route(state, req)
         workspace = self._workspace(state, route, head)
         wait = min(head.time_left or route.timeout, route.timeout)
-        return plan_lib.Plan(
+        return checked_request.Plan(
             req=req,
             head=head,
             route=route,
@@ -125,7 +125,7 @@
     def _log_refusal(
         self,
         head: platform.CallerHead,
-        plan: plan_lib.Plan | None,
+        plan: checked_request.Plan | None,
         exc: refusal.RefusedError,
     ) -> None:
         service = plan.service if plan else ""
@@ -163,7 +163,7 @@
         )
 
     def _share(
-        self, plan: plan_lib.Plan, picture: admission.Picture
+        self, plan: checked_request.Plan, picture: admission.Picture
     ) -> dict[str, object]:
         """Return for a log line what the request's workspace may have."""
         if plan.space is None:
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -14,9 +14,9 @@
 from lugcross import desired
 from lugcross.edge import admission
 from lugcross.edge import attempt as attempt_lib
+from lugcross.edge import checked_request
 from lugcross.edge import choice
 from lugcross.edge import lifecycle
-from lugcross.edge import plan as plan_lib
 from lugcross.edge import refusal
 from lugcross.edge import world as world_lib
 from lugcross import http1
@@ -34,7 +34,7 @@
         world: world_lib.World,
         clock: clock_lib.Clock,
         exchange: http1.Exchange,
-        plan: plan_lib.Plan,
+        plan: checked_request.Plan,
         changed: Callable[[], None],
         rng: random.Random,
     ) -> None:
--- a/src/lugcross/edge/switching.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -10,8 +10,8 @@
 from absl import logging
 
 from lugcross import clock as clock_lib
-from lugcross.edge import duty as duty_lib
-from lugcross.edge import groups as groups_lib
+from lugcross.edge import map_leadership
+from lugcross.edge import rank_groups
 from lugcross import experts
 from lugcross import platform
 
@@ -50,8 +50,8 @@
     def __init__(
         self,
         engines: platform.Engines,
-        group: groups_lib.Group,
-        duty: duty_lib.Duty,
+        group: rank_groups.Group,
+        duty: map_leadership.Duty,
         clock: clock_lib.Clock,
         sleep: Sleep,
         resting: Callable[[], bool] = lambda: False,
--- a/src/lugcross/edge/switches.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -10,10 +10,10 @@
 from absl import logging
 
 from lugcross import clock as clock_lib
-from lugcross.edge import duty as duty_lib
-from lugcross.edge import groups as groups_lib
-from lugcross.edge import looks as looks_lib
-from lugcross.edge import switching
+from lugcross.edge import map_leadership
+from lugcross.edge import rank_groups
+from lugcross.edge import rank_queries
+from lugcross.edge import switch_driver
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
@@ -36,12 +36,12 @@
     def __init__(
         self,
         engines: platform.Engines,
-        looks: looks_lib.Looks,
+        looks: rank_queries.Looks,
         *,
         owner: experts.Owner,
-        duty: duty_lib.Duty,
+        duty: map_leadership.Duty,
         clock: clock_lib.Clock,
-        sleep: switching.Sleep,
+        sleep: switch_driver.Sleep,
     ) -> None:
         self._engines = engines
         self._looks = looks
@@ -50,7 +50,9 @@
         self._clock = clock
         self._sleep = sleep
         self._tasks: set[asyncio.Task[None]] = set()
-        self._drivers: dict[tuple[ids.ServiceName, str], switching.Driver] = {}
+        self._drivers: dict[
+            tuple[ids.ServiceName, str], switch_driver.Driver
+        ] = {}
         self._stuck_at: clock_lib.Instant | None = None
 
     def is_stuck(self) -> bool:
@@ -73,7 +75,7 @@
 
     def _start(
         self,
-        group: groups_lib.Group,
+        group: rank_groups.Group,
         work: Coroutine[Any, Any, None],
     ) -> None:
         group.busy = group.touched = True
@@ -82,7 +84,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _work_on(
-        self, group: groups_lib.Group, work: Coroutine[Any, Any, None]
+        self, group: rank_groups.Group, work: Coroutine[Any, Any, None]
     ) -> None:
         try:
             await work
@@ -95,20 +97,20 @@
             group.looked_at = None
             group.hold_seen = None
 
-    def change(self, group: groups_lib.Group, plan: experts.Plan) -> None:
+    def change(self, group: rank_groups.Group, plan: experts.Plan) -> None:
         """Take a group to the map of a plan."""
         self._start(group, self._change(group, plan))
 
-    def finish(self, group: groups_lib.Group) -> None:
+    def finish(self, group: rank_groups.Group) -> None:
         """Finish what another process has left half done."""
         self._start(group, self._finish(group))
 
-    def abandon(self, group: groups_lib.Group) -> None:
+    def abandon(self, group: rank_groups.Group) -> None:
         """Leave the switch of a group whose ranks are still copying."""
         self._drivers[group.service, group.name].abandon()
 
     async def _change(
-        self, group: groups_lib.Group, plan: experts.Plan
+        self, group: rank_groups.Group, plan: experts.Plan
     ) -> None:
         assert group.used is not None
         switch = experts.Switch(
@@ -121,7 +123,7 @@
         )
         await self._drive(group, switch, plan)
 
-    async def _finish(self, group: groups_lib.Group) -> None:
+    async def _finish(self, group: rank_groups.Group) -> None:
         assert group.hold_seen is not None
         step = group.hold_seen[0]
         reports = [
@@ -157,14 +159,14 @@
 
     async def _drive(
         self,
-        group: groups_lib.Group,
+        group: rank_groups.Group,
         switch: experts.Switch,
         plan: experts.Plan | None,
     ) -> None:
         generation = self._duty.generation()
         if generation is not None:
             self._owner.take_turn(generation)
-        driver = switching.Driver(
+        driver = switch_driver.Driver(
             self._engines,
             group,
             self._duty,
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -15,18 +15,18 @@
 from lugcross import desired
 from lugcross.edge import admission
 from lugcross.edge import backends as backends_lib
+from lugcross.edge import checked_request
 from lugcross.edge import choice
+from lugcross.edge import eligible_servers
 from lugcross.edge import endings as endings_lib
 from lugcross.edge import figures as figures_lib
 from lugcross.edge import lifecycle
 from lugcross.edge import loads as loads_lib
 from lugcross.edge import outages as outages_lib
 from lugcross.edge import pace as pace_lib
-from lugcross.edge import plan as plan_lib
 from lugcross.edge import pool as pool_lib
 from lugcross.edge import records as records_lib
 from lugcross.edge import rests as rests_lib
-from lugcross.edge import serving as serving_lib
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import uses as uses_lib
 from lugcross import ids
@@ -48,7 +48,7 @@
 
     listed: tuple[desired.Backend, ...]
     without: tuple[frozenset[desired.BackendKey], ...]
-    serving: serving_lib.Serving
+    serving: eligible_servers.Serving
 
     def is_of(
         self,
@@ -150,7 +150,7 @@
         found = self.desired.services.get(service)
         return found.engine if found else None
 
-    def serving(self, service: ids.ServiceName) -> serving_lib.Serving:
+    def serving(self, service: ids.ServiceName) -> eligible_servers.Serving:
         """Return the servers of ``service`` that new requests may go to."""
         listed = self.backends.of(service)
         broken = self.outages.servers()
@@ -161,8 +161,8 @@
             return held.serving
         out = broken | resting
         usable = [one for one in listed if one.key not in out]
-        usable = serving_lib.without(usable, slow)
-        found = serving_lib.of(usable, home=self._home)
+        usable = eligible_servers.without(usable, slow)
+        found = eligible_servers.of(usable, home=self._home)
         self._serving[service] = _Cached(
             listed, (broken, resting, slow), found
         )
@@ -307,7 +307,7 @@
 
     def choose_apart(
         self,
-        plan: plan_lib.Plan,
+        plan: checked_request.Plan,
         tried: Collection[desired.BackendKey],
     ) -> choice.Choice | None:
         """Return where a suspect should go, apart from other suspects."""
--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -4,8 +4,8 @@
 from lugcross.experts.demand import between
 from lugcross.experts.demand import Counts
 from lugcross.experts.demand import shaped
-from lugcross.experts.duty import Claim
-from lugcross.experts.duty import holder
+from lugcross.experts.election import Claim
+from lugcross.experts.election import holder
 from lugcross.experts.lease import Generation
 from lugcross.experts.lease import Lease
 from lugcross.experts.lease import Move
@@ -35,10 +35,10 @@
 from lugcross.experts.planner import plan
 from lugcross.experts.planner import Plan
 from lugcross.experts.planner import steps
-from lugcross.experts.restraint import Restraint
 from lugcross.experts.switch import Outcome
 from lugcross.experts.switch import Phase
 from lugcross.experts.switch import Switch
+from lugcross.experts.switch_backoff import Restraint
 
 __all__ = [
     "Arm",
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -15,7 +15,7 @@
 from typing import final
 
 from lugcross.experts import model
-from lugcross.experts import placing
+from lugcross.experts import set_placement
 
 #: Most that the most loaded rank of a set may do, in mean rank loads, for the
 #: set to be left as it is. Lower, and copies rise faster than the load falls:
@@ -87,7 +87,7 @@
     sets = []
     for num, weights in enumerate(demand):
         ranks = [rank[num] for rank in used.ranks]
-        one = placing.Placing(weights, ranks, limits, budget, slow)
+        one = set_placement.Placing(weights, ranks, limits, budget, slow)
         sets.append((one, _Trail(one)))
         yield
     # Every set adds its most loaded rank to a pass: the worst goes first,
@@ -117,7 +117,7 @@
     )
 
 
-def _highest(one: "tuple[placing.Placing, _Trail]") -> float:
+def _highest(one: "tuple[set_placement.Placing, _Trail]") -> float:
     return one[0].highest
 
 
@@ -130,7 +130,7 @@
     is not copied.
     """
 
-    def __init__(self, one: placing.Placing) -> None:
+    def __init__(self, one: set_placement.Placing) -> None:
         self._one = one
         self.best = [frozenset(held) for held in one.ranks]
         self._highest = one.highest
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -12,11 +12,11 @@
 from lugcross import desired
 from lugcross.edge import admission
 from lugcross.edge import choice
+from lugcross.edge import eligible_servers
 from lugcross.edge import events
 from lugcross.edge import outages
 from lugcross.edge import pace
 from lugcross.edge import refusal
-from lugcross.edge import serving
 from lugcross import ids
 
 ENGINE = desired.Engine(
@@ -309,8 +309,8 @@
     assert told.servers() == {two}
 
 
-def _many(near: int, far: int) -> serving.Serving:
-    return serving.of(
+def _many(near: int, far: int) -> eligible_servers.Serving:
+    return eligible_servers.of(
         [edge_rig.backend(f"n{num}") for num in range(near)]
         + [edge_rig.backend(f"f{num}", "d2") for num in range(far)],
         home=ids.DomainName("d1"),
@@ -343,7 +343,7 @@
     """
     servers = [edge_rig.backend(f"i-{num}") for num in range(10)]
     few = {servers[0].key, servers[1].key}
-    assert serving.without(servers, few) == servers[2:]
+    assert eligible_servers.without(servers, few) == servers[2:]
     many = {one.key for one in servers[:3]}
-    assert serving.without(servers, many) == servers
-    assert serving.without(servers[:1], few) == servers[:1]
+    assert eligible_servers.without(servers, many) == servers
+    assert eligible_servers.without(servers[:1], few) == servers[:1]
--- a/testing/edge/test_duty.py
+++ b/testing/edge/test_map_leadership.py
@@ -7,7 +7,7 @@
 import datetime
 
 from lugcross import clock as clock_lib
-from lugcross.edge import duty as duty_lib
+from lugcross.edge import map_leadership
 from lugcross import experts
 from lugcross.experts import lease as lease_lib
 from lugcross import platform
@@ -47,9 +47,9 @@
     def _changed(self) -> None:
         self.news += 1
 
-    def process(self, name: str) -> tuple[duty_lib.Duty, Claimants]:
+    def process(self, name: str) -> tuple[map_leadership.Duty, Claimants]:
         claimants = Claimants()
-        duty = duty_lib.Duty(
+        duty = map_leadership.Duty(
             experts.Lease(name, self.clock),
             self.client,
             claimants,
@@ -72,7 +72,7 @@
     asyncio.run(main())
 
 
-async def rounds(duty: duty_lib.Duty, count: int = 3) -> None:
+async def rounds(duty: map_leadership.Duty, count: int = 3) -> None:
     for _ in range(count):
         await duty.round()
 
@@ -199,7 +199,7 @@
 
 
 def test_fault_in_one_round_does_not_end_the_looking(monkeypatch):
-    monkeypatch.setattr(duty_lib, "_ROUND_S", 0.0)
+    monkeypatch.setattr(map_leadership, "_ROUND_S", 0.0)
 
     async def act(rig: Rig) -> None:
         duty, claimants = rig.process("a")
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_map_manager.py
@@ -8,13 +8,13 @@
 import datetime
 
 import edge_rig
-import model_ranks
 import pytest
+import rank_simulator
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import groups as groups_lib
-from lugcross.edge import maps as maps_lib
+from lugcross.edge import map_manager
+from lugcross.edge import rank_groups
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import world as world_lib
 from lugcross import experts
@@ -36,7 +36,7 @@
     """Ranks that make one pass for each 50 ms that are waited."""
 
     def __init__(self) -> None:
-        self.group = model_ranks.ModelGroup(SIZE, FIRST)
+        self.group = rank_simulator.ModelGroup(SIZE, FIRST)
         self.uses = [0] * LIMITS.experts
         self.is_open = True
         self.silent: set[int] = set()
@@ -134,7 +134,7 @@
         )
         self.duty = Duty()
         self.news = 0
-        self.maps = maps_lib.Maps(
+        self.maps = map_manager.Maps(
             self.world,
             self.engines,
             clock=self.clock,
@@ -379,8 +379,8 @@
 
 
 def test_report_of_an_earlier_life_changes_nothing():
-    group = groups_lib.Group("g", SERVICE, LIMITS, SIZE)
-    ranks = model_ranks.ModelGroup(SIZE, FIRST)
+    group = rank_groups.Group("g", SERVICE, LIMITS, SIZE)
+    ranks = rank_simulator.ModelGroup(SIZE, FIRST)
     old = ranks.report(1)
     ranks.form()
     group.take(ranks.report(0), SECOND)
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -9,8 +9,8 @@
 
 import hypothesis
 from hypothesis import strategies as st
-import model_ranks
 import pytest
+import rank_simulator
 
 from lugcross import experts
 
@@ -79,7 +79,7 @@
     def __init__(self, *, fenced: bool = False) -> None:
         self.fenced = fenced
         self.claims = 0
-        self.group = model_ranks.ModelGroup(SIZE, MAPS[0])
+        self.group = rank_simulator.ModelGroup(SIZE, MAPS[0])
         self.holders = [
             Holder(num, experts.Owner(_number(num, 0)))
             for num in range(OWNERS)
@@ -310,7 +310,7 @@
 
 
 def advance(
-    group: model_ranks.ModelGroup,
+    group: rank_simulator.ModelGroup,
     switch: experts.Switch,
     *,
     copied: Sequence[int] = range(SIZE),
@@ -338,7 +338,7 @@
 
 
 def drive(
-    group: model_ranks.ModelGroup,
+    group: rank_simulator.ModelGroup,
     switch: experts.Switch,
     *,
     copied: Sequence[int] = range(SIZE),
@@ -352,7 +352,7 @@
     raise AssertionError(f"still in {switch.phase}")
 
 
-def assert_runs_on(group: model_ranks.ModelGroup) -> None:
+def assert_runs_on(group: rank_simulator.ModelGroup) -> None:
     for _ in range(5):
         assert group.begin_pass()
 
@@ -378,7 +378,7 @@
         lost = deaf and next(answers) % deaf == 0
         return experts.Verdict.UNKNOWN if lost else verdict
 
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     switch = new_switch()
     drive(group, switch, hears=hears)
     assert switch.outcome is experts.Outcome.SWITCHED
@@ -387,7 +387,7 @@
 
 
 def test_group_runs_on_where_one_rank_cannot_be_armed() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     switch = new_switch()
     drive(group, switch, copied=range(SIZE - 1))
     assert switch.outcome is experts.Outcome.VOIDED
@@ -397,7 +397,7 @@
 
 @pytest.mark.parametrize("sent", range(0, 14))
 def test_successor_ends_a_hold_wherever_the_holder_died(sent: int) -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     switch = new_switch()
     left = sent
     while left > 0 and switch.phase is not experts.Phase.OVER:
@@ -419,7 +419,7 @@
 
 
 def test_holder_that_wakes_after_a_successor_changes_nothing() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     slow = new_switch()
     while slow.phase is not experts.Phase.ARM:
         advance(group, slow)
@@ -440,7 +440,7 @@
 
 def test_pass_is_released_though_the_first_release_gets_no_answer() -> None:
     lost: list[experts.Order] = []
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     switch = new_switch()
     while switch.phase is not experts.Phase.OVER:
         todo = switch.todo()
@@ -458,7 +458,7 @@
 
 
 def test_group_that_makes_no_passes_is_left_alone() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     switch = new_switch()
     for rank, order in switch.todo():
         switch.take(rank, order, group.obey(rank, order, group.epoch))
@@ -474,7 +474,7 @@
 
 
 def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     switch = new_switch()
     switch.epoch_over()
     assert switch.phase is experts.Phase.OVER
@@ -504,7 +504,7 @@
 
 
 def test_superseded_holder_gives_no_further_order() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
     slow = new_switch()
     while slow.phase is not experts.Phase.ARM:
         advance(group, slow)
