--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -90,32 +90,32 @@
             rng=rng,
         )
         pool = self.world.pool
-        reports = engine_client.Caller(
+        reports = engine_client.EngineClient(
             pool,
-            answer_s=engine_client.REPORT_S,
+            answer_s=engine_client.REPORT_TIMEOUT_S,
             heard=self.world.heard,
             may_send=self.world.rests.may_ask,
         )
-        orders = engine_client.Caller(
+        orders = engine_client.EngineClient(
             pool,
-            answer_s=engine_client.ORDER_S,
+            answer_s=engine_client.ORDER_TIMEOUT_S,
             heard=self.world.heard,
             may_send=self.world.rests.may_disturb,
         )
         urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
-        self._duty = map_leadership.Duty(
+        self._duty = map_leadership.MapLeadership(
             experts.Lease(self.knowledge.incarnation, clock),
             self._store,
             self.knowledge,
             fenced=lambda: self.world.bounds.fenced,
             changed=urgent,
         )
-        self._maps = map_manager.Maps(
+        self._maps = map_manager.MapManager(
             self.world,
             platform.Engines(reports.exchange, orders.exchange),
             clock=clock,
             sleep=asyncio.sleep,
-            duty=self._duty,
+            leadership=self._duty,
             owner=experts.Owner(rng.getrandbits(_OWNER_BITS)),
             changed=urgent,
             node=settings.node,
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -47,7 +47,7 @@
     def __init__(
         self,
         exchange: http1.Exchange,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         clock: clock_lib.Clock,
     ) -> None:
         self._exchange = exchange
@@ -111,7 +111,7 @@
         self,
         world: world_lib.World,
         clock: clock_lib.Clock,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         backend: desired.Backend,
         delivery: Delivery,
         *,
--- a/src/lugcross/edge/checked_request.py
+++ b/src/lugcross/edge/checked_request.py
@@ -15,7 +15,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Plan:
+class CheckedRequest:
     """One request, checked and ready to be sent.
 
     :param deadline: when it must have its final answer.
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -18,18 +18,18 @@
 
 #: Time between two readings of counts. Demand jumps every few seconds;
 #: each reading is priced by its counts.
-_READ = datetime.timedelta(milliseconds=800)
+_READ_INTERVAL = datetime.timedelta(milliseconds=800)
 #: The same where nothing has been seen yet, as after a takeover or where
 #: the group has just formed: a few passes, of which the counts of one rank
 #: tell enough.
-_FIRST_GAP = datetime.timedelta(milliseconds=250)
+_FIRST_READ_INTERVAL = datetime.timedelta(milliseconds=250)
 #: Age up to which a group that formed anew is planned for by old demand.
-_LATELY = datetime.timedelta(seconds=15)
+_MAX_AGE_FOR_NEW_GROUP = datetime.timedelta(seconds=15)
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class _Reading:
+class _CountsReading:
     """Counts of one rank and when they were read."""
 
     backend: desired.BackendKey
@@ -39,7 +39,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Seen:
+class RecentDemand:
     """What was in demand between two readings.
 
     :param at: when the second of them was made.
@@ -52,7 +52,7 @@
 
 
 @final
-class Sight:
+class DemandReader:
     """Reads the counts of one rank of each service again and again."""
 
     def __init__(
@@ -64,9 +64,9 @@
         self._rests = rests
         self._engines = engines
         self._clock = clock
-        self._last: dict[ids.ServiceName, _Reading] = {}
+        self._last: dict[ids.ServiceName, _CountsReading] = {}
         self._gaps: dict[ids.ServiceName, datetime.timedelta] = {}
-        self._seen: dict[ids.ServiceName, Seen] = {}
+        self._seen: dict[ids.ServiceName, RecentDemand] = {}
 
     def clear(self) -> None:
         """Forget everything: another process has looked meanwhile."""
@@ -90,7 +90,7 @@
     async def look(
         self,
         service: ids.ServiceName,
-        groups: Iterable[rank_groups.Group],
+        groups: Iterable[rank_groups.RankGroup],
         limits: experts.Limits,
     ) -> None:
         """Read the counts of one rank, if that is due.
@@ -114,23 +114,25 @@
         except platform.EngineError as exc:
             logging.info("no counts", extra={"why": str(exc)})
             return
-        self._last[service] = _Reading(backend.key, counts, now)
+        self._last[service] = _CountsReading(backend.key, counts, now)
         if last is None or last.backend != backend.key:
             return
         self._gaps.pop(service, None)
         if last.counts.epoch != counts.epoch:
-            self._gaps[service] = _FIRST_GAP
+            self._gaps[service] = _FIRST_READ_INTERVAL
         uses = experts.between(last.counts, counts)
         if uses is not None:
-            self._seen[service] = Seen(uses=uses, at=now)
+            self._seen[service] = RecentDemand(uses=uses, at=now)
 
     def _gap(self, service: ids.ServiceName) -> datetime.timedelta:
-        usual = _READ if service in self._seen else _FIRST_GAP
+        usual = (
+            _READ_INTERVAL if service in self._seen else _FIRST_READ_INTERVAL
+        )
         return self._gaps.get(service, usual)
 
     def demand(
-        self, service: ids.ServiceName, group: rank_groups.Group
-    ) -> Seen | None:
+        self, service: ids.ServiceName, group: rank_groups.RankGroup
+    ) -> RecentDemand | None:
         """Return what a group's map should be planned by, if it is known.
 
         For one that has just formed anew that may be what was in demand a
@@ -142,5 +144,5 @@
             return None
         age = self._clock.monotonic() - seen.at
         if group.is_new:
-            return seen if age <= _LATELY else None
-        return seen if age <= _READ and not seen.past else None
+            return seen if age <= _MAX_AGE_FOR_NEW_GROUP else None
+        return seen if age <= _READ_INTERVAL and not seen.past else None
--- a/src/lugcross/edge/eligible_servers.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -12,17 +12,17 @@
 
 #: Part of a service's servers that may be left alone because they are slow:
 #: past it the others would be fuller by more than the slow ones cost.
-_SLOW_MOST = 0.2
+_MAX_SLOW_RATIO = 0.2
 #: Servers of this failure domain, and of all others, that one choice looks
 #: at. The least busy of sixteen is idle or nearly so wherever one in eight
 #: is (for 88 in 100 choices), and processes whose news of each other are
 #: old do not all take the same one.
-_LOOKS = 16
+_SAMPLE_COUNT = 16
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Serving:
+class EligibleServers:
     """Servers that may be used now.
 
     :param near: those of this process's failure domain.
@@ -45,12 +45,14 @@
 
     def sample(self, rng: random.Random) -> list[desired.Backend]:
         """Return the servers that one choice looks at."""
-        return [*_some(self.near, rng), *_some(self.far, rng)]
+        return [*_random_run(self.near, rng), *_random_run(self.far, rng)]
 
 
-def of(servers: Sequence[desired.Backend], *, home: ids.DomainName) -> Serving:
+def split_by_domain(
+    servers: Sequence[desired.Backend], *, home: ids.DomainName
+) -> EligibleServers:
     """Return servers sorted by whether they are in the domain ``home``."""
-    return Serving(
+    return EligibleServers(
         near=tuple(one for one in servers if one.domain == home),
         far=tuple(one for one in servers if one.domain != home),
         keys=frozenset(one.key for one in servers),
@@ -58,7 +60,7 @@
     )
 
 
-def without(
+def without_slow(
     servers: Sequence[desired.Backend],
     slow: Collection[desired.BackendKey],
 ) -> list[desired.Backend]:
@@ -69,16 +71,16 @@
     left, they are needed all the same.
     """
     left = [one for one in servers if one.key not in slow]
-    if len(servers) - len(left) > len(servers) * _SLOW_MOST:
+    if len(servers) - len(left) > len(servers) * _MAX_SLOW_RATIO:
         return list(servers)
     return left
 
 
-def _some(
+def _random_run(
     servers: tuple[desired.Backend, ...], rng: random.Random
 ) -> Sequence[desired.Backend]:
     """Return a run of servers from a place drawn at random."""
-    if len(servers) <= _LOOKS:
+    if len(servers) <= _SAMPLE_COUNT:
         return servers
     start = rng.randrange(len(servers))
-    return (servers + servers)[start : start + _LOOKS]
+    return (servers + servers)[start : start + _SAMPLE_COUNT]
--- a/src/lugcross/edge/endings.py
+++ b/src/lugcross/edge/endings.py
@@ -55,7 +55,9 @@
             None
         )
 
-    def standing(self, plan: checked_request.Plan) -> suspects.Standing:
+    def standing(
+        self, plan: checked_request.CheckedRequest
+    ) -> suspects.Standing:
         """Return how a request is to be treated now."""
         if not self._is_known(plan) or plan.fingerprint in self.exempt:
             return suspects.Standing.FREE
@@ -65,7 +67,9 @@
             self._clock.monotonic(),
         )
 
-    def against(self, plan: checked_request.Plan) -> list[suspects.End]:
+    def against(
+        self, plan: checked_request.CheckedRequest
+    ) -> list[suspects.End]:
         """Return what speaks against a request."""
         if not self._is_known(plan):
             return []
@@ -75,7 +79,7 @@
             self._clock.monotonic(),
         )
 
-    def _is_known(self, plan: checked_request.Plan) -> bool:
+    def _is_known(self, plan: checked_request.CheckedRequest) -> bool:
         """Tell whether there is anything about a request.
 
         As long as there is nothing about any, none is even hashed.
@@ -92,7 +96,9 @@
         oldest = min(one.at for one in ends)
         return oldest + suspects.LAPSE - self._clock.monotonic()
 
-    def may_go_again(self, plan: checked_request.Plan, *, broke: bool) -> bool:
+    def may_go_again(
+        self, plan: checked_request.CheckedRequest, *, broke: bool
+    ) -> bool:
         """Tell whether a request may go to one more server at once.
 
         :param broke: whether the last attempt broke off.
@@ -105,7 +111,9 @@
         return not broke or len(self.against(plan)) < suspects.SURE
 
     def place(
-        self, plan: checked_request.Plan, servers: list[desired.BackendKey]
+        self,
+        plan: checked_request.CheckedRequest,
+        servers: list[desired.BackendKey],
     ) -> desired.BackendKey | None:
         """Return the server that a suspect should go to."""
         rivals = self.ledger.rivals(plan.fingerprint)
@@ -114,7 +122,7 @@
 
     async def broke(
         self,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
@@ -133,7 +141,7 @@
 
     async def _note(
         self,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
@@ -174,7 +182,7 @@
 
     def answered(
         self,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
--- a/src/lugcross/edge/engine_client.py
+++ b/src/lugcross/edge/engine_client.py
@@ -12,15 +12,15 @@
 
 #: Longest wait for a report, in seconds: many round trips; one that takes
 #: longer is asked for again.
-REPORT_S = 0.25
+REPORT_TIMEOUT_S = 0.25
 #: Longest wait for the answer to an order, in seconds. Ranks answer within
 #: some milliseconds, and a group may stand still until an order that got no
 #: answer is given again.
-ORDER_S = 0.1
+ORDER_TIMEOUT_S = 0.1
 
 
 @final
-class Caller:
+class EngineClient:
     """Sends one request at a time over a pooled connection.
 
     :param answer_s: longest wait, in seconds.
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -201,20 +201,26 @@
 
     def rests(self) -> bool:
         """Tell whether peers of this domain ask the store for this one."""
-        return not store_readers.asks(self._reader(), self._other_readers())
+        return not store_readers.reads_store(
+            self._reader(), self._other_readers()
+        )
 
     def reads_after(self) -> int:
         """Return how many processes ask the store before this one."""
-        return store_readers.rank(self._reader(), self._other_readers())
+        return store_readers.reader_position(
+            self._reader(), self._other_readers()
+        )
 
-    def _reader(self) -> store_readers.Reader:
-        return store_readers.Reader(
+    def _reader(self) -> store_readers.ReaderCandidate:
+        return store_readers.ReaderCandidate(
             self._incarnation, not self.trouble.now, self._settings.domain
         )
 
-    def _other_readers(self) -> list[store_readers.Reader]:
+    def _other_readers(self) -> list[store_readers.ReaderCandidate]:
         return [
-            store_readers.Reader(beat.incarnation, beat.reads, beat.domain)
+            store_readers.ReaderCandidate(
+                beat.incarnation, beat.reads, beat.domain
+            )
             for beat in self._live_beats(_DUTY_SILENT)
         ]
 
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -19,12 +19,12 @@
 
 #: Name of the duty in the topic of leases. One for all groups: they share
 #: what is seen of demand, and the process that reads it.
-_MAPS = "maps"
+_LEASE_KEY = "maps"
 #: Time between two looks whether something is to be done, in seconds.
-_ROUND_S = 0.1
+_ROUND_INTERVAL_S = 0.1
 
 
-class Claimants(Protocol):
+class Candidacy(Protocol):
     """What is known of the processes that could have the duty."""
 
     def fit(self) -> bool:
@@ -38,7 +38,7 @@
 
 
 @final
-class Duty:
+class MapLeadership:
     """This process's part in the duty.
 
     :param fenced: whether orders must carry a number now.
@@ -50,7 +50,7 @@
         self,
         lease: experts.Lease,
         store: platform.StoreClient,
-        claimants: Claimants,
+        candidacy: Candidacy,
         *,
         fenced: Callable[[], bool],
         changed: Callable[[], None],
@@ -58,15 +58,15 @@
         self._changed = changed
         self._lease = lease
         self._store = store
-        self._claimants = claimants
+        self._candidacy = candidacy
         self._fenced = fenced
         self.busy: Callable[[], bool] = lambda: False
 
     def mine(self) -> bool:
         """Tell whether this process looks after expert maps now."""
         if not self._fenced():
-            return self._claimants.fit() and self._claimants.first()
-        return self._lease.held is not None and self._claimants.fit()
+            return self._candidacy.fit() and self._candidacy.first()
+        return self._lease.held is not None and self._candidacy.fit()
 
     def generation(self) -> experts.Generation | None:
         """Return the number for orders; none where none is needed."""
@@ -94,7 +94,7 @@
     async def run(self) -> None:
         """Look after the lease until cancelled."""
         while True:
-            await asyncio.sleep(_ROUND_S)
+            await asyncio.sleep(_ROUND_INTERVAL_S)
             if not self._fenced():
                 continue
             try:
@@ -109,7 +109,7 @@
         held = self._lease.held
         move = self._lease.move(
             wants=self._wants(),
-            held_elsewhere=self._claimants.held_elsewhere(),
+            held_elsewhere=self._candidacy.held_elsewhere(),
         )
         if move is experts.Move.NONE:
             return
@@ -133,20 +133,20 @@
             self._changed()
 
     def _wants(self) -> bool:
-        if not self._claimants.fit():
+        if not self._candidacy.fit():
             # What is under way ends under the number it was begun with.
             return self._lease.held is not None and self.busy()
-        return self._lease.held is not None or self._claimants.first()
+        return self._lease.held is not None or self._candidacy.first()
 
     async def _read(self) -> None:
         tail = await self._store.newest(platform.LEASES_TOPIC)
-        found = [one for one in tail.records if one.key == _MAPS]
+        found = [one for one in tail.records if one.key == _LEASE_KEY]
         self._lease.saw(_decode(found[0]) if found else None, tail.end)
 
     async def _write(self, record: experts.Record) -> None:
         end = await self._store.put_at(
             platform.LEASES_TOPIC,
-            _MAPS,
+            _LEASE_KEY,
             record_lib.dump(record),
             self._lease.end,
         )
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -24,29 +24,29 @@
 
 #: Time between two rounds, in seconds: about one pass of an engine, so
 #: that a jump of demand is followed at the next.
-_ROUND_S = 0.05
+_ROUND_INTERVAL_S = 0.05
 #: Passes after a jump in which one rank's counts tell the new demand.
-_SETTLE_PASSES = 1.2
+_SETTLE_PASS_COUNT = 1.2
 #: Time between two looks at a group; a report costs as much as a health
 #: check, and what it tells changes only with faults.
-_LOOK = datetime.timedelta(milliseconds=500)
+_REPORT_INTERVAL = datetime.timedelta(milliseconds=500)
 #: How long a pass held by someone else is left alone: a switch releases
 #: it within some tens of milliseconds, reports are some hundred old.
-_LEFT_AFTER = datetime.timedelta(milliseconds=400)
+_ABANDONED_HOLD_AGE = datetime.timedelta(milliseconds=400)
 #: Longest time that planning blocks its process, past one of its steps:
 #: a few requests' worth of work.
-_PLAN_SLICE = datetime.timedelta(milliseconds=5)
+_MAX_PLANNING_SLICE = datetime.timedelta(milliseconds=5)
 #: Stands for the time of one copy where the platform tells none, seconds.
-_NO_COPY_S = 0.001
+_DEFAULT_COPY_S = 0.001
 
 
 @final
-class Maps:
+class MapManager:
     """Sees demand, plans and has groups switched.
 
     :param engines: reaches the ranks.
     :param sleep: waits for some seconds.
-    :param duty: tells whether they are this process's to look after.
+    :param leadership: tells whether they are this process's to look after.
     :param owner: chooses versions and passes for this process.
     :param changed: called when a group has broken or formed anew.
     :param node: name of this process's host.
@@ -60,7 +60,7 @@
         *,
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
-        duty: map_leadership.Duty,
+        leadership: map_leadership.MapLeadership,
         owner: experts.Owner,
         changed: Callable[[], None],
         node: str,
@@ -72,22 +72,24 @@
         self._world = world
         world.on_pause = self._paused
         self._clock = clock
-        self._duty = duty
+        self._leadership = leadership
         self._sleep = sleep
-        self._groups = rank_groups.Groups()
-        self._sight = demand_reader.Sight(engines, clock, world.rests)
-        self._looks = rank_queries.Looks(
+        self._groups = rank_groups.RankGroups()
+        self._demand_reader = demand_reader.DemandReader(
+            engines, clock, world.rests
+        )
+        self._queries = rank_queries.RankQueries(
             engines, self._groups, clock, world.rests
         )
-        self.switches = switch_runner.Switches(
+        self.switches = switch_runner.SwitchRunner(
             engines,
-            self._looks,
+            self._queries,
             owner=owner,
-            duty=duty,
+            leadership=leadership,
             clock=clock,
             sleep=sleep,
         )
-        self._had = False
+        self._was_leader = False
 
     def _paused(
         self, key: desired.BackendKey, pause: datetime.timedelta
@@ -101,21 +103,23 @@
                 "passes have jumped",
                 extra={"group": group.name, "pass_s": pause.total_seconds()},
             )
-            self._sight.jumped(group.service, pause * _SETTLE_PASSES)
+            self._demand_reader.jumped(
+                group.service, pause * _SETTLE_PASS_COUNT
+            )
             group.slowness.jumped(self._clock.monotonic(), group.report_lag)
 
     def seen_broken(self) -> list[desired.BackendKey]:
         """Return the servers whose groups this process saw broken."""
-        return self._groups.broken() if self._had else []
+        return self._groups.broken() if self._was_leader else []
 
     def seen_slow(self) -> list[desired.BackendKey]:
         """Return the servers that hold their groups back, as they told."""
-        return self._groups.slow() if self._had else []
+        return self._groups.slow() if self._was_leader else []
 
     async def run(self) -> None:
         """Look after the maps until cancelled."""
         while True:
-            await self._sleep(_ROUND_S)
+            await self._sleep(_ROUND_INTERVAL_S)
             try:
                 await self.round()
             except Exception:
@@ -123,18 +127,18 @@
                 # as they are, and a pass held by a dead process held.
                 logging.exception("looking after expert maps failed")
 
-    def _note_duty(self, mine: bool) -> None:
-        if mine == self._had:
+    def _note_leadership(self, mine: bool) -> None:
+        if mine == self._was_leader:
             return
-        self._had = mine
+        self._was_leader = mine
         self._groups.clear()
-        self._sight.clear()
+        self._demand_reader.clear()
         logging.info("duty of expert maps", extra={"mine": mine})
 
     async def round(self) -> None:
         """Look once at all that is due."""
-        self._note_duty(self._duty.mine())
-        if self._had:
+        self._note_leadership(self._leadership.mine())
+        if self._was_leader:
             await self._look_at_all()
         self._world.outages.told(self._node, self.seen_broken())
         self._world.slow.told(self._node, self.seen_slow())
@@ -158,17 +162,17 @@
         self._groups.keep_only(backends)
         groups = self._groups.of(service)
         await asyncio.gather(
-            self._sight.look(service, groups, limits),
-            self._looks.place(self._groups.unplaced(backends), engine),
+            self._demand_reader.look(service, groups, limits),
+            self._queries.place(self._groups.unplaced(backends), engine),
             *map(self._look, groups),
             *(
-                self._looks.ask_slowness(group)
+                self._queries.ask_slowness(group)
                 for group in groups
                 if group.is_open and group.whole
             ),
         )
         for group in groups:
-            seen = self._sight.demand(service, group)
+            seen = self._demand_reader.demand(service, group)
             if seen is None or seen.at == group.planned_at:
                 continue
             if group.copying is not None:
@@ -178,12 +182,12 @@
                 group.planned_at = seen.at
                 await self._consider(group, seen.uses)
 
-    async def _look(self, group: rank_groups.Group) -> None:
+    async def _look(self, group: rank_groups.RankGroup) -> None:
         now = self._clock.monotonic()
-        if not group.members or not group.look_due(now, _LOOK):
+        if not group.members or not group.look_due(now, _REPORT_INTERVAL):
             return
         was_open, epoch = group.is_open, group.epoch
-        await self._looks.ask_ranks(group)
+        await self._queries.ask_ranks(group)
         if was_open and (not group.is_open or group.epoch != epoch):
             self._note_break(group)
         if group.is_open != was_open:
@@ -191,22 +195,22 @@
         if group.busy or not group.is_open or not group.whole:
             return
         if group.used is None:
-            group.used = await self._looks.read_map(group)
-        leased = self._duty.generation() is not None
+            group.used = await self._queries.read_map(group)
+        leased = self._leadership.generation() is not None
         # With a lease of our own, whoever held it before cannot go on.
         at_once = leased and not group.touched
-        after = datetime.timedelta() if at_once else _LEFT_AFTER
+        after = datetime.timedelta() if at_once else _ABANDONED_HOLD_AGE
         if group.hold_is_left(now, after):
             self.switches.finish(group)
 
-    def _note_break(self, group: rank_groups.Group) -> None:
+    def _note_break(self, group: rank_groups.RankGroup) -> None:
         if group.restraint.broke(self._clock.monotonic()):
             logging.warning(
                 "group breaks at each change of its map",
                 extra={"group": group.name, "epoch": group.epoch},
             )
 
-    def _note_state(self, group: rank_groups.Group) -> None:
+    def _note_state(self, group: rank_groups.RankGroup) -> None:
         logging.info(
             "group opened" if group.is_open else "group broken",
             extra={"group": group.name, "epoch": group.epoch},
@@ -215,11 +219,13 @@
         self._changed()
 
     async def _plan(
-        self, group: rank_groups.Group, uses: experts.Demand
+        self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> experts.Plan:
         """Plan a map; requests are served between its steps."""
         assert group.used is not None
-        copies = int(self.cfg.copy_s / (group.limits.copy_s or _NO_COPY_S))
+        copies = int(
+            self.cfg.copy_s / (group.limits.copy_s or _DEFAULT_COPY_S)
+        )
         planning = experts.steps(
             uses,
             group.used,
@@ -234,12 +240,12 @@
             except StopIteration as exc:
                 plan: experts.Plan = exc.value
                 return plan
-            if self._clock.monotonic() - begun >= _PLAN_SLICE:
+            if self._clock.monotonic() - begun >= _MAX_PLANNING_SLICE:
                 await asyncio.sleep(0)
                 begun = self._clock.monotonic()
 
     async def _reconsider(
-        self, group: rank_groups.Group, uses: experts.Demand
+        self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> None:
         """Leave a map that demand has left behind while it is copied."""
         copying = group.copying
@@ -255,7 +261,7 @@
             group.planned_at = None
 
     async def _consider(
-        self, group: rank_groups.Group, uses: experts.Demand
+        self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> None:
         plan = await self._plan(group, uses)
         saving = experts.saving(
@@ -277,11 +283,11 @@
             group.restraint.began()
             self.switches.change(group, plan)
 
-    def _keeps_map(self, group: rank_groups.Group) -> bool:
+    def _keeps_map(self, group: rank_groups.RankGroup) -> bool:
         """Tell whether a map is to be left as it is for now.
 
         A switch needs orders to all ranks, also to those that want nothing.
         """
-        if self._looks.is_resting(group):
+        if self._queries.is_resting(group):
             return True
         return group.restraint.rests(self._clock.monotonic())
--- a/src/lugcross/edge/pace.py
+++ b/src/lugcross/edge/pace.py
@@ -57,7 +57,7 @@
         self._held_back_ms: float | None = None
         #: Whether no count of requests was in time when last asked.
         self._out_of_reach = False
-        self._passes = pass_times.Passes()
+        self._passes = pass_times.PassDetector()
 
     def paused(
         self,
--- a/src/lugcross/edge/pass_times.py
+++ b/src/lugcross/edge/pass_times.py
@@ -14,21 +14,21 @@
 
 #: Weight of one pass against the usual before; a dozen passes make up most
 #: of it, which is a second at most.
-_WEIGHT = 0.15
+_SMOOTHING_WEIGHT = 0.15
 #: Times the usual that one pass must take to be a jump. A jump makes passes
 #: 1.5 to 2.5 times as long; prompts that are read in a pass make it up to a
 #: third longer (pauses logged over a day of jumps).
-_JUMP = 1.4
+_JUMP_FACTOR = 1.4
 #: Pauses that end this part of their length after another belong to the
 #: same pass.
-_SAME_PASS = 0.5
+_SAME_PASS_RATIO = 0.5
 #: Passes past this many times the usual come of a fault: a group that
 #: stands still tells nothing of demand.
-_FAULT = 6.0
+_FAULT_FACTOR = 6.0
 
 
 @final
-class Passes:
+class PassDetector:
     """Tells the first pause of each pass from those of other streams."""
 
     def __init__(self) -> None:
@@ -38,19 +38,19 @@
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
         """Take a pause that ends now; tell whether its pass is new."""
-        if self._at is not None and now - self._at < pause * _SAME_PASS:
+        if self._at is not None and now - self._at < pause * _SAME_PASS_RATIO:
             return False
         self._at = now
         return True
 
 
 @final
-class Pulse:
+class PassTimes:
     """Pass times of one group."""
 
     def __init__(self) -> None:
         self._usual: datetime.timedelta | None = None
-        self._passes = Passes()
+        self._passes = PassDetector()
 
     @property
     def usual(self) -> datetime.timedelta | None:
@@ -70,10 +70,10 @@
         if usual is None:
             self._usual = pause
             return False
-        if pause > usual * _FAULT:
+        if pause > usual * _FAULT_FACTOR:
             return False
-        if pause > usual * _JUMP:
+        if pause > usual * _JUMP_FACTOR:
             self._usual = pause
             return True
-        self._usual = usual + (pause - usual) * _WEIGHT
+        self._usual = usual + (pause - usual) * _SMOOTHING_WEIGHT
         return False
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -17,15 +17,15 @@
 
 #: Time between two looks at a group that is about to change; as old as
 #: reports are where they are read from another host.
-_LOOK_SOON = datetime.timedelta(milliseconds=200)
+_SHORT_REPORT_INTERVAL = datetime.timedelta(milliseconds=200)
 #: Passes from a report to the one at which maps change, at most, and where
 #: it is not known what a pass takes.
-_AHEAD = 5
+_MAX_PASSES_AHEAD_COUNT = 5
 
 
 @final
 @dataclasses.dataclass
-class Group:
+class RankGroup:
     """One group of ranks.
 
     :param members: who is which rank; whole once there are ``size``.
@@ -66,11 +66,11 @@
     planned_at: clock_lib.Instant | None = None
     copying: experts.ExpertMap | None = None
     report_lag: datetime.timedelta = datetime.timedelta()
-    pulse: pass_times_lib.Pulse = dataclasses.field(
-        default_factory=pass_times_lib.Pulse
+    pulse: pass_times_lib.PassTimes = dataclasses.field(
+        default_factory=pass_times_lib.PassTimes
     )
-    slowness: rank_slowness_lib.Slowness = dataclasses.field(
-        default_factory=rank_slowness_lib.Slowness
+    slowness: rank_slowness_lib.RankSlowness = dataclasses.field(
+        default_factory=rank_slowness_lib.RankSlowness
     )
     restraint: experts.Restraint = dataclasses.field(
         default_factory=experts.Restraint
@@ -101,8 +101,8 @@
         """
         usual = self.pulse.usual
         if not usual or not self.report_lag:
-            return _AHEAD
-        return min(_AHEAD, 1 + int(self.report_lag / usual))
+            return _MAX_PASSES_AHEAD_COUNT
+        return min(_MAX_PASSES_AHEAD_COUNT, 1 + int(self.report_lag / usual))
 
     def awake(
         self, resting: Collection[desired.BackendKey]
@@ -137,9 +137,9 @@
         if self.looked_at is None:
             return True
         if not self.is_open:
-            gap = min(gap, _LOOK_SOON)
+            gap = min(gap, _SHORT_REPORT_INTERVAL)
         if self.hold_seen is not None or self.awaited is not None:
-            gap = min(gap, _LOOK_SOON)
+            gap = min(gap, _SHORT_REPORT_INTERVAL)
         return now - self.looked_at >= gap
 
     def lost(self, now: clock_lib.Instant) -> None:
@@ -197,19 +197,19 @@
 
 
 @final
-class Groups:
+class RankGroups:
     """All groups of the services with expert maps."""
 
     def __init__(self) -> None:
-        self._groups: dict[tuple[ids.ServiceName, str], Group] = {}
-        self._placed: dict[desired.BackendKey, Group] = {}
+        self._groups: dict[tuple[ids.ServiceName, str], RankGroup] = {}
+        self._placed: dict[desired.BackendKey, RankGroup] = {}
 
     def clear(self) -> None:
         """Forget all but what is being switched."""
         self._groups = {k: g for k, g in self._groups.items() if g.busy}
         self._placed = {k: g for k, g in self._placed.items() if g.busy}
 
-    def of(self, service: ids.ServiceName) -> list[Group]:
+    def of(self, service: ids.ServiceName) -> list[RankGroup]:
         """Return the groups of a service, in order of their names."""
         found = [g for k, g in self._groups.items() if k[0] == service]
         return sorted(found, key=lambda group: group.name)
@@ -232,7 +232,7 @@
             if rank in group.members
         ]
 
-    def of_backend(self, key: desired.BackendKey) -> Group | None:
+    def of_backend(self, key: desired.BackendKey) -> RankGroup | None:
         """Return the group that a backend server is a rank of, if known."""
         return self._placed.get(key)
 
@@ -254,7 +254,7 @@
         key = backend.service, report.group
         group = self._groups.get(key)
         if group is None or group.size != report.size:
-            group = Group(
+            group = RankGroup(
                 report.group,
                 backend.service,
                 limits,
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -17,13 +17,13 @@
 
 #: Ranks that are asked for the state of a group where one is not enough:
 #: the first may be the one that is cut off.
-_ASKED = 3
+_SAMPLED_RANK_COUNT = 3
 #: Time between two rounds of asking who is which rank of which group.
-_PLACE = datetime.timedelta(seconds=1)
+_DISCOVERY_INTERVAL = datetime.timedelta(seconds=1)
 
 
 @final
-class Looks:
+class RankQueries:
     """Takes what ranks report over into what is known of their groups.
 
     Ranks that asked this process for rest are not asked; what their groups
@@ -33,7 +33,7 @@
     def __init__(
         self,
         engines: platform.Engines,
-        groups: rank_groups.Groups,
+        groups: rank_groups.RankGroups,
         clock: clock_lib.Clock,
         rests: rests_lib.Rests,
     ) -> None:
@@ -52,7 +52,7 @@
             return
         now = self._clock.monotonic()
         last = self._placed_at.get(backends[0].service)
-        if last is not None and now - last < _PLACE:
+        if last is not None and now - last < _DISCOVERY_INTERVAL:
             return
         self._placed_at[backends[0].service] = now
         reports = await asyncio.gather(*map(self.report, backends))
@@ -71,15 +71,17 @@
             )
             return None
 
-    async def ask_ranks(self, group: rank_groups.Group) -> None:
+    async def ask_ranks(self, group: rank_groups.RankGroup) -> None:
         """Take over what a few ranks tell; one of them may be cut off."""
         resting = self._rests.servers()
-        ranks = group.sample(1 if group.is_open else _ASKED, resting)
+        ranks = group.sample(
+            1 if group.is_open else _SAMPLED_RANK_COUNT, resting
+        )
         if not ranks:
             return
         reports = await self._reports(group, ranks)
         if not reports:
-            others = group.sample(_ASKED, resting)
+            others = group.sample(_SAMPLED_RANK_COUNT, resting)
             reports = await self._reports(group, others)
         now = self._clock.monotonic()
         if not reports:
@@ -87,7 +89,7 @@
         for report in reports:
             group.take(report, now)
 
-    async def ask_slowness(self, group: rank_groups.Group) -> None:
+    async def ask_slowness(self, group: rank_groups.RankGroup) -> None:
         """Ask all ranks how slow they are, if that is due."""
         if not group.slowness.is_due(self._clock.monotonic()):
             return
@@ -109,7 +111,7 @@
             group.planned_at = None
 
     async def _reports(
-        self, group: rank_groups.Group, ranks: list[experts.Rank]
+        self, group: rank_groups.RankGroup, ranks: list[experts.Rank]
     ) -> list[experts.Report]:
         found = await asyncio.gather(
             *(self.report(group.members[rank]) for rank in ranks)
@@ -118,12 +120,12 @@
             one for one in found if one is not None and one.group == group.name
         ]
 
-    def is_resting(self, group: rank_groups.Group) -> bool:
+    def is_resting(self, group: rank_groups.RankGroup) -> bool:
         """Tell whether a rank wants nothing from this process now."""
         return len(group.awake(self._rests.servers())) < len(group.members)
 
     async def read_map(
-        self, group: rank_groups.Group
+        self, group: rank_groups.RankGroup
     ) -> experts.ExpertMap | None:
         """Return the map that a group uses; none if a rank is silent."""
         if self.is_resting(group):
--- a/src/lugcross/edge/rank_slowness.py
+++ b/src/lugcross/edge/rank_slowness.py
@@ -17,19 +17,19 @@
 
 #: Times the usual from which on a rank counts as slow: below it, moving
 #: experts away costs more than the rank.
-_SLOW = 1.25
+_SLOW_FACTOR = 1.25
 #: Part by which a belief must change for maps to be planned anew.
-_CHANGED = 0.25
+_SIGNIFICANT_CHANGE_RATIO = 0.25
 #: Time between two rounds of questions where no rank is known to be slow: a
 #: rank that turns slow makes passes jump, which is seen at once; this finds
 #: what did not.
-_USUAL_GAP = datetime.timedelta(seconds=4)
+_QUERY_INTERVAL = datetime.timedelta(seconds=4)
 #: The same while one is: it should get its part back soon after.
-_SLOW_GAP = datetime.timedelta(seconds=1)
+_QUERY_INTERVAL_WHILE_SLOW = datetime.timedelta(seconds=1)
 
 
 @final
-class Slowness:
+class RankSlowness:
     """How slow the ranks of one group are, as they told last."""
 
     def __init__(self) -> None:
@@ -59,15 +59,17 @@
         """
         before = dict(self._slow)
         for rank, times in slowness.items():
-            if times < _SLOW:
+            if times < _SLOW_FACTOR:
                 self._slow.pop(rank, None)
             else:
                 self._slow[rank] = times
-        self._due = now + (_SLOW_GAP if self._slow else _USUAL_GAP)
+        self._due = now + (
+            _QUERY_INTERVAL_WHILE_SLOW if self._slow else _QUERY_INTERVAL
+        )
         ranks = before.keys() | self._slow.keys()
         return any(
             abs(self._slow.get(rank, 1.0) / before.get(rank, 1.0) - 1.0)
-            >= _CHANGED
+            >= _SIGNIFICANT_CHANGE_RATIO
             for rank in ranks
         )
 
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -50,7 +50,7 @@
     ) -> None:
         """Answer one request."""
         head = platform.read_caller_head(req.headers)
-        plan: checked_request.Plan | None = None
+        plan: checked_request.CheckedRequest | None = None
         try:
             plan = self._plan(req, head)
             await sending.Sending(
@@ -71,7 +71,7 @@
 
     def _plan(
         self, req: http1.Request, head: platform.CallerHead
-    ) -> checked_request.Plan:
+    ) -> checked_request.CheckedRequest:
         if self._closed():
             raise refusal.not_ready("this process is being stopped")
         state = self._world.desired
@@ -80,7 +80,7 @@
         route = self._route(state, req)
         workspace = self._workspace(state, route, head)
         wait = min(head.time_left or route.timeout, route.timeout)
-        return checked_request.Plan(
+        return checked_request.CheckedRequest(
             req=req,
             head=head,
             route=route,
@@ -125,7 +125,7 @@
     def _log_refusal(
         self,
         head: platform.CallerHead,
-        plan: checked_request.Plan | None,
+        plan: checked_request.CheckedRequest | None,
         exc: refusal.RefusedError,
     ) -> None:
         service = plan.service if plan else ""
@@ -163,7 +163,7 @@
         )
 
     def _share(
-        self, plan: checked_request.Plan, picture: admission.Picture
+        self, plan: checked_request.CheckedRequest, picture: admission.Picture
     ) -> dict[str, object]:
         """Return for a log line what the request's workspace may have."""
         if plan.space is None:
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -34,7 +34,7 @@
         world: world_lib.World,
         clock: clock_lib.Clock,
         exchange: http1.Exchange,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         changed: Callable[[], None],
         rng: random.Random,
     ) -> None:
--- a/src/lugcross/edge/store_readers.py
+++ b/src/lugcross/edge/store_readers.py
@@ -15,15 +15,15 @@
 #: Processes of a failure domain that ask the store where the fleet has few
 #: domains: one that hangs unseen for a second must not keep its domain from
 #: news, and there may be no other to hear them from.
-READERS = 2
+READERS_PER_DOMAIN_COUNT = 2
 #: Domains with which one process of each is enough: each change wakes every
 #: read that waits, and any of the others tells a domain whose reader hangs.
-_MANY_DOMAINS = 3
+_MANY_DOMAINS_COUNT = 3
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Reader:
+class ReaderCandidate:
     """A process that could ask the store.
 
     :param works: whether the store answered its last call.
@@ -34,7 +34,9 @@
     domain: str
 
 
-def asks(own: Reader, peers: Collection[Reader]) -> bool:
+def reads_store(
+    own: ReaderCandidate, peers: Collection[ReaderCandidate]
+) -> bool:
     """Tell whether a process asks the store itself.
 
     One whose calls fail goes on trying, so that it is seen when the store
@@ -42,30 +44,38 @@
 
     :param peers: live processes of all failure domains.
     """
-    return not own.works or own in _asking([own, *peers])
+    return not own.works or own in _selected_readers([own, *peers])
 
 
-def rank(own: Reader, peers: Collection[Reader]) -> int:
+def reader_position(
+    own: ReaderCandidate, peers: Collection[ReaderCandidate]
+) -> int:
     """Return how many of those that ask go before a process.
 
     The first one asks every few seconds; reads of the others may wait long.
     """
     before = [
         one
-        for one in _asking([own, *peers])
+        for one in _selected_readers([own, *peers])
         if one.incarnation < own.incarnation
     ]
     return len(before)
 
 
-def _asking(fleet: Iterable[Reader]) -> list[Reader]:
+def _selected_readers(
+    fleet: Iterable[ReaderCandidate],
+) -> list[ReaderCandidate]:
     """Return who asks, of those that the store answers."""
-    by_domain: dict[str, list[Reader]] = {}
+    by_domain: dict[str, list[ReaderCandidate]] = {}
     for one in fleet:
         here = by_domain.setdefault(one.domain, [])
         if one.works:
             here.append(one)
-    count = 1 if len(by_domain) >= _MANY_DOMAINS else READERS
+    count = (
+        1
+        if len(by_domain) >= _MANY_DOMAINS_COUNT
+        else READERS_PER_DOMAIN_COUNT
+    )
     return [
         one
         for here in by_domain.values()
@@ -73,5 +83,5 @@
     ]
 
 
-def _incarnation(one: Reader) -> str:
+def _incarnation(one: ReaderCandidate) -> str:
     return one.incarnation
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -17,48 +17,48 @@
 
 #: Time, past what copying takes, after which a switch that holds nothing
 #: yet is left: demand has moved on.
-_LEAVE = datetime.timedelta(seconds=1)
+_CANCEL_AFTER = datetime.timedelta(seconds=1)
 #: Time after which a switch that holds a pass is left to another process,
 #: which may reach the ranks that this one cannot. Far longer than orders of
 #: which half go unanswered take.
-_GIVE_UP = datetime.timedelta(seconds=5)
+_GIVE_UP_AFTER = datetime.timedelta(seconds=5)
 #: Rest between two rounds of orders of which some were not done, seconds.
-_AGAIN_S = 0.04
+_RETRY_DELAY_S = 0.04
 #: Longest rest while ranks copy, in seconds, between two looks whether
 #: the map that they copy for is of no use any more.
-_COPY_LOOK_S = 0.05
+_COPY_POLL_INTERVAL_S = 0.05
 #: Copying is taken to last this much longer than the links alone tell.
-_COPY_MORE = 1.1
+_COPY_TIME_FACTOR = 1.1
 #: Further time for copying, in seconds: orders reach the ranks one after
 #: the other.
-_COPY_ADD_S = 0.02
+_COPY_MARGIN_S = 0.02
 #: The rank at which passes are held.
-_HOLDER = experts.Rank(0)
+_HOLD_RANK = experts.Rank(0)
 
 #: Waits for some seconds.
 Sleep = Callable[[float], Awaitable[None]]
 
 
 @final
-class Driver:
+class SwitchDriver:
     """Carries out what a switch asks for.
 
-    :param duty: under whose number all orders are given.
+    :param leadership: under whose number all orders are given.
     :param resting: tells whether a rank has asked this process for rest.
     """
 
     def __init__(
         self,
         engines: platform.Engines,
-        group: rank_groups.Group,
-        duty: map_leadership.Duty,
+        group: rank_groups.RankGroup,
+        leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: Sleep,
         resting: Callable[[], bool] = lambda: False,
     ) -> None:
         self._resting = resting
-        self._duty = duty
-        self._generation = duty.generation()
+        self._leadership = leadership
+        self._generation = leadership.generation()
         self._sleep = sleep
         self._engines = engines
         self._group = group
@@ -76,13 +76,13 @@
         """
         since = self._clock.monotonic()
         copying = copies * self._group.limits.copy_s
-        copying = copying * _COPY_MORE + _COPY_ADD_S
+        copying = copying * _COPY_TIME_FACTOR + _COPY_MARGIN_S
         copied = since + datetime.timedelta(seconds=copying)
         while switch.phase is not experts.Phase.OVER:
             now = self._clock.monotonic()
-            if now - copied > _GIVE_UP or not self._may_order():
+            if now - copied > _GIVE_UP_AFTER or not self._may_order():
                 return False
-            late = now - copied > _LEAVE
+            late = now - copied > _CANCEL_AFTER
             vain = late or self._resting() or not self._group.is_open
             if vain and not switch.holds:
                 switch.leave()
@@ -102,7 +102,7 @@
         if self._outdated:
             switch.leave()
         elif left > 0:
-            await self._sleep(min(left, _COPY_LOOK_S))
+            await self._sleep(min(left, _COPY_POLL_INTERVAL_S))
         else:
             await self._name_step(switch)
 
@@ -113,10 +113,10 @@
         off the list, as in a cut of its failure domain, none is chosen.
         """
         try:
-            report = await self._report(_HOLDER)
+            report = await self._report(_HOLD_RANK)
         except platform.EngineError as exc:
             logging.info("no step", extra={"why": str(exc)})
-            await self._sleep(_AGAIN_S)
+            await self._sleep(_RETRY_DELAY_S)
             return
         if report is None or report.epoch != self._group.epoch:
             switch.epoch_over()
@@ -140,7 +140,7 @@
         return await self._engines.report(backend)
 
     def _may_order(self) -> bool:
-        return self._duty.may_order(self._generation)
+        return self._leadership.may_order(self._generation)
 
     async def _send_all(self, switch: experts.Switch) -> None:
         todo = switch.todo()
@@ -155,7 +155,7 @@
             return
         if experts.Verdict.REFUSED in verdicts:
             await self._check_epoch(switch)
-        await self._sleep(_AGAIN_S)
+        await self._sleep(_RETRY_DELAY_S)
 
     async def _send(
         self, rank: experts.Rank, order: experts.Order
@@ -167,7 +167,7 @@
             backend, order, self._group.epoch, self._generation
         )
         if verdict is experts.Verdict.FENCED and self._generation is not None:
-            self._duty.refused(self._generation)
+            self._leadership.refused(self._generation)
         return verdict
 
     async def _check_epoch(self, switch: experts.Switch) -> None:
@@ -175,7 +175,7 @@
 
         Every rank knows the epoch; the first one's entry may be gone.
         """
-        lowest = min(self._group.members, default=_HOLDER)
+        lowest = min(self._group.members, default=_HOLD_RANK)
         try:
             report = await self._report(lowest)
         except platform.EngineError as exc:
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -20,38 +20,38 @@
 
 #: How long a process that could not finish a switch leaves the duty to
 #: others; as long as most cuts of single hosts last.
-_UNFIT = datetime.timedelta(seconds=10)
+_STUCK_DURATION = datetime.timedelta(seconds=10)
 
 
 @final
-class Switches:
+class SwitchRunner:
     """Starts switches, one a group, and keeps what came of them.
 
     :param engines: takes the orders.
     :param owner: chooses versions and passes for this process.
-    :param duty: under whose number orders are given.
+    :param leadership: under whose number orders are given.
     :param sleep: waits for some seconds.
     """
 
     def __init__(
         self,
         engines: platform.Engines,
-        looks: rank_queries.Looks,
+        queries: rank_queries.RankQueries,
         *,
         owner: experts.Owner,
-        duty: map_leadership.Duty,
+        leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
     ) -> None:
         self._engines = engines
-        self._looks = looks
+        self._queries = queries
         self._owner = owner
-        self._duty = duty
+        self._leadership = leadership
         self._clock = clock
         self._sleep = sleep
         self._tasks: set[asyncio.Task[None]] = set()
         self._drivers: dict[
-            tuple[ids.ServiceName, str], switch_driver.Driver
+            tuple[ids.ServiceName, str], switch_driver.SwitchDriver
         ] = {}
         self._stuck_at: clock_lib.Instant | None = None
 
@@ -62,7 +62,7 @@
         """
         if self._stuck_at is None:
             return False
-        return self._clock.monotonic() - self._stuck_at < _UNFIT
+        return self._clock.monotonic() - self._stuck_at < _STUCK_DURATION
 
     def is_busy(self) -> bool:
         """Tell whether a switch is under way."""
@@ -75,7 +75,7 @@
 
     def _start(
         self,
-        group: rank_groups.Group,
+        group: rank_groups.RankGroup,
         work: Coroutine[Any, Any, None],
     ) -> None:
         group.busy = group.touched = True
@@ -84,7 +84,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _work_on(
-        self, group: rank_groups.Group, work: Coroutine[Any, Any, None]
+        self, group: rank_groups.RankGroup, work: Coroutine[Any, Any, None]
     ) -> None:
         try:
             await work
@@ -97,20 +97,20 @@
             group.looked_at = None
             group.hold_seen = None
 
-    def change(self, group: rank_groups.Group, plan: experts.Plan) -> None:
+    def change(self, group: rank_groups.RankGroup, plan: experts.Plan) -> None:
         """Take a group to the map of a plan."""
         self._start(group, self._change(group, plan))
 
-    def finish(self, group: rank_groups.Group) -> None:
+    def finish(self, group: rank_groups.RankGroup) -> None:
         """Finish what another process has left half done."""
         self._start(group, self._finish(group))
 
-    def abandon(self, group: rank_groups.Group) -> None:
+    def abandon(self, group: rank_groups.RankGroup) -> None:
         """Leave the switch of a group whose ranks are still copying."""
         self._drivers[group.service, group.name].abandon()
 
     async def _change(
-        self, group: rank_groups.Group, plan: experts.Plan
+        self, group: rank_groups.RankGroup, plan: experts.Plan
     ) -> None:
         assert group.used is not None
         switch = experts.Switch(
@@ -123,13 +123,13 @@
         )
         await self._drive(group, switch, plan)
 
-    async def _finish(self, group: rank_groups.Group) -> None:
+    async def _finish(self, group: rank_groups.RankGroup) -> None:
         assert group.hold_seen is not None
         step = group.hold_seen[0]
         reports = [
             one
             for one in await asyncio.gather(
-                *map(self._looks.report, group.members.values())
+                *map(self._queries.report, group.members.values())
             )
             if one is not None
         ]
@@ -139,7 +139,7 @@
             for one in reports
             if one.armed is not None and one.armed.step == step
         ]
-        used = group.used or await self._looks.read_map(group)
+        used = group.used or await self._queries.read_map(group)
         if used is None:
             return
         logging.warning(
@@ -159,20 +159,20 @@
 
     async def _drive(
         self,
-        group: rank_groups.Group,
+        group: rank_groups.RankGroup,
         switch: experts.Switch,
         plan: experts.Plan | None,
     ) -> None:
-        generation = self._duty.generation()
+        generation = self._leadership.generation()
         if generation is not None:
             self._owner.take_turn(generation)
-        driver = switch_driver.Driver(
+        driver = switch_driver.SwitchDriver(
             self._engines,
             group,
-            self._duty,
+            self._leadership,
             self._clock,
             self._sleep,
-            resting=lambda: self._looks.is_resting(group),
+            resting=lambda: self._queries.is_resting(group),
         )
         self._drivers[group.service, group.name] = driver
         group.copying = plan.next if plan else None
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -48,7 +48,7 @@
 
     listed: tuple[desired.Backend, ...]
     without: tuple[frozenset[desired.BackendKey], ...]
-    serving: eligible_servers.Serving
+    serving: eligible_servers.EligibleServers
 
     def is_of(
         self,
@@ -150,7 +150,9 @@
         found = self.desired.services.get(service)
         return found.engine if found else None
 
-    def serving(self, service: ids.ServiceName) -> eligible_servers.Serving:
+    def serving(
+        self, service: ids.ServiceName
+    ) -> eligible_servers.EligibleServers:
         """Return the servers of ``service`` that new requests may go to."""
         listed = self.backends.of(service)
         broken = self.outages.servers()
@@ -161,8 +163,8 @@
             return held.serving
         out = broken | resting
         usable = [one for one in listed if one.key not in out]
-        usable = eligible_servers.without(usable, slow)
-        found = eligible_servers.of(usable, home=self._home)
+        usable = eligible_servers.without_slow(usable, slow)
+        found = eligible_servers.split_by_domain(usable, home=self._home)
         self._serving[service] = _Cached(
             listed, (broken, resting, slow), found
         )
@@ -307,7 +309,7 @@
 
     def choose_apart(
         self,
-        plan: checked_request.Plan,
+        plan: checked_request.CheckedRequest,
         tried: Collection[desired.BackendKey],
     ) -> choice.Choice | None:
         """Return where a suspect should go, apart from other suspects."""
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -309,8 +309,8 @@
     assert told.servers() == {two}
 
 
-def _many(near: int, far: int) -> eligible_servers.Serving:
-    return eligible_servers.of(
+def _many(near: int, far: int) -> eligible_servers.EligibleServers:
+    return eligible_servers.split_by_domain(
         [edge_rig.backend(f"n{num}") for num in range(near)]
         + [edge_rig.backend(f"f{num}", "d2") for num in range(far)],
         home=ids.DomainName("d1"),
@@ -343,7 +343,7 @@
     """
     servers = [edge_rig.backend(f"i-{num}") for num in range(10)]
     few = {servers[0].key, servers[1].key}
-    assert eligible_servers.without(servers, few) == servers[2:]
+    assert eligible_servers.without_slow(servers, few) == servers[2:]
     many = {one.key for one in servers[:3]}
-    assert eligible_servers.without(servers, many) == servers
-    assert eligible_servers.without(servers[:1], few) == servers[:1]
+    assert eligible_servers.without_slow(servers, many) == servers
+    assert eligible_servers.without_slow(servers[:1], few) == servers[:1]
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -16,7 +16,7 @@
 LONG = datetime.timedelta(seconds=30)
 
 
-class Claimants:
+class Candidacy:
     """What a test says of the processes that could have the duty."""
 
     def __init__(self) -> None:
@@ -47,16 +47,18 @@
     def _changed(self) -> None:
         self.news += 1
 
-    def process(self, name: str) -> tuple[map_leadership.Duty, Claimants]:
-        claimants = Claimants()
-        duty = map_leadership.Duty(
+    def process(
+        self, name: str
+    ) -> tuple[map_leadership.MapLeadership, Candidacy]:
+        candidacy = Candidacy()
+        leadership = map_leadership.MapLeadership(
             experts.Lease(name, self.clock),
             self.client,
-            claimants,
+            candidacy,
             fenced=lambda: self.fenced,
             changed=self._changed,
         )
-        return duty, claimants
+        return leadership, candidacy
 
 
 def run(act: Callable[[Rig], Awaitable[None]]) -> None:
@@ -72,20 +74,22 @@
     asyncio.run(main())
 
 
-async def rounds(duty: map_leadership.Duty, count: int = 3) -> None:
+async def rounds(
+    leadership: map_leadership.MapLeadership, count: int = 3
+) -> None:
     for _ in range(count):
-        await duty.round()
+        await leadership.round()
 
 
 def test_duty_is_had_only_with_the_lease():
     async def act(rig: Rig) -> None:
-        duty, _ = rig.process("a")
-        assert not duty.mine()
-        assert not duty.may_order(None)
-        await rounds(duty)
-        assert duty.mine()
-        assert duty.generation() == 1
-        assert duty.may_order(experts.Generation(1))
+        leadership, _ = rig.process("a")
+        assert not leadership.mine()
+        assert not leadership.may_order(None)
+        await rounds(leadership)
+        assert leadership.mine()
+        assert leadership.generation() == 1
+        assert leadership.may_order(experts.Generation(1))
 
     run(act)
 
@@ -93,12 +97,12 @@
 def test_without_fences_the_first_has_the_duty_and_calls_nobody():
     async def act(rig: Rig) -> None:
         rig.fenced = False
-        duty, claimants = rig.process("a")
-        assert duty.mine()
-        assert duty.generation() is None
-        assert duty.may_order(None)
-        claimants.is_first = False
-        assert not duty.mine()
+        leadership, candidacy = rig.process("a")
+        assert leadership.mine()
+        assert leadership.generation() is None
+        assert leadership.may_order(None)
+        candidacy.is_first = False
+        assert not leadership.mine()
         assert not rig.store.calls
 
     run(act)
@@ -106,11 +110,11 @@
 
 def test_holder_keeps_the_lease_though_it_is_no_longer_first():
     async def act(rig: Rig) -> None:
-        duty, claimants = rig.process("a")
-        await rounds(duty)
-        claimants.is_first = False
-        await rounds(duty)
-        assert duty.mine()
+        leadership, candidacy = rig.process("a")
+        await rounds(leadership)
+        candidacy.is_first = False
+        await rounds(leadership)
+        assert leadership.mine()
 
     run(act)
 
@@ -134,44 +138,44 @@
 
 def test_lease_is_released_only_once_a_switch_has_ended():
     async def act(rig: Rig) -> None:
-        duty, claimants = rig.process("a")
-        await rounds(duty)
+        leadership, candidacy = rig.process("a")
+        await rounds(leadership)
         busy = True
-        duty.busy = lambda: busy
-        claimants.is_fit = False
-        await rounds(duty)
-        assert duty.may_order(experts.Generation(1))
+        leadership.busy = lambda: busy
+        candidacy.is_fit = False
+        await rounds(leadership)
+        assert leadership.may_order(experts.Generation(1))
         busy = False
-        await rounds(duty)
-        assert duty.generation() is None
+        await rounds(leadership)
+        assert leadership.generation() is None
 
     run(act)
 
 
 def test_refused_process_gives_no_order_until_it_has_a_new_number():
     async def act(rig: Rig) -> None:
-        duty, _ = rig.process("a")
-        await rounds(duty)
-        duty.refused(experts.Generation(1))
-        assert not duty.mine()
-        assert not duty.may_order(experts.Generation(1))
-        await rounds(duty)
+        leadership, _ = rig.process("a")
+        await rounds(leadership)
+        leadership.refused(experts.Generation(1))
+        assert not leadership.mine()
+        assert not leadership.may_order(experts.Generation(1))
+        await rounds(leadership)
         rig.clock.advance(lease_lib.TIME_TO_LIVE)
-        await rounds(duty)
-        assert duty.generation() == 2
+        await rounds(leadership)
+        assert leadership.generation() == 2
 
     run(act)
 
 
 def test_holder_keeps_the_duty_while_the_store_is_busy():
     async def act(rig: Rig) -> None:
-        duty, _ = rig.process("a")
-        await rounds(duty)
+        leadership, _ = rig.process("a")
+        await rounds(leadership)
         rig.store.busy = True
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
-            await rounds(duty)
-        assert duty.mine()
+            await rounds(leadership)
+        assert leadership.mine()
 
     run(act)
 
@@ -179,11 +183,11 @@
 def test_process_without_the_lease_rests_while_the_store_is_busy():
     async def act(rig: Rig) -> None:
         rig.store.busy = True
-        duty, _ = rig.process("a")
+        leadership, _ = rig.process("a")
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
-            await rounds(duty)
-        assert not duty.mine()
+            await rounds(leadership)
+        assert not leadership.mine()
 
     run(act)
 
@@ -191,26 +195,26 @@
 def test_malformed_record_is_replaced():
     async def act(rig: Rig) -> None:
         rig.store.append(platform.LEASES_TOPIC, "maps", b"\xff no record")
-        duty, _ = rig.process("a")
-        await rounds(duty)
-        assert duty.mine()
+        leadership, _ = rig.process("a")
+        await rounds(leadership)
+        assert leadership.mine()
 
     run(act)
 
 
 def test_fault_in_one_round_does_not_end_the_looking(monkeypatch):
-    monkeypatch.setattr(map_leadership, "_ROUND_S", 0.0)
+    monkeypatch.setattr(map_leadership, "_ROUND_INTERVAL_S", 0.0)
 
     async def act(rig: Rig) -> None:
-        duty, claimants = rig.process("a")
+        leadership, candidacy = rig.process("a")
         faults = []
 
         def fail() -> bool:
             faults.append(None)
             raise KeyError("a fault of our own")
 
-        claimants.fit = fail
-        looking = asyncio.create_task(duty.run())
+        candidacy.fit = fail
+        looking = asyncio.create_task(leadership.run())
         while len(faults) < 3 and not looking.done():
             await asyncio.sleep(0)
         assert not looking.done()
@@ -221,13 +225,13 @@
 
 def test_process_that_the_store_turns_away_says_that_it_cannot_claim():
     async def act(rig: Rig) -> None:
-        duty, _ = rig.process("a")
+        leadership, _ = rig.process("a")
         rig.store.busy = True
-        await rounds(duty)
-        assert not duty.can_claim()
+        await rounds(leadership)
+        assert not leadership.can_claim()
         rig.store.busy = False
         rig.clock.advance(lease_lib.RETRY_AFTER)
-        await rounds(duty)
-        assert duty.can_claim()
+        await rounds(leadership)
+        assert leadership.can_claim()
 
     run(act)
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -101,7 +101,7 @@
         return self.group.obey(rank, order, epoch, generation)
 
 
-class Duty:
+class MapLeadership:
     """A duty that a test gives and takes away."""
 
     def __init__(self) -> None:
@@ -132,14 +132,14 @@
         self.world = world_lib.World(
             edge_rig.settings(), clock=self.clock, rng=edge_rig.new_rng()
         )
-        self.duty = Duty()
+        self.leadership = MapLeadership()
         self.news = 0
-        self.maps = map_manager.Maps(
+        self.maps = map_manager.MapManager(
             self.world,
             self.engines,
             clock=self.clock,
             sleep=self._sleep,
-            duty=self.duty,
+            leadership=self.leadership,
             owner=experts.Owner(1),
             changed=self._changed,
             node="n1",
@@ -213,7 +213,7 @@
 
 def test_process_without_the_duty_asks_and_orders_nothing():
     async def act(rig: Rig) -> None:
-        rig.duty.has = False
+        rig.leadership.has = False
         await rig.rounds(5)
         assert not rig.engines.orders
         assert rig.engines.group.ranks[0].used == (0, FIRST)
@@ -379,7 +379,7 @@
 
 
 def test_report_of_an_earlier_life_changes_nothing():
-    group = rank_groups.Group("g", SERVICE, LIMITS, SIZE)
+    group = rank_groups.RankGroup("g", SERVICE, LIMITS, SIZE)
     ranks = rank_simulator.ModelGroup(SIZE, FIRST)
     old = ranks.report(1)
     ranks.form()
@@ -393,7 +393,7 @@
     async def act(rig: Rig) -> None:
         rig.engines.is_open = False
         await rig.rounds(2)
-        rig.duty.has = False
+        rig.leadership.has = False
         await rig.rounds(1)
         assert not rig.maps.seen_broken()
         assert len(rig.world.serving(SERVICE)) == SIZE
@@ -490,7 +490,7 @@
 
 def test_every_order_carries_the_number_of_the_lease():
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4)
+        rig.leadership.number = experts.Generation(4)
         await rig.rounds(5)
         assert rig.engines.orders
         assert set(rig.engines.generations) == {4}
@@ -501,11 +501,11 @@
 
 def test_refused_holder_stops_at_once_and_for_good():
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4)
+        rig.leadership.number = experts.Generation(4)
         for rank in rig.engines.group.ranks:
             rank.fence = 5
         await rig.rounds(5)
-        assert rig.duty.spent
+        assert rig.leadership.spent
         # The one round of orders that was refused.
         assert len(rig.engines.orders) == SIZE
         assert rig.engines.group.ranks[0].used == (0, FIRST)
@@ -515,11 +515,11 @@
 
 def test_holder_whose_lease_goes_during_a_switch_gives_no_further_order():
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4)
+        rig.leadership.number = experts.Generation(4)
         order = rig.engines.order
 
         async def taken(*args: object) -> experts.Verdict:
-            rig.duty.number = None
+            rig.leadership.number = None
             return await order(*args)
 
         rig.engines.order = taken
@@ -634,7 +634,7 @@
 @pytest.mark.parametrize("leased", [True, False], ids=["lease", "none"])
 def test_new_holder_of_a_lease_releases_what_is_held_at_once(leased: bool):
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4) if leased else None
+        rig.leadership.number = experts.Generation(4) if leased else None
         group = rig.engines.group
         held = experts.Hold(experts.Step(group.step + 1))
         group.obey(0, held, group.epoch)
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -18,7 +18,7 @@
 
 
 def passes(
-    pulse: pass_times_lib.Pulse, *lengths: float, streams: int = 3
+    pulse: pass_times_lib.PassTimes, *lengths: float, streams: int = 3
 ) -> list[bool]:
     """Let passes go by, each with an event for some streams."""
     clock = clock_lib.ManualClock()
@@ -33,29 +33,29 @@
 
 
 def test_first_pass_is_no_jump() -> None:
-    pulse = pass_times_lib.Pulse()
+    pulse = pass_times_lib.PassTimes()
     assert not any(passes(pulse, 50))
     assert pulse.usual == 50 * MS
 
 
 def test_jump_is_told_once_and_at_its_first_pass() -> None:
-    told = passes(pass_times_lib.Pulse(), 50, 50, 50, 110, 110, streams=3)
+    told = passes(pass_times_lib.PassTimes(), 50, 50, 50, 110, 110, streams=3)
     assert told == [False] * 9 + [True] + [False] * 5
 
 
 def test_streams_of_one_pass_count_as_one() -> None:
-    many, one = pass_times_lib.Pulse(), pass_times_lib.Pulse()
+    many, one = pass_times_lib.PassTimes(), pass_times_lib.PassTimes()
     passes(many, 50, 60, 55, streams=9)
     passes(one, 50, 60, 55, streams=1)
     assert many.usual == one.usual
 
 
 def test_pass_with_long_prompts_is_no_jump() -> None:
-    assert not any(passes(pass_times_lib.Pulse(), 50, 50, 65, 50, 60))
+    assert not any(passes(pass_times_lib.PassTimes(), 50, 50, 65, 50, 60))
 
 
 def test_group_that_stood_still_teaches_nothing() -> None:
-    pulse = pass_times_lib.Pulse()
+    pulse = pass_times_lib.PassTimes()
     assert not any(passes(pulse, 50, 50, 1500))
     assert pulse.usual == 50 * MS
 
@@ -68,7 +68,7 @@
 def test_maps_change_as_few_passes_ahead_as_reports_are_old(
     lag_ms: float, pass_ms: float | None, ahead: int
 ) -> None:
-    group = rank_groups.Group(
+    group = rank_groups.RankGroup(
         "g", ids.ServiceName("s"), LIMITS, 4, report_lag=lag_ms * MS
     )
     if pass_ms is not None:
--- a/testing/edge/test_rank_slowness.py
+++ b/testing/edge/test_rank_slowness.py
@@ -15,7 +15,7 @@
 
 
 def test_all_ranks_are_asked_once_reports_tell_of_longer_passes():
-    slow = rank_slowness_lib.Slowness()
+    slow = rank_slowness_lib.RankSlowness()
     assert slow.is_due(_at(0))
     slow.told({RANK: 1.0}, _at(0))
     assert not slow.is_due(_at(1))
@@ -25,7 +25,7 @@
 
 
 def test_rank_is_slow_until_it_tells_that_it_is_not():
-    slow = rank_slowness_lib.Slowness()
+    slow = rank_slowness_lib.RankSlowness()
     assert slow.told({RANK: 4.0}, _at(0))
     assert slow.of(3) == (1.0, 4.0, 1.0)
     assert slow.is_due(_at(1))
@@ -36,7 +36,7 @@
 
 
 def test_small_changes_are_no_reason_to_plan_anew():
-    slow = rank_slowness_lib.Slowness()
+    slow = rank_slowness_lib.RankSlowness()
     assert not slow.told({RANK: 1.1}, _at(0))
     assert slow.of(3) == ()
     assert slow.told({RANK: 4.0}, _at(1))
--- a/testing/edge/test_store_readers.py
+++ b/testing/edge/test_store_readers.py
@@ -6,18 +6,20 @@
 from lugcross.edge import store_readers
 
 
-def _domain(count: int, *failing: int) -> list[store_readers.Reader]:
+def _domain(count: int, *failing: int) -> list[store_readers.ReaderCandidate]:
     return [
-        store_readers.Reader(f"i{num:02}", num not in failing, "d1")
+        store_readers.ReaderCandidate(f"i{num:02}", num not in failing, "d1")
         for num in range(count)
     ]
 
 
-def _asking(domain: list[store_readers.Reader]) -> list[str]:
+def _asking(domain: list[store_readers.ReaderCandidate]) -> list[str]:
     return [
         own.incarnation
         for own in domain
-        if store_readers.asks(own, [one for one in domain if one is not own])
+        if store_readers.reads_store(
+            own, [one for one in domain if one is not own]
+        )
     ]
 
 
@@ -39,10 +41,12 @@
     assert len(_asking(_domain(4, 0, 1, 2, 3))) == 4
 
 
-def _fleet(*domains: int) -> list[store_readers.Reader]:
+def _fleet(*domains: int) -> list[store_readers.ReaderCandidate]:
     """Return processes that the store answers, in several domains."""
     return [
-        store_readers.Reader(f"i{num:02}-d{domain}", True, f"d{domain}")
+        store_readers.ReaderCandidate(
+            f"i{num:02}-d{domain}", True, f"d{domain}"
+        )
         for domain, count in enumerate(domains)
         for num in range(count)
     ]
@@ -65,7 +69,7 @@
 def test_those_that_ask_are_ranked_over_all_domains() -> None:
     fleet = _fleet(2, 2, 2)
     ranks = {
-        one.incarnation: store_readers.rank(
+        one.incarnation: store_readers.reader_position(
             one, [o for o in fleet if o is not one]
         )
         for one in fleet
@@ -76,7 +80,7 @@
 
 def test_first_that_asks_is_another_once_it_gets_no_answer() -> None:
     fleet = _fleet(2, 2, 2)
-    fleet[0] = store_readers.Reader("i00-d0", False, "d0")
+    fleet[0] = store_readers.ReaderCandidate("i00-d0", False, "d0")
     others = [one for one in fleet if one.incarnation != "i00-d1"]
     own = next(one for one in fleet if one.incarnation == "i00-d1")
-    assert store_readers.rank(own, others) == 0
+    assert store_readers.reader_position(own, others) == 0
