--- a/bench/maps.py
+++ b/bench/maps.py
@@ -41,7 +41,7 @@
     """Print a line for each size."""
     for ranks, sets, count in SIZES:
         places = max(2, count // ranks + 3)
-        limits = experts.Limits(
+        limits = experts.ExpertLimits(
             sets=sets,
             experts=count,
             places=places,
@@ -50,9 +50,9 @@
             share=0.85,
         )
         # A group needs a place for each expert; small ones hold several.
-        first = experts.dealt_out(ranks, limits)
+        first = experts.round_robin_map(ranks, limits)
         begun = time.process_time()
-        plan = experts.plan(
+        plan = experts.plan_map(
             demand(sets, count), first, limits, most_copies=_COPIES
         )
         took_ms = (time.process_time() - begun) * 1000
--- a/src/lugcross/desired/model.py
+++ b/src/lugcross/desired/model.py
@@ -98,7 +98,7 @@
     context_ms: float = 0.0
     read_per_s: float = 0.0
     report_lag: datetime.timedelta = datetime.timedelta()
-    experts: experts_lib.Limits | None = None
+    experts: experts_lib.ExpertLimits | None = None
 
 
 @final
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -116,7 +116,7 @@
             clock=clock,
             sleep=asyncio.sleep,
             leadership=self._duty,
-            owner=experts.Owner(rng.getrandbits(_OWNER_BITS)),
+            owner=experts.NumberAllocator(rng.getrandbits(_OWNER_BITS)),
             changed=urgent,
             node=settings.node,
             cfg=settings.maps,
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -33,7 +33,7 @@
     """Counts of one rank and when they were read."""
 
     backend: desired.BackendKey
-    counts: experts.Counts
+    counts: experts.ExpertCounts
     at: clock_lib.Instant
 
 
@@ -91,7 +91,7 @@
         self,
         service: ids.ServiceName,
         groups: Iterable[rank_groups.RankGroup],
-        limits: experts.Limits,
+        limits: experts.ExpertLimits,
     ) -> None:
         """Read the counts of one rank, if that is due.
 
@@ -120,7 +120,7 @@
         self._gaps.pop(service, None)
         if last.counts.epoch != counts.epoch:
             self._gaps[service] = _FIRST_READ_INTERVAL
-        uses = experts.between(last.counts, counts)
+        uses = experts.uses_between(last.counts, counts)
         if uses is not None:
             self._seen[service] = RecentDemand(uses=uses, at=now)
 
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -187,12 +187,12 @@
             return False
         silent = _LEASE_SILENT if leased else _DUTY_SILENT
         claims = [
-            experts.Claim(beat.since_ms, beat.incarnation)
+            experts.Candidate(beat.since_ms, beat.incarnation)
             for beat in self._live_beats(silent)
             if beat.since_ms and (beat.reads or not leased)
         ]
-        own = experts.Claim(self._since_ms, self._incarnation)
-        return experts.holder([*claims, own]) == own
+        own = experts.Candidate(self._since_ms, self._incarnation)
+        return experts.elect_leader([*claims, own]) == own
 
     def held_elsewhere(self) -> bool:
         """Tell whether a live peer has the lease of expert maps."""
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -111,10 +111,10 @@
             wants=self._wants(),
             held_elsewhere=self._candidacy.held_elsewhere(),
         )
-        if move is experts.Move.NONE:
+        if move is experts.LeaseAction.NONE:
             return
         try:
-            if move is experts.Move.READ:
+            if move is experts.LeaseAction.READ:
                 await self._read()
             else:
                 await self._write(self._lease.record(move))
@@ -143,7 +143,7 @@
         found = [one for one in tail.records if one.key == _LEASE_KEY]
         self._lease.saw(_decode(found[0]) if found else None, tail.end)
 
-    async def _write(self, record: experts.Record) -> None:
+    async def _write(self, record: experts.LeaseRecord) -> None:
         end = await self._store.put_at(
             platform.LEASES_TOPIC,
             _LEASE_KEY,
@@ -153,9 +153,9 @@
         self._lease.wrote(record, end)
 
 
-def _decode(found: platform.KeyedRecord) -> experts.Record | None:
+def _decode(found: platform.KeyedRecord) -> experts.LeaseRecord | None:
     try:
-        return record_lib.load(found.value, experts.Record)
+        return record_lib.load(found.value, experts.LeaseRecord)
     except errors.ChangeError as exc:
         logging.error("lease is malformed", extra={"why": str(exc)})
         return None
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -61,7 +61,7 @@
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
         leadership: map_leadership.MapLeadership,
-        owner: experts.Owner,
+        owner: experts.NumberAllocator,
         changed: Callable[[], None],
         node: str,
         cfg: settings_lib.Maps,
@@ -154,7 +154,7 @@
         self,
         service: ids.ServiceName,
         engine: desired.Engine,
-        limits: experts.Limits,
+        limits: experts.ExpertLimits,
     ) -> None:
         backends = [
             one for one in self._world.backends.all() if one.service == service
@@ -220,13 +220,13 @@
 
     async def _plan(
         self, group: rank_groups.RankGroup, uses: experts.Demand
-    ) -> experts.Plan:
+    ) -> experts.MapPlan:
         """Plan a map; requests are served between its steps."""
         assert group.used is not None
         copies = int(
             self.cfg.copy_s / (group.limits.copy_s or _DEFAULT_COPY_S)
         )
-        planning = experts.steps(
+        planning = experts.plan_in_steps(
             uses,
             group.used,
             group.limits,
@@ -238,7 +238,7 @@
             try:
                 next(planning)
             except StopIteration as exc:
-                plan: experts.Plan = exc.value
+                plan: experts.MapPlan = exc.value
                 return plan
             if self._clock.monotonic() - begun >= _MAX_PLANNING_SLICE:
                 await asyncio.sleep(0)
@@ -253,8 +253,10 @@
         plan = await self._plan(group, uses)
         if group.copying is not copying:
             return
-        skew = experts.skew(uses, copying, group.slowness.of(group.size))
-        saving = experts.saving(skew, plan.skew_after, group.limits.share)
+        skew = experts.load_skew(uses, copying, group.slowness.of(group.size))
+        saving = experts.pass_time_saving(
+            skew, plan.skew_after, group.limits.share
+        )
         if saving >= self.cfg.least_saving:
             self.switches.abandon(group)
             # Planned anew by the same reading, once it is left.
@@ -264,7 +266,7 @@
         self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> None:
         plan = await self._plan(group, uses)
-        saving = experts.saving(
+        saving = experts.pass_time_saving(
             plan.skew_before, plan.skew_after, group.limits.share
         )
         worth = saving >= self.cfg.least_saving
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -47,20 +47,20 @@
 
     name: str
     service: ids.ServiceName
-    limits: experts.Limits
+    limits: experts.ExpertLimits
     size: int
     members: dict[experts.Rank, desired.Backend] = dataclasses.field(
         default_factory=dict
     )
     epoch: experts.Epoch = experts.Epoch(0)
     is_open: bool = False
-    step: experts.Step = experts.Step(0)
+    step: experts.PassNumber = experts.PassNumber(0)
     version: experts.MapVersion = experts.MapVersion(0)
     newest: experts.MapVersion = experts.MapVersion(0)
     used: experts.ExpertMap | None = None
     awaited: experts.MapVersion | None = None
     looked_at: clock_lib.Instant | None = None
-    hold_seen: tuple[experts.Step, clock_lib.Instant] | None = None
+    hold_seen: tuple[experts.PassNumber, clock_lib.Instant] | None = None
     busy: bool = False
     touched: bool = False
     planned_at: clock_lib.Instant | None = None
@@ -72,8 +72,8 @@
     slowness: rank_slowness_lib.RankSlowness = dataclasses.field(
         default_factory=rank_slowness_lib.RankSlowness
     )
-    restraint: experts.Restraint = dataclasses.field(
-        default_factory=experts.Restraint
+    restraint: experts.SwitchBackoff = dataclasses.field(
+        default_factory=experts.SwitchBackoff
     )
 
     @property
@@ -147,7 +147,7 @@
         self.is_open = False
         self.looked_at = now
 
-    def take(self, report: experts.Report, now: clock_lib.Instant) -> None:
+    def take(self, report: experts.RankReport, now: clock_lib.Instant) -> None:
         """Take over what a rank tells; only rank 0 is ever held."""
         self.looked_at = now
         if report.epoch < self.epoch:
@@ -155,7 +155,7 @@
         if report.epoch != self.epoch:
             self.epoch = report.epoch
             self.version = self.newest = experts.MapVersion(0)
-            self.used = experts.dealt_out(self.size, self.limits)
+            self.used = experts.round_robin_map(self.size, self.limits)
             self.awaited = None
             # What was seen before it broke is the best to plan by now.
             self.planned_at = None
@@ -172,7 +172,7 @@
             self._note_hold(report.held, now)
 
     def _note_hold(
-        self, held: experts.Step | None, now: clock_lib.Instant
+        self, held: experts.PassNumber | None, now: clock_lib.Instant
     ) -> None:
         if held is None:
             self.hold_seen = None
@@ -245,7 +245,7 @@
     def place(
         self,
         backend: desired.Backend,
-        report: experts.Report,
+        report: experts.RankReport,
         engine: desired.Engine,
     ) -> None:
         """Note which rank of which group a backend server is."""
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -60,7 +60,9 @@
             if report is not None:
                 self._groups.place(backend, report, engine)
 
-    async def report(self, backend: desired.Backend) -> experts.Report | None:
+    async def report(
+        self, backend: desired.Backend
+    ) -> experts.RankReport | None:
         """Return what a rank tells; none if it does not."""
         try:
             return await self._engines.report(backend)
@@ -112,7 +114,7 @@
 
     async def _reports(
         self, group: rank_groups.RankGroup, ranks: list[experts.Rank]
-    ) -> list[experts.Report]:
+    ) -> list[experts.RankReport]:
         found = await asyncio.gather(
             *(self.report(group.members[rank]) for rank in ranks)
         )
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -69,7 +69,7 @@
         """Leave the switch if its ranks are still copying."""
         self._outdated = True
 
-    async def run(self, switch: experts.Switch, copies: int) -> bool:
+    async def run(self, switch: experts.MapSwitch, copies: int) -> bool:
         """Carry out a switch; tell whether it came to an end.
 
         :param copies: most experts that a rank copies.
@@ -78,7 +78,7 @@
         copying = copies * self._group.limits.copy_s
         copying = copying * _COPY_TIME_FACTOR + _COPY_MARGIN_S
         copied = since + datetime.timedelta(seconds=copying)
-        while switch.phase is not experts.Phase.OVER:
+        while switch.phase is not experts.SwitchPhase.OVER:
             now = self._clock.monotonic()
             if now - copied > _GIVE_UP_AFTER or not self._may_order():
                 return False
@@ -87,7 +87,7 @@
             if vain and not switch.holds:
                 switch.leave()
                 continue
-            if switch.phase is experts.Phase.COPY:
+            if switch.phase is experts.SwitchPhase.COPY:
                 await self._wait_copied(copied, switch)
             elif switch.hold_refused:
                 await self._name_step(switch)
@@ -96,7 +96,7 @@
         return True
 
     async def _wait_copied(
-        self, copied: clock_lib.Instant, switch: experts.Switch
+        self, copied: clock_lib.Instant, switch: experts.MapSwitch
     ) -> None:
         left = (copied - self._clock.monotonic()).total_seconds()
         if self._outdated:
@@ -106,7 +106,7 @@
         else:
             await self._name_step(switch)
 
-    async def _name_step(self, switch: experts.Switch) -> None:
+    async def _name_step(self, switch: experts.MapSwitch) -> None:
         """Choose the pass at which all ranks change.
 
         Only the first rank tells whether a pass is held. While its entry is
@@ -127,7 +127,7 @@
             switch.copied(report.step, ahead=self._group.ahead())
             switch.hold_later(report.step)
 
-    async def _report(self, rank: experts.Rank) -> experts.Report | None:
+    async def _report(self, rank: experts.Rank) -> experts.RankReport | None:
         """Return what a rank reports; none if it is in no group.
 
         :raises platform.EngineError: when it is silent or off the list.
@@ -142,35 +142,38 @@
     def _may_order(self) -> bool:
         return self._leadership.may_order(self._generation)
 
-    async def _send_all(self, switch: experts.Switch) -> None:
+    async def _send_all(self, switch: experts.MapSwitch) -> None:
         todo = switch.todo()
         verdicts = await asyncio.gather(
             *(self._send(rank, order) for rank, order in todo)
         )
         for (rank, order), verdict in zip(todo, verdicts, strict=True):
             switch.take(rank, order, verdict)
-        if all(one is experts.Verdict.DONE for one in verdicts):
+        if all(one is experts.OrderResult.DONE for one in verdicts):
             return
-        if experts.Verdict.FENCED in verdicts or switch.hold_refused:
+        if experts.OrderResult.FENCED in verdicts or switch.hold_refused:
             return
-        if experts.Verdict.REFUSED in verdicts:
+        if experts.OrderResult.REFUSED in verdicts:
             await self._check_epoch(switch)
         await self._sleep(_RETRY_DELAY_S)
 
     async def _send(
         self, rank: experts.Rank, order: experts.Order
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         backend = self._group.members.get(rank)
         if backend is None:
-            return experts.Verdict.UNKNOWN
+            return experts.OrderResult.UNKNOWN
         verdict = await self._engines.order(
             backend, order, self._group.epoch, self._generation
         )
-        if verdict is experts.Verdict.FENCED and self._generation is not None:
+        if (
+            verdict is experts.OrderResult.FENCED
+            and self._generation is not None
+        ):
             self._leadership.refused(self._generation)
         return verdict
 
-    async def _check_epoch(self, switch: experts.Switch) -> None:
+    async def _check_epoch(self, switch: experts.MapSwitch) -> None:
         """End the switch if its group has formed anew.
 
         Every rank knows the epoch; the first one's entry may be gone.
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -38,7 +38,7 @@
         engines: platform.Engines,
         queries: rank_queries.RankQueries,
         *,
-        owner: experts.Owner,
+        owner: experts.NumberAllocator,
         leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
@@ -97,7 +97,9 @@
             group.looked_at = None
             group.hold_seen = None
 
-    def change(self, group: rank_groups.RankGroup, plan: experts.Plan) -> None:
+    def change(
+        self, group: rank_groups.RankGroup, plan: experts.MapPlan
+    ) -> None:
         """Take a group to the map of a plan."""
         self._start(group, self._change(group, plan))
 
@@ -110,10 +112,10 @@
         self._drivers[group.service, group.name].abandon()
 
     async def _change(
-        self, group: rank_groups.RankGroup, plan: experts.Plan
+        self, group: rank_groups.RankGroup, plan: experts.MapPlan
     ) -> None:
         assert group.used is not None
-        switch = experts.Switch(
+        switch = experts.MapSwitch(
             size=group.size,
             version=self._owner.version(group.newest),
             after=plan.next,
@@ -146,7 +148,7 @@
             "held pass was left",
             extra={"group": group.name, "step": step, "armed": len(armed)},
         )
-        switch = experts.Switch.found(
+        switch = experts.MapSwitch.found(
             size=group.size,
             newest=group.newest,
             armed=max(armed, default=None),
@@ -160,8 +162,8 @@
     async def _drive(
         self,
         group: rank_groups.RankGroup,
-        switch: experts.Switch,
-        plan: experts.Plan | None,
+        switch: experts.MapSwitch,
+        plan: experts.MapPlan | None,
     ) -> None:
         generation = self._leadership.generation()
         if generation is not None:
@@ -193,5 +195,5 @@
                 "finished": finished,
             },
         )
-        if plan and switch.outcome is experts.Outcome.SWITCHED:
+        if plan and switch.outcome is experts.SwitchOutcome.SWITCHED:
             group.switched(switch.version, plan.next)
--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -1,82 +1,82 @@
 # SPDX-License-Identifier: Apache-2.0
 """Expert maps of running groups: see demand, plan, switch all ranks."""
 
-from lugcross.experts.demand import between
-from lugcross.experts.demand import Counts
-from lugcross.experts.demand import shaped
-from lugcross.experts.election import Claim
-from lugcross.experts.election import holder
+from lugcross.experts.demand import counts_by_set
+from lugcross.experts.demand import ExpertCounts
+from lugcross.experts.demand import uses_between
+from lugcross.experts.election import Candidate
+from lugcross.experts.election import elect_leader
 from lugcross.experts.lease import Generation
 from lugcross.experts.lease import Lease
-from lugcross.experts.lease import Move
-from lugcross.experts.lease import Record
-from lugcross.experts.model import dealt_out
+from lugcross.experts.lease import LeaseAction
+from lugcross.experts.lease import LeaseRecord
 from lugcross.experts.model import Demand
+from lugcross.experts.model import ExpertLimits
 from lugcross.experts.model import ExpertMap
-from lugcross.experts.model import Limits
-from lugcross.experts.model import pass_time
+from lugcross.experts.model import load_skew
+from lugcross.experts.model import pass_time_saving
 from lugcross.experts.model import rank_loads
 from lugcross.experts.model import RankExperts
-from lugcross.experts.model import saving
-from lugcross.experts.model import skew
+from lugcross.experts.model import relative_pass_time
+from lugcross.experts.model import round_robin_map
 from lugcross.experts.orders import Arm
 from lugcross.experts.orders import Disarm
 from lugcross.experts.orders import Epoch
 from lugcross.experts.orders import Hold
 from lugcross.experts.orders import MapVersion
+from lugcross.experts.orders import NumberAllocator
 from lugcross.experts.orders import Order
-from lugcross.experts.orders import Owner
+from lugcross.experts.orders import OrderResult
+from lugcross.experts.orders import PassNumber
 from lugcross.experts.orders import Prepare
 from lugcross.experts.orders import Rank
+from lugcross.experts.orders import RankReport
 from lugcross.experts.orders import Release
-from lugcross.experts.orders import Report
-from lugcross.experts.orders import Step
-from lugcross.experts.orders import Verdict
-from lugcross.experts.planner import plan
-from lugcross.experts.planner import Plan
-from lugcross.experts.planner import steps
-from lugcross.experts.switch import Outcome
-from lugcross.experts.switch import Phase
-from lugcross.experts.switch import Switch
-from lugcross.experts.switch_backoff import Restraint
+from lugcross.experts.planner import MapPlan
+from lugcross.experts.planner import plan_in_steps
+from lugcross.experts.planner import plan_map
+from lugcross.experts.switch import MapSwitch
+from lugcross.experts.switch import SwitchOutcome
+from lugcross.experts.switch import SwitchPhase
+from lugcross.experts.switch_backoff import SwitchBackoff
 
 __all__ = [
     "Arm",
-    "Claim",
-    "Counts",
+    "Candidate",
     "Demand",
     "Disarm",
     "Epoch",
+    "ExpertCounts",
+    "ExpertLimits",
     "ExpertMap",
     "Generation",
     "Hold",
     "Lease",
-    "Limits",
+    "LeaseAction",
+    "LeaseRecord",
+    "MapPlan",
+    "MapSwitch",
     "MapVersion",
-    "Move",
+    "NumberAllocator",
     "Order",
-    "Outcome",
-    "Owner",
-    "Phase",
-    "Plan",
+    "OrderResult",
+    "PassNumber",
     "Prepare",
     "Rank",
     "RankExperts",
-    "Record",
+    "RankReport",
     "Release",
-    "Report",
-    "Restraint",
-    "Step",
-    "Switch",
-    "Verdict",
-    "between",
-    "dealt_out",
-    "holder",
-    "pass_time",
-    "plan",
+    "SwitchBackoff",
+    "SwitchOutcome",
+    "SwitchPhase",
+    "counts_by_set",
+    "elect_leader",
+    "load_skew",
+    "pass_time_saving",
+    "plan_in_steps",
+    "plan_map",
     "rank_loads",
-    "saving",
-    "shaped",
-    "skew",
-    "steps",
+    "relative_pass_time",
+    "round_robin_map",
+    "uses_between",
 ]
--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -10,24 +10,24 @@
 
 #: Uses of an expert between two readings, over all sets, below which they
 #: tell of too few requests to plan by.
-_LEAST_USES = 2_000
+_MIN_USE_COUNT = 2_000
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Counts:
+class ExpertCounts:
     """How often each expert was used at one rank since its start.
 
     :param sets: by set, then by expert.
     """
 
     epoch: orders.Epoch
-    step: orders.Step
+    step: orders.PassNumber
     sets: tuple[tuple[int, ...], ...]
 
 
-def between(
-    before: Counts | None, now: Counts
+def uses_between(
+    before: ExpertCounts | None, now: ExpertCounts
 ) -> tuple[tuple[int, ...], ...] | None:
     """Return the uses between two readings of one rank.
 
@@ -43,12 +43,14 @@
     )
     if any(one < 0 for row in uses for one in row):
         return None
-    if sum(map(sum, uses)) < _LEAST_USES:
+    if sum(map(sum, uses)) < _MIN_USE_COUNT:
         return None
     return uses
 
 
-def shaped(flat: Sequence[int], limits: model.Limits) -> list[list[int]]:
+def counts_by_set(
+    flat: Sequence[int], limits: model.ExpertLimits
+) -> list[list[int]]:
     """Return counts set by set.
 
     :raises ValueError: when they are not ``sets`` times ``experts``.
--- a/src/lugcross/experts/election.py
+++ b/src/lugcross/experts/election.py
@@ -14,7 +14,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, order=True)
-class Claim:
+class Candidate:
     """A process that could look after expert maps.
 
     :param since_ms: when it started, by its own time of day; processes
@@ -26,6 +26,6 @@
     incarnation: str
 
 
-def holder(claims: Iterable[Claim]) -> Claim | None:
+def elect_leader(claims: Iterable[Candidate]) -> Candidate | None:
     """Return whose duty it is; none if there is nobody."""
     return min(claims, default=None)
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -31,20 +31,20 @@
 
 #: Time between two renewals. A renewal also tells a holder that it has
 #: been superseded; two a second are a two-hundredth of the store's writes.
-RENEW_EVERY = datetime.timedelta(milliseconds=500)
+RENEWAL_INTERVAL = datetime.timedelta(milliseconds=500)
 #: Time for which a record must stand unchanged before it may be replaced:
 #: one renewal and a slow store's answer. A holder that was frozen between
 #: two orders may keep its group from making passes for that long.
 TIME_TO_LIVE = datetime.timedelta(milliseconds=750)
 #: Rest after a call that got no answer; as long as the store takes to
 #: answer when it is slow.
-RETRY_AFTER = datetime.timedelta(milliseconds=500)
+RETRY_DELAY = datetime.timedelta(milliseconds=500)
 #: Bits of the numbers of one era of the store: at a claim each time to live
 #: they last for 145 days, and claims are a few a day.
-_ERA_BITS = 24
+_GENERATION_BIT_COUNT = 24
 
 
-class Move(enum.Enum):
+class LeaseAction(enum.Enum):
     """What to do at the store now."""
 
     NONE = "none"
@@ -55,7 +55,7 @@
 
 
 @final
-class Record(msgspec.Struct, frozen=True, kw_only=True):
+class LeaseRecord(msgspec.Struct, frozen=True, kw_only=True):
     """What the store holds of a lease.
 
     :param holder: incarnation of the process that wrote it.
@@ -81,7 +81,7 @@
     def __init__(self, incarnation: str, clock: clock_lib.Clock) -> None:
         self._own = incarnation
         self._clock = clock
-        self._seen: Record | None = None
+        self._seen: LeaseRecord | None = None
         self._end: positions.Position | None = None
         self._since = clock.monotonic()
         self._renewed_at = clock.monotonic()
@@ -97,7 +97,7 @@
         """Number of this process's claim; none while it has no lease."""
         return self._held
 
-    def move(self, *, wants: bool, held_elsewhere: bool) -> Move:
+    def move(self, *, wants: bool, held_elsewhere: bool) -> LeaseAction:
         """Return what to do at the store now.
 
         :param wants: whether this process should have the lease.
@@ -105,43 +105,45 @@
         """
         now = self._clock.monotonic()
         if now < self._retry_at:
-            return Move.NONE
+            return LeaseAction.NONE
         if self._held is not None:
             return self._move_of_holder(now, wants)
         if not wants or held_elsewhere:
             # What was seen is too old to start the time to live from.
             self._end = None
-            return Move.NONE
+            return LeaseAction.NONE
         if self._end is None:
-            return Move.READ
+            return LeaseAction.READ
         free = self._seen is None or self._seen.released
         if free or now - self._since >= TIME_TO_LIVE:
-            return Move.CLAIM
-        return Move.NONE
+            return LeaseAction.CLAIM
+        return LeaseAction.NONE
 
-    def _move_of_holder(self, now: clock_lib.Instant, wants: bool) -> Move:
+    def _move_of_holder(
+        self, now: clock_lib.Instant, wants: bool
+    ) -> LeaseAction:
         if self._end is None:
-            return Move.READ
+            return LeaseAction.READ
         if not wants:
-            return Move.RELEASE
-        if now - self._renewed_at >= RENEW_EVERY:
-            return Move.RENEW
-        return Move.NONE
+            return LeaseAction.RELEASE
+        if now - self._renewed_at >= RENEWAL_INTERVAL:
+            return LeaseAction.RENEW
+        return LeaseAction.NONE
 
-    def record(self, move: Move) -> Record:
+    def record(self, move: LeaseAction) -> LeaseRecord:
         """Return the record that a move writes."""
-        if move is Move.CLAIM:
+        if move is LeaseAction.CLAIM:
             before = self._seen.generation if self._seen else Generation(0)
             # What was claimed since the copy that the store came back from is
             # not known to it: each era has numbers above all earlier ones.
-            lowest = positions.era(self.end) << _ERA_BITS
+            lowest = positions.era(self.end) << _GENERATION_BIT_COUNT
             number = Generation(max(before, self._spent, lowest) + 1)
-            return Record(holder=self._own, generation=number)
+            return LeaseRecord(holder=self._own, generation=number)
         assert self._held is not None
-        return Record(
+        return LeaseRecord(
             holder=self._own,
             generation=self._held,
-            released=move is Move.RELEASE,
+            released=move is LeaseAction.RELEASE,
         )
 
     @property
@@ -150,7 +152,7 @@
         assert self._end is not None
         return self._end
 
-    def saw(self, found: Record | None, end: positions.Position) -> None:
+    def saw(self, found: LeaseRecord | None, end: positions.Position) -> None:
         """Take over what the store holds."""
         self.failing = False
         now = self._clock.monotonic()
@@ -168,7 +170,7 @@
             self._held = number
             self._renewed_at = now
 
-    def wrote(self, record: Record, end: positions.Position) -> None:
+    def wrote(self, record: LeaseRecord, end: positions.Position) -> None:
         """Note that the store has taken a record of ours."""
         self.failing = False
         self._seen, self._end = record, end
@@ -187,7 +189,7 @@
         """Note that a call got no answer: a write may have counted."""
         self.failing = True
         self._end = None
-        self._retry_at = self._clock.monotonic() + RETRY_AFTER
+        self._retry_at = self._clock.monotonic() + RETRY_DELAY
 
     def superseded(self, by: Generation) -> None:
         """Note a higher number that a peer tells of."""
--- a/src/lugcross/experts/model.py
+++ b/src/lugcross/experts/model.py
@@ -18,7 +18,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Limits:
+class ExpertLimits:
     """What a service's engines allow, as its operator tells it.
 
     :param sets: sets of layers that share one placement.
@@ -64,7 +64,7 @@
         return len(self.ranks)
 
 
-def dealt_out(size: int, limits: Limits) -> ExpertMap:
+def round_robin_map(size: int, limits: ExpertLimits) -> ExpertMap:
     """Return the map that every new group starts with: dealt in turn."""
     return ExpertMap(
         tuple(
@@ -77,7 +77,7 @@
     )
 
 
-def skew(
+def load_skew(
     demand: Demand, used: ExpertMap, slowness: Sequence[float] = ()
 ) -> float:
     """Return the load of the most loaded rank over the mean of all.
@@ -116,16 +116,18 @@
     ]
 
 
-def saving(before: float, after: float, share: float) -> float:
+def pass_time_saving(before: float, after: float, share: float) -> float:
     """Return the part of a pass that another skew saves.
 
     :param before: skew now.
     :param share: part of an even pass that is spent in experts.
     """
-    return 1.0 - pass_time(after, share) / pass_time(before, share)
+    return 1.0 - relative_pass_time(after, share) / relative_pass_time(
+        before, share
+    )
 
 
-def pass_time(skew_now: float, share: float) -> float:
+def relative_pass_time(skew_now: float, share: float) -> float:
     """Return how long a pass takes, where 1 is a pass without any skew.
 
     :param share: part of an even pass that is spent in experts.
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -12,7 +12,7 @@
 #: Number of a rank within its group, from 0.
 Rank = NewType("Rank", int)
 #: Number of a pass; all ranks of a group make it together.
-Step = NewType("Step", int)
+PassNumber = NewType("PassNumber", int)
 #: Version of an expert map; rises at each rank, 0 is what it starts with.
 MapVersion = NewType("MapVersion", int)
 #: Life of a group; a new one starts from the first map.
@@ -34,7 +34,7 @@
     """Take up the prepared map as one pass begins."""
 
     version: MapVersion
-    step: Step
+    step: PassNumber
 
 
 @final
@@ -50,7 +50,7 @@
 class Hold:
     """Do not begin a pass until it is released; stands until then."""
 
-    step: Step
+    step: PassNumber
 
 
 @final
@@ -58,13 +58,13 @@
 class Release:
     """Let a pass that is held begin."""
 
-    step: Step
+    step: PassNumber
 
 
 Order = Prepare | Arm | Disarm | Hold | Release
 
 
-class Verdict(enum.Enum):
+class OrderResult(enum.Enum):
     """What became of an order.
 
     An ``UNKNOWN`` one may have been carried out, or may be seconds later.
@@ -79,7 +79,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Report:
+class RankReport:
     """State of one rank, some hundred milliseconds ago.
 
     :param step: pass that began last.
@@ -97,11 +97,11 @@
     epoch: Epoch
     is_open: bool
     running: int
-    step: Step
+    step: PassNumber
     used: MapVersion
     prepared: MapVersion | None
     armed: Arm | None
-    held: Step | None
+    held: PassNumber | None
     slowness: float = 1.0
 
     @property
@@ -112,31 +112,31 @@
 
 
 #: Low bits of a version, which tell whose it is.
-_OWNER_BITS = 16
+_ALLOCATOR_BIT_COUNT = 16
 #: Processes hold passes of this many classes, by their number, so that one
 #: rarely holds, and so never releases, the pass that another holds.
-_STEP_CLASSES = 4
+_PASS_CLASS_COUNT = 4
 #: The same where leases are numbered: two holders in a row never hold the
 #: same pass, and what the one before them sends is refused.
-_LEASE_CLASSES = 2
+_LEASED_PASS_CLASS_COUNT = 2
 
 
 @final
-class Owner:
+class NumberAllocator:
     """Chooses versions and passes so that no other process chooses them.
 
     :param number: drawn at random at each start of a process.
     """
 
     def __init__(self, number: int) -> None:
-        self._number = number & ((1 << _OWNER_BITS) - 1)
+        self._number = number & ((1 << _ALLOCATOR_BIT_COUNT) - 1)
         self._chosen = MapVersion(0)
-        self._classes = _STEP_CLASSES
+        self._classes = _PASS_CLASS_COUNT
         self._class = self._number
 
     def take_turn(self, generation: lease.Generation) -> None:
         """Choose passes by the number of a lease from now on."""
-        self._classes = _LEASE_CLASSES
+        self._classes = _LEASED_PASS_CLASS_COUNT
         self._class = generation
 
     def version(self, newest: MapVersion) -> MapVersion:
@@ -145,11 +145,11 @@
         A version stands for one map: what a report tells may be older than
         what this process has chosen itself.
         """
-        high = (max(newest, self._chosen) >> _OWNER_BITS) + 1
-        self._chosen = MapVersion(high << _OWNER_BITS | self._number)
+        high = (max(newest, self._chosen) >> _ALLOCATOR_BIT_COUNT) + 1
+        self._chosen = MapVersion(high << _ALLOCATOR_BIT_COUNT | self._number)
         return self._chosen
 
-    def step(self, after: Step) -> Step:
+    def step(self, after: PassNumber) -> PassNumber:
         """Return the next pass past ``after`` that this process holds."""
         ahead = (self._class - after - 1) % self._classes
-        return Step(after + 1 + ahead)
+        return PassNumber(after + 1 + ahead)
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -21,15 +21,15 @@
 #: set to be left as it is. Lower, and copies rise faster than the load falls:
 #: 63 ranks, 8 sets, 252 experts, to 1.5 with 106 copies, to 1.3 with 163,
 #: and what one reading tells of demand is no more exact than that.
-_EVEN = 1.4
+_EVEN_LOAD_RATIO = 1.4
 #: Most by which a plan may stay above the best that was reached for a set,
 #: in mean rank loads, to be left with fewer copies.
-_NEAR_BEST = 0.03
+_MIN_LOAD_DECREASE_RATIO = 0.03
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class MapPlan:
     """A map that may follow the one in use.
 
     :param skew_before: of the demand under the map in use.
@@ -43,14 +43,14 @@
     copies: int
 
 
-def plan(
+def plan_map(
     demand: model.Demand,
     used: model.ExpertMap,
-    limits: model.Limits,
+    limits: model.ExpertLimits,
     *,
     most_copies: int,
     slowness: Sequence[float] = (),
-) -> Plan:
+) -> MapPlan:
     """Return the best map that costs each rank few copies.
 
     :param used: the map in use.
@@ -58,26 +58,26 @@
     :param slowness: how many times longer each rank takes than usual; all
         as usual without it.
     """
-    planning = steps(
+    planning = plan_in_steps(
         demand, used, limits, most_copies=most_copies, slowness=slowness
     )
     while True:
         try:
             next(planning)
         except StopIteration as exc:
-            found: Plan = exc.value
+            found: MapPlan = exc.value
             return found
 
 
-def steps(
+def plan_in_steps(
     demand: model.Demand,
     used: model.ExpertMap,
-    limits: model.Limits,
+    limits: model.ExpertLimits,
     *,
     most_copies: int,
     slowness: Sequence[float] = (),
-) -> Generator[None, None, Plan]:
-    """Plan as :func:`plan` does, a fraction of a millisecond at a time.
+) -> Generator[None, None, MapPlan]:
+    """Plan as :func:`plan_map` does, a fraction of a millisecond at a time.
 
     Whoever must not block its process for long does something else
     between two steps.
@@ -87,16 +87,16 @@
     sets = []
     for num, weights in enumerate(demand):
         ranks = [rank[num] for rank in used.ranks]
-        one = set_placement.Placing(weights, ranks, limits, budget, slow)
-        sets.append((one, _Trail(one)))
+        one = set_placement.SetPlacement(weights, ranks, limits, budget, slow)
+        sets.append((one, _BestPlacement(one)))
         yield
     # Every set adds its most loaded rank to a pass: the worst goes first,
     # so that it finds copies left.
     open_sets = list(sets)
     while open_sets:
-        worst = max(open_sets, key=_highest)
+        worst = max(open_sets, key=_max_load)
         one, trail = worst
-        step = one.best() if one.highest > _EVEN else None
+        step = one.best() if one.highest > _EVEN_LOAD_RATIO else None
         if step is None:
             open_sets.remove(worst)
         else:
@@ -109,20 +109,22 @@
             for rank in range(used.size)
         )
     )
-    return Plan(
+    return MapPlan(
         next=after,
-        skew_before=model.skew(demand, used, slow),
-        skew_after=model.skew(demand, after, slow),
+        skew_before=model.load_skew(demand, used, slow),
+        skew_after=model.load_skew(demand, after, slow),
         copies=after.copies(used),
     )
 
 
-def _highest(one: "tuple[set_placement.Placing, _Trail]") -> float:
+def _max_load(
+    one: "tuple[set_placement.SetPlacement, _BestPlacement]",
+) -> float:
     return one[0].highest
 
 
 @final
-class _Trail:
+class _BestPlacement:
     """The best of the placements that the steps of a set have passed.
 
     Where several ranks are as loaded as each other, the first steps lower
@@ -130,7 +132,7 @@
     is not copied.
     """
 
-    def __init__(self, one: set_placement.Placing) -> None:
+    def __init__(self, one: set_placement.SetPlacement) -> None:
         self._one = one
         self.best = [frozenset(held) for held in one.ranks]
         self._highest = one.highest
@@ -138,6 +140,6 @@
     def note(self) -> None:
         """Take a step that was just made into account."""
         highest = self._one.highest
-        if highest < self._highest - _NEAR_BEST:
+        if highest < self._highest - _MIN_LOAD_DECREASE_RATIO:
             self._highest = highest
             self.best = [frozenset(held) for held in self._one.ranks]
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -11,21 +11,21 @@
 
 #: Least by which a step must lighten the most loaded rank for each copy, in
 #: mean rank loads: below it lies the noise of one reading.
-_LEAST_GAIN = 0.04
+_MIN_GAIN_RATIO = 0.04
 #: Experts of the most loaded rank that are tried, heaviest first: what is
 #: lighter than these cannot be why it is the slowest.
-_TRIED = 2
+_TRIED_EXPERT_COUNT = 2
 #: Ranks that are tried to take something over, least loaded first: what is
 #: more loaded than these is no better place, and 256 ranks take too long.
-_RANKS_TRIED = 5
+_TRIED_RANK_COUNT = 5
 #: Steps of one set, at most, for each of its ranks: a set that takes more
 #: changes the same ranks in circles.
-_STEPS_A_RANK = 3
+_MAX_RELOCATIONS_PER_RANK_COUNT = 3
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Step:
+class Relocation:
     """One expert of the most loaded rank gets another place.
 
     :param gain: by how much less the ranks that it touches are loaded at
@@ -45,7 +45,7 @@
 
 
 @final
-class Placing:
+class SetPlacement:
     """Which ranks hold which experts of a set, and how loaded they are.
 
     :param ranks: experts that each rank holds, by rank.
@@ -57,7 +57,7 @@
         self,
         weights: Sequence[float],
         ranks: Sequence[Sequence[int]],
-        limits: model.Limits,
+        limits: model.ExpertLimits,
         budget: list[int],
         slow: Sequence[float],
     ) -> None:
@@ -82,23 +82,25 @@
             sum(self._shares[one] for one in held) * slow[rank]
             for rank, held in enumerate(self.ranks)
         ]
-        self._left = _STEPS_A_RANK * len(ranks)
+        self._left = _MAX_RELOCATIONS_PER_RANK_COUNT * len(ranks)
 
     @property
     def highest(self) -> float:
         """Load of the most loaded rank, in mean rank loads."""
         return max(self._loads)
 
-    def best(self) -> Step | None:
+    def best(self) -> Relocation | None:
         """Return the step that lightens the most loaded rank most."""
         if self._left <= 0:
             return None
         source = self._loads.index(max(self._loads))
         heavy = heapq.nlargest(
-            _TRIED, self.ranks[source], key=self._shares.__getitem__
+            _TRIED_EXPERT_COUNT,
+            self.ranks[source],
+            key=self._shares.__getitem__,
         )
         takers = self._takers(source)
-        found: Step | None = None
+        found: Relocation | None = None
         for expert in heavy:
             holders = self._holders[expert]
             for rank in takers:
@@ -107,7 +109,7 @@
                 for step in self._ways(expert, source, rank):
                     if found is None or step.gain > found.gain:
                         found = step
-        if found is None or found.gain < _LEAST_GAIN:
+        if found is None or found.gain < _MIN_GAIN_RATIO:
             return None
         return found
 
@@ -118,9 +120,9 @@
             for rank, load in enumerate(self._loads)
             if rank != source and self._may_copy(rank)
         ]
-        return [rank for _, rank in heapq.nsmallest(_RANKS_TRIED, free)]
+        return [rank for _, rank in heapq.nsmallest(_TRIED_RANK_COUNT, free)]
 
-    def apply(self, step: Step) -> None:
+    def apply(self, step: Relocation) -> None:
         """Carry out a step."""
         self._left -= 1
         if step.evicted is not None:
@@ -132,7 +134,9 @@
         if not step.keep:
             self._drop(step.expert, step.source)
 
-    def _ways(self, expert: int, source: int, rank: int) -> Iterator[Step]:
+    def _ways(
+        self, expert: int, source: int, rank: int
+    ) -> Iterator[Relocation]:
         """Yield what ``rank`` could do for ``source``."""
         high = self._loads[source]
         share = self._shares[expert]
@@ -147,11 +151,17 @@
         replica = max(
             high - less * slow, there + (share - less) * slow_there, peak
         )
-        yield Step(high - replica, expert, source, rank, True, None, evicted)
+        yield Relocation(
+            high - replica, expert, source, rank, True, None, evicted
+        )
         moved = max(high - share * slow, there + share * slow_there, peak)
-        yield Step(high - moved, expert, source, rank, False, None, evicted)
+        yield Relocation(
+            high - moved, expert, source, rank, False, None, evicted
+        )
 
-    def _swaps(self, expert: int, source: int, rank: int) -> Iterator[Step]:
+    def _swaps(
+        self, expert: int, source: int, rank: int
+    ) -> Iterator[Relocation]:
         """Yield changes of places with an expert of a full rank."""
         if not self._may_copy(source):
             return
@@ -165,7 +175,9 @@
                 high - less * self._slow[source],
                 there + less * self._slow[rank],
             )
-            yield Step((high - after) / 2, expert, source, rank, False, other)
+            yield Relocation(
+                (high - after) / 2, expert, source, rank, False, other
+            )
 
     def _add(self, expert: int, rank: int) -> None:
         """Give an expert to a rank; the other holders do less of it."""
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -19,18 +19,18 @@
 #: From the last order of a change until a group that broke of it is seen
 #: broken, at most: some passes, the standstill until ranks say that the group
 #: is broken (1.5 s), and a look (0.5 s).
-SOON = datetime.timedelta(seconds=2.5)
+BREAK_WINDOW = datetime.timedelta(seconds=2.5)
 #: Lives in a row that ended so, from which on the group is left alone.
-IN_A_ROW = 2
+BREAKS_BEFORE_BACKOFF_COUNT = 2
 #: First rest: the time in which four jumps of demand pass on the users' days,
 #: so that one rest in vain costs little; doubled each time.
-FIRST = datetime.timedelta(seconds=15)
+INITIAL_BACKOFF = datetime.timedelta(seconds=15)
 #: Longest rest.
-MOST = datetime.timedelta(minutes=10)
+MAX_BACKOFF = datetime.timedelta(minutes=10)
 
 
 @final
-class Restraint:
+class SwitchBackoff:
     """What the lives of one group have shown of changes of its map."""
 
     def __init__(self) -> None:
@@ -56,14 +56,14 @@
         if not begun:
             # Changed by nobody in that life, so that it tells nothing.
             return False
-        if over is not None and now - over > SOON:
+        if over is not None and now - over > BREAK_WINDOW:
             self._in_a_row = 0
             return False
         self._in_a_row += 1
-        more = self._in_a_row - IN_A_ROW
+        more = self._in_a_row - BREAKS_BEFORE_BACKOFF_COUNT
         if more < 0:
             return False
-        self._until = now + min(FIRST * 2.0**more, MOST)
+        self._until = now + min(INITIAL_BACKOFF * 2.0**more, MAX_BACKOFF)
         return True
 
     def rests(self, now: clock_lib.Instant) -> bool:
--- a/src/lugcross/platform/engines.py
+++ b/src/lugcross/platform/engines.py
@@ -104,7 +104,9 @@
         self._ask = ask
         self._give = give
 
-    async def report(self, backend: desired.Backend) -> experts.Report | None:
+    async def report(
+        self, backend: desired.Backend
+    ) -> experts.RankReport | None:
         """Return the state of a rank; none if it is in no group.
 
         :raises EngineError: when it does not tell.
@@ -113,14 +115,14 @@
         if raw.group is None:
             return None
         armed = raw.armed
-        return experts.Report(
+        return experts.RankReport(
             group=raw.group.name,
             size=raw.size,
             rank=experts.Rank(raw.group.rank),
             epoch=experts.Epoch(raw.group.epoch),
             is_open=raw.group.state == _OPEN,
             running=raw.running + raw.waiting,
-            step=experts.Step(raw.step),
+            step=experts.PassNumber(raw.step),
             used=experts.MapVersion(raw.map),
             prepared=(
                 None
@@ -132,28 +134,28 @@
                 if armed is None
                 else experts.Arm(
                     experts.MapVersion(armed.version),
-                    experts.Step(armed.step),
+                    experts.PassNumber(armed.step),
                 )
             ),
-            held=None if raw.held is None else experts.Step(raw.held),
+            held=None if raw.held is None else experts.PassNumber(raw.held),
             slowness=min(max(1.0, raw.pace), _SLOWNESS_MOST),
         )
 
     async def counts(
-        self, backend: desired.Backend, limits: experts.Limits
-    ) -> experts.Counts:
+        self, backend: desired.Backend, limits: experts.ExpertLimits
+    ) -> experts.ExpertCounts:
         """Return how often each expert was used at a rank.
 
         :raises EngineError: when it does not tell.
         """
         raw = await self._get(backend, _COUNTS, _Counts)
         try:
-            sets = experts.shaped(raw.counts, limits)
+            sets = experts.counts_by_set(raw.counts, limits)
         except ValueError as exc:
             raise _no_answer(backend, str(exc)) from exc
-        return experts.Counts(
+        return experts.ExpertCounts(
             epoch=experts.Epoch(raw.epoch),
-            step=experts.Step(raw.step),
+            step=experts.PassNumber(raw.step),
             sets=tuple(map(tuple, sets)),
         )
 
@@ -173,7 +175,7 @@
         order: experts.Order,
         epoch: experts.Epoch,
         generation: experts.Generation | None,
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         """Give an order that counts in ``epoch`` only.
 
         :param generation: number of the lease that it is given under;
@@ -186,17 +188,17 @@
         try:
             status, _ = await self._give(backend, "POST", _ORDER, body)
         except http1.BrokenError:
-            return experts.Verdict.UNKNOWN
+            return experts.OrderResult.UNKNOWN
         except http1.NoConnectionError:
             # Not sent; asked again like one that may have been.
-            return experts.Verdict.UNKNOWN
+            return experts.OrderResult.UNKNOWN
         if status in (http.HTTPStatus.OK, http.HTTPStatus.ACCEPTED):
-            return experts.Verdict.DONE
+            return experts.OrderResult.DONE
         if status == http.HTTPStatus.CONFLICT:
-            return experts.Verdict.REFUSED
+            return experts.OrderResult.REFUSED
         if status == http.HTTPStatus.PRECONDITION_FAILED:
-            return experts.Verdict.FENCED
-        return experts.Verdict.UNKNOWN
+            return experts.OrderResult.FENCED
+        return experts.OrderResult.UNKNOWN
 
     async def _get(
         self, backend: desired.Backend, path: str, kind: type[_T]
--- a/src/lugcross/platform/state.py
+++ b/src/lugcross/platform/state.py
@@ -277,11 +277,11 @@
     )
 
 
-def _experts(raw: _Engine) -> experts.Limits | None:
+def _experts(raw: _Engine) -> experts.ExpertLimits | None:
     if not raw.sets or not raw.experts:
         return None
     megabits = raw.expert_mb * _BITS
-    return experts.Limits(
+    return experts.ExpertLimits(
         sets=raw.sets,
         experts=raw.experts,
         places=raw.places,
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -301,9 +301,10 @@
         end = positions.place(positions.Era(era), ids.Offset(3))
         number = experts.Generation(seen)
         lease.saw(
-            experts.Record(holder="x", generation=number, released=True), end
+            experts.LeaseRecord(holder="x", generation=number, released=True),
+            end,
         )
-        return lease.record(experts.Move.CLAIM).generation
+        return lease.record(experts.LeaseAction.CLAIM).generation
 
     assert claim(0, 5) == 6
     # Whatever number was claimed after the copy had been made.
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -230,7 +230,7 @@
         await rounds(leadership)
         assert not leadership.can_claim()
         rig.store.busy = False
-        rig.clock.advance(lease_lib.RETRY_AFTER)
+        rig.clock.advance(lease_lib.RETRY_DELAY)
         await rounds(leadership)
         assert leadership.can_claim()
 
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -23,10 +23,10 @@
 
 SIZE = 4
 SERVICE = ids.ServiceName("llm")
-LIMITS = experts.Limits(
+LIMITS = experts.ExpertLimits(
     sets=1, experts=8, places=4, spare=2, copy_s=0.1, share=0.8
 )
-FIRST = experts.dealt_out(SIZE, LIMITS)
+FIRST = experts.round_robin_map(SIZE, LIMITS)
 #: Uses of each expert in one reading; the first has nearly all.
 HOT = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
 SECOND = datetime.timedelta(seconds=1)
@@ -36,7 +36,7 @@
     """Ranks that make one pass for each 50 ms that are waited."""
 
     def __init__(self) -> None:
-        self.group = rank_simulator.ModelGroup(SIZE, FIRST)
+        self.group = rank_simulator.SimulatedGroup(SIZE, FIRST)
         self.uses = [0] * LIMITS.experts
         self.is_open = True
         self.silent: set[int] = set()
@@ -63,19 +63,19 @@
             raise platform.EngineError("silent", remedy="")
         return rank
 
-    async def report(self, backend: desired.Backend) -> experts.Report:
+    async def report(self, backend: desired.Backend) -> experts.RankReport:
         rank = self._rank(backend)
         report = self.group.report(rank)
         return dataclasses.replace(report, is_open=self.is_open)
 
     async def counts(
-        self, backend: desired.Backend, limits: experts.Limits
-    ) -> experts.Counts:
+        self, backend: desired.Backend, limits: experts.ExpertLimits
+    ) -> experts.ExpertCounts:
         self._rank(backend)
         assert limits is LIMITS
-        return experts.Counts(
+        return experts.ExpertCounts(
             experts.Epoch(self.group.epoch),
-            experts.Step(self.group.step),
+            experts.PassNumber(self.group.step),
             (tuple(self.uses),),
         )
 
@@ -91,13 +91,13 @@
         order: experts.Order,
         epoch: experts.Epoch,
         generation: experts.Generation | None,
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         self.orders.append(order)
         self.generations.append(generation)
         rank = int(backend.key)
         self.called.append(rank)
         if rank in self.silent or rank in self.deaf:
-            return experts.Verdict.UNKNOWN
+            return experts.OrderResult.UNKNOWN
         return self.group.obey(rank, order, epoch, generation)
 
 
@@ -140,7 +140,7 @@
             clock=self.clock,
             sleep=self._sleep,
             leadership=self.leadership,
-            owner=experts.Owner(1),
+            owner=experts.NumberAllocator(1),
             changed=self._changed,
             node="n1",
             cfg=cfg,
@@ -203,9 +203,9 @@
         used = [rank.used for rank in rig.engines.group.ranks]
         assert used[0][0] > 0
         assert used == [used[0]] * SIZE
-        before = experts.dealt_out(SIZE, LIMITS)
-        assert experts.skew([rig.engines.uses], before) > 1.9
-        assert experts.skew([rig.engines.uses], used[0][1]) <= 1.4
+        before = experts.round_robin_map(SIZE, LIMITS)
+        assert experts.load_skew([rig.engines.uses], before) > 1.9
+        assert experts.load_skew([rig.engines.uses], used[0][1]) <= 1.4
         assert sum(0 in rank[0] for rank in used[0][1].ranks) > 1
 
     run(act)
@@ -278,7 +278,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         group = rig.engines.group
-        held = experts.Hold(experts.Step(group.step + 1))
+        held = experts.Hold(experts.PassNumber(group.step + 1))
         group.obey(0, held, group.epoch)
         assert not group.begin_pass()
         await rig.rounds(3)
@@ -338,7 +338,7 @@
 
     async def watched(
         backend: desired.Backend, one: experts.Order, *args: object
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         if isinstance(one, at):
             gone = platform.KeyedRecord(ids.Offset(50), "0", b"")
             tail = platform.Tail(end=ids.Offset(51), records=(gone,))
@@ -380,7 +380,7 @@
 
 def test_report_of_an_earlier_life_changes_nothing():
     group = rank_groups.RankGroup("g", SERVICE, LIMITS, SIZE)
-    ranks = rank_simulator.ModelGroup(SIZE, FIRST)
+    ranks = rank_simulator.SimulatedGroup(SIZE, FIRST)
     old = ranks.report(1)
     ranks.form()
     group.take(ranks.report(0), SECOND)
@@ -406,7 +406,9 @@
         await rig.rounds(1)
         rig.engines.deaf = {2}
         group = rig.engines.group
-        group.obey(0, experts.Hold(experts.Step(group.step + 9)), group.epoch)
+        group.obey(
+            0, experts.Hold(experts.PassNumber(group.step + 9)), group.epoch
+        )
         assert not rig.maps.switches.is_stuck()
         await rig.rounds(3)
         assert rig.maps.switches.is_stuck()
@@ -418,7 +420,7 @@
     async def act(rig: Rig) -> None:
         rounds = []
 
-        async def fail(backend: desired.Backend) -> experts.Report:
+        async def fail(backend: desired.Backend) -> experts.RankReport:
             rounds.append(backend)
             raise KeyError("a fault of our own")
 
@@ -436,7 +438,7 @@
     async def act(rig: Rig) -> None:
         order = rig.engines.order
 
-        async def fail(*args: object) -> experts.Verdict:
+        async def fail(*args: object) -> experts.OrderResult:
             rig.engines.order = order
             raise KeyError("a fault of our own")
 
@@ -475,7 +477,7 @@
             if isinstance(order, experts.Prepare) and engines.is_open:
                 engines.is_open = False
                 engines.group.form()
-                return experts.Verdict.UNKNOWN
+                return experts.OrderResult.UNKNOWN
             return await obey(backend, order, epoch, generation)
 
         engines.order = order
@@ -518,7 +520,7 @@
         rig.leadership.number = experts.Generation(4)
         order = rig.engines.order
 
-        async def taken(*args: object) -> experts.Verdict:
+        async def taken(*args: object) -> experts.OrderResult:
             rig.leadership.number = None
             return await order(*args)
 
@@ -543,7 +545,7 @@
         self.uses = HOT
         counts = rig.engines.counts
 
-        async def counted(*args: object) -> experts.Counts:
+        async def counted(*args: object) -> experts.ExpertCounts:
             self.reads += 1
             return await counts(*args)
 
@@ -636,7 +638,7 @@
     async def act(rig: Rig) -> None:
         rig.leadership.number = experts.Generation(4) if leased else None
         group = rig.engines.group
-        held = experts.Hold(experts.Step(group.step + 1))
+        held = experts.Hold(experts.PassNumber(group.step + 1))
         group.obey(0, held, group.epoch)
         for _ in range(3):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -12,7 +12,7 @@
 from lugcross import ids
 
 MS = datetime.timedelta(milliseconds=1)
-LIMITS = experts.Limits(
+LIMITS = experts.ExpertLimits(
     sets=1, experts=8, places=4, spare=2, copy_s=0.1, share=0.8
 )
 
--- a/testing/experts/test_lease.py
+++ b/testing/experts/test_lease.py
@@ -13,7 +13,7 @@
 from lugcross.experts import lease as lease_lib
 from lugcross import ids
 
-Move = experts.Move
+Move = experts.LeaseAction
 MS = datetime.timedelta(milliseconds=1)
 
 
@@ -22,11 +22,11 @@
 
     def __init__(self) -> None:
         self.end = 0
-        self.newest: experts.Record | None = None
+        self.newest: experts.LeaseRecord | None = None
         #: Every record that was kept, in order.
-        self.kept: list[experts.Record] = []
+        self.kept: list[experts.LeaseRecord] = []
 
-    def put(self, record: experts.Record, end: int) -> bool:
+    def put(self, record: experts.LeaseRecord, end: int) -> bool:
         if end != self.end:
             return False
         self.end += 1
@@ -48,10 +48,10 @@
     def __post_init__(self) -> None:
         self.lease = experts.Lease(self.name, self.clock)
 
-    def move(self) -> experts.Move:
+    def move(self) -> experts.LeaseAction:
         return self.lease.move(wants=self.wants, held_elsewhere=self.elsewhere)
 
-    def step(self) -> experts.Move:
+    def step(self) -> experts.LeaseAction:
         """Do what is to be done now; the store answers at once."""
         move = self.move()
         if move is Move.READ:
@@ -167,7 +167,7 @@
     assert node.move() is Move.READ
     node.lease.unclear()
     assert node.move() is Move.NONE
-    clock.advance(lease_lib.RETRY_AFTER)
+    clock.advance(lease_lib.RETRY_DELAY)
     assert node.move() is Move.READ
 
 
@@ -177,7 +177,7 @@
     assert node.move() is Move.CLAIM
     assert store.put(node.lease.record(Move.CLAIM), node.lease.end)
     node.lease.unclear()
-    clock.advance(lease_lib.RETRY_AFTER)
+    clock.advance(lease_lib.RETRY_DELAY)
     node.settle()
     assert node.lease.held == 1
     assert len(store.kept) == 1
@@ -192,7 +192,7 @@
     late.lease.unclear()
     other.settle()
     assert not store.put(record, end)
-    clock.advance(lease_lib.RETRY_AFTER)
+    clock.advance(lease_lib.RETRY_DELAY)
     late.settle()
     assert late.lease.held is None
     assert other.lease.held == 1
@@ -226,10 +226,10 @@
 ) -> None:
     node = new("a")
     node.settle()
-    clock.advance(lease_lib.RENEW_EVERY)
+    clock.advance(lease_lib.RENEWAL_INTERVAL)
     assert node.move() is Move.RENEW
     node.lease.unclear()
-    clock.advance(lease_lib.RETRY_AFTER)
+    clock.advance(lease_lib.RETRY_DELAY)
     assert node.move() is Move.READ
 
 
@@ -251,7 +251,7 @@
     rng = random.Random(seed)
     clock, store = clock_lib.ManualClock(), Store()
     nodes = [Node(f"n{num}.0", store, clock) for num in range(3)]
-    late: list[tuple[experts.Record, int]] = []
+    late: list[tuple[experts.LeaseRecord, int]] = []
     holders: dict[int, str] = {}
     lives = 0
     for _ in range(3000):
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -42,9 +42,9 @@
     """
 
     index: int
-    owner: experts.Owner
+    owner: experts.NumberAllocator
     life: int = 0
-    switch: experts.Switch | None = None
+    switch: experts.MapSwitch | None = None
     epoch: int = 0
     waits: int = 0
     generation: int | None = None
@@ -58,7 +58,7 @@
     order: experts.Order
     epoch: int
     sender: Holder | None
-    switch: experts.Switch | None
+    switch: experts.MapSwitch | None
     life: tuple[int, int]
     generation: int | None
 
@@ -79,9 +79,9 @@
     def __init__(self, *, fenced: bool = False) -> None:
         self.fenced = fenced
         self.claims = 0
-        self.group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+        self.group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
         self.holders = [
-            Holder(num, experts.Owner(_number(num, 0)))
+            Holder(num, experts.NumberAllocator(_number(num, 0)))
             for num in range(OWNERS)
         ]
         self.flying: list[Flying] = []
@@ -109,13 +109,13 @@
         newest = max(report.newest for report in self.old)
         self._begin(
             holder,
-            experts.Switch(
+            experts.MapSwitch(
                 size=SIZE,
                 version=holder.owner.version(newest),
                 after=MAPS[pick % len(MAPS)],
                 before=self.group.ranks[0].used[1],
                 owner=holder.owner,
-                since=experts.Step(self.group.step),
+                since=experts.PassNumber(self.group.step),
             ),
         )
 
@@ -132,7 +132,7 @@
         newest = max(one.newest for one in self.old)
         self._begin(
             holder,
-            experts.Switch.found(
+            experts.MapSwitch.found(
                 size=SIZE,
                 newest=newest,
                 armed=max(armed, default=None),
@@ -142,7 +142,7 @@
             ),
         )
 
-    def _begin(self, holder: Holder, switch: experts.Switch) -> None:
+    def _begin(self, holder: Holder, switch: experts.MapSwitch) -> None:
         holder.epoch = self.old[0].epoch
         holder.waits = 0
         holder.switch = switch
@@ -152,9 +152,9 @@
         switch = holder.switch
         if switch is None or holder.waits:
             return
-        if switch.phase is experts.Phase.OVER:
+        if switch.phase is experts.SwitchPhase.OVER:
             holder.switch = None
-        elif switch.phase is experts.Phase.COPY or switch.hold_refused:
+        elif switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
             report = self.group.report(0)
             if report.held is not None:
                 return
@@ -190,25 +190,25 @@
         verdict = self.group.obey(
             one.rank, one.order, one.epoch, one.generation
         )
-        self._tell(one, verdict if heard else experts.Verdict.UNKNOWN)
+        self._tell(one, verdict if heard else experts.OrderResult.UNKNOWN)
 
     def time_out(self, pick: int) -> None:
         """Its sender waits no more; the order itself comes later."""
         waiting = [one for one in self.flying if one.sender is not None]
         if waiting:
             one = waiting[pick % len(waiting)]
-            self._tell(one, experts.Verdict.UNKNOWN)
+            self._tell(one, experts.OrderResult.UNKNOWN)
             one.sender = None
 
-    def _tell(self, one: Flying, verdict: experts.Verdict) -> None:
+    def _tell(self, one: Flying, verdict: experts.OrderResult) -> None:
         holder = one.sender
         if holder is None or holder.switch is not one.switch:
             return
         assert holder.switch is not None
         holder.waits -= 1
         holder.switch.take(one.rank, one.order, verdict)
-        if verdict is experts.Verdict.FENCED:
-            assert holder.switch.phase is experts.Phase.OVER
+        if verdict is experts.OrderResult.FENCED:
+            assert holder.switch.phase is experts.SwitchPhase.OVER
             holder.generation = None
 
     def die(self, pick: int) -> None:
@@ -222,7 +222,9 @@
         ]
         holder.life += 1
         holder.generation = None
-        holder.owner = experts.Owner(_number(holder.index, holder.life))
+        holder.owner = experts.NumberAllocator(
+            _number(holder.index, holder.life)
+        )
 
     def copy(self, pick: int) -> None:
         self.group.ranks[pick % SIZE].copied = True
@@ -299,19 +301,19 @@
 
 
 #: Makes what a sender hears of an order from what became of it.
-Hearing = Callable[[experts.Order, experts.Verdict], experts.Verdict]
+Hearing = Callable[[experts.Order, experts.OrderResult], experts.OrderResult]
 
 
 def hears_all(
-    order: experts.Order, verdict: experts.Verdict
-) -> experts.Verdict:
+    order: experts.Order, verdict: experts.OrderResult
+) -> experts.OrderResult:
     del order
     return verdict
 
 
 def advance(
-    group: rank_simulator.ModelGroup,
-    switch: experts.Switch,
+    group: rank_simulator.SimulatedGroup,
+    switch: experts.MapSwitch,
     *,
     copied: Sequence[int] = range(SIZE),
     most: int | None = None,
@@ -323,12 +325,12 @@
     :param most: orders that are sent at most.
     :returns: how many orders were sent.
     """
-    if switch.phase is experts.Phase.COPY or switch.hold_refused:
+    if switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
         for rank in copied:
             group.ranks[rank].copied = True
         group.begin_pass()
-        switch.copied(experts.Step(group.step))
-        switch.hold_later(experts.Step(group.step))
+        switch.copied(experts.PassNumber(group.step))
+        switch.hold_later(experts.PassNumber(group.step))
         return 0
     todo = switch.todo()[:most]
     for rank, order in todo:
@@ -338,32 +340,32 @@
 
 
 def drive(
-    group: rank_simulator.ModelGroup,
-    switch: experts.Switch,
+    group: rank_simulator.SimulatedGroup,
+    switch: experts.MapSwitch,
     *,
     copied: Sequence[int] = range(SIZE),
     hears: Hearing = hears_all,
 ) -> None:
     """Carry out a switch to its end."""
     for _ in range(200):
-        if switch.phase is experts.Phase.OVER:
+        if switch.phase is experts.SwitchPhase.OVER:
             return
         advance(group, switch, copied=copied, hears=hears)
     raise AssertionError(f"still in {switch.phase}")
 
 
-def assert_runs_on(group: rank_simulator.ModelGroup) -> None:
+def assert_runs_on(group: rank_simulator.SimulatedGroup) -> None:
     for _ in range(5):
         assert group.begin_pass()
 
 
-def new_switch(version: int = 5) -> experts.Switch:
-    return experts.Switch(
+def new_switch(version: int = 5) -> experts.MapSwitch:
+    return experts.MapSwitch(
         size=SIZE,
         version=experts.MapVersion(version),
         after=MAPS[1],
         before=MAPS[0],
-        owner=experts.Owner(1),
+        owner=experts.NumberAllocator(1),
     )
 
 
@@ -372,65 +374,65 @@
     answers = itertools.count(1)
 
     def hears(
-        order: experts.Order, verdict: experts.Verdict
-    ) -> experts.Verdict:
+        order: experts.Order, verdict: experts.OrderResult
+    ) -> experts.OrderResult:
         del order
         lost = deaf and next(answers) % deaf == 0
-        return experts.Verdict.UNKNOWN if lost else verdict
+        return experts.OrderResult.UNKNOWN if lost else verdict
 
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
     drive(group, switch, hears=hears)
-    assert switch.outcome is experts.Outcome.SWITCHED
+    assert switch.outcome is experts.SwitchOutcome.SWITCHED
     assert_runs_on(group)
     assert [rank.used for rank in group.ranks] == [(5, MAPS[1])] * SIZE
 
 
 def test_group_runs_on_where_one_rank_cannot_be_armed() -> None:
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
     drive(group, switch, copied=range(SIZE - 1))
-    assert switch.outcome is experts.Outcome.VOIDED
+    assert switch.outcome is experts.SwitchOutcome.VOIDED
     assert_runs_on(group)
     assert [rank.used[1] for rank in group.ranks] == [MAPS[0]] * SIZE
 
 
 @pytest.mark.parametrize("sent", range(0, 14))
 def test_successor_ends_a_hold_wherever_the_holder_died(sent: int) -> None:
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
     left = sent
-    while left > 0 and switch.phase is not experts.Phase.OVER:
+    while left > 0 and switch.phase is not experts.SwitchPhase.OVER:
         left -= advance(group, switch, most=left)
     report = group.report(0)
     if report.held is not None:
         armed = [one.armed for one in group.ranks if one.armed]
         newest = max(group.report(rank).newest for rank in range(SIZE))
-        found = experts.Switch.found(
+        found = experts.MapSwitch.found(
             size=SIZE,
             newest=newest,
             armed=max((one.version for one in armed), default=None),
             step=report.held,
             before=MAPS[0],
-            owner=experts.Owner(2),
+            owner=experts.NumberAllocator(2),
         )
         drive(group, found)
     assert_runs_on(group)
 
 
 def test_holder_that_wakes_after_a_successor_changes_nothing() -> None:
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     slow = new_switch()
-    while slow.phase is not experts.Phase.ARM:
+    while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
     late = slow.todo()
-    found = experts.Switch.found(
+    found = experts.MapSwitch.found(
         size=SIZE,
         newest=slow.version,
         armed=slow.version,
         step=slow.step,
         before=MAPS[0],
-        owner=experts.Owner(2),
+        owner=experts.NumberAllocator(2),
     )
     drive(group, found)
     for rank, order in late:
@@ -440,16 +442,16 @@
 
 def test_pass_is_released_though_the_first_release_gets_no_answer() -> None:
     lost: list[experts.Order] = []
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
-    while switch.phase is not experts.Phase.OVER:
+    while switch.phase is not experts.SwitchPhase.OVER:
         todo = switch.todo()
         releases = [one for _, one in todo if isinstance(one, experts.Release)]
         if releases and len(lost) < 3:
             # Lost on its way: the rank never hears of it.
             lost += releases
             for rank, order in todo:
-                switch.take(rank, order, experts.Verdict.UNKNOWN)
+                switch.take(rank, order, experts.OrderResult.UNKNOWN)
             continue
         advance(group, switch)
     assert len(lost) == 3
@@ -458,34 +460,34 @@
 
 
 def test_group_that_makes_no_passes_is_left_alone() -> None:
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
     for rank, order in switch.todo():
         switch.take(rank, order, group.obey(rank, order, group.epoch))
-    switch.copied(experts.Step(group.step))
-    assert switch.phase is experts.Phase.OVER
-    assert switch.outcome is experts.Outcome.LEFT
+    switch.copied(experts.PassNumber(group.step))
+    assert switch.phase is experts.SwitchPhase.OVER
+    assert switch.outcome is experts.SwitchOutcome.LEFT
 
 
 def test_version_is_never_chosen_twice() -> None:
-    owner = experts.Owner(7)
+    owner = experts.NumberAllocator(7)
     first = owner.version(experts.MapVersion(0))
     assert owner.version(experts.MapVersion(0)) > first
 
 
 def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
     switch.epoch_over()
-    assert switch.phase is experts.Phase.OVER
-    assert switch.outcome is experts.Outcome.LEFT
+    assert switch.phase is experts.SwitchPhase.OVER
+    assert switch.outcome is experts.SwitchOutcome.LEFT
     assert group.begin_pass()
 
 
 @pytest.mark.parametrize("after", range(6))
 def test_processes_of_unlike_classes_never_hold_one_pass(after: int) -> None:
     steps = [
-        experts.Owner(number).step(experts.Step(after))
+        experts.NumberAllocator(number).step(experts.PassNumber(after))
         for number in range(STEP_CLASSES)
     ]
     assert len(set(steps)) == STEP_CLASSES
@@ -496,22 +498,22 @@
 def test_holders_in_a_row_never_hold_one_pass(after: int) -> None:
     steps = []
     for generation in (7, 8):
-        owner = experts.Owner(3)
+        owner = experts.NumberAllocator(3)
         owner.take_turn(experts.Generation(generation))
-        steps.append(owner.step(experts.Step(after)))
+        steps.append(owner.step(experts.PassNumber(after)))
     assert len(set(steps)) == 2
     assert min(steps) == after + 1
 
 
 def test_superseded_holder_gives_no_further_order() -> None:
-    group = rank_simulator.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     slow = new_switch()
-    while slow.phase is not experts.Phase.ARM:
+    while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
     for rank in range(SIZE):
         group.ranks[rank].fence = 2
     (rank, order), *_ = slow.todo()
     slow.take(rank, order, group.obey(rank, order, group.epoch, 1))
-    assert slow.phase is experts.Phase.OVER
+    assert slow.phase is experts.SwitchPhase.OVER
     assert not slow.todo()
     assert not group.ranks[rank].armed
--- a/testing/experts/test_switch_backoff.py
+++ b/testing/experts/test_switch_backoff.py
@@ -14,8 +14,8 @@
 
 
 @pytest.fixture
-def group() -> experts.Restraint:
-    return experts.Restraint()
+def group() -> experts.SwitchBackoff:
+    return experts.SwitchBackoff()
 
 
 def _break(group, now, after):
@@ -32,8 +32,8 @@
 def test_two_in_a_row_are_the_change(group):
     _break(group, 10, 2)
     assert _break(group, 20, 2)
-    assert group.rests(at(20) + switch_backoff_lib.FIRST - at(1))
-    assert not group.rests(at(20) + switch_backoff_lib.FIRST)
+    assert group.rests(at(20) + switch_backoff_lib.INITIAL_BACKOFF - at(1))
+    assert not group.rests(at(20) + switch_backoff_lib.INITIAL_BACKOFF)
 
 
 def test_a_life_that_bears_its_map_ends_the_row(group):
@@ -72,4 +72,4 @@
             rested += 5
         rests.append(rested)
     assert rests[:4] == [0, 15, 30, 60]
-    assert rests[-1] == switch_backoff_lib.MOST.total_seconds()
+    assert rests[-1] == switch_backoff_lib.MAX_BACKOFF.total_seconds()
--- a/testing/platform/test_engines.py
+++ b/testing/platform/test_engines.py
@@ -16,7 +16,7 @@
 from lugcross import platform
 
 BACKEND = edge_rig.backend()
-LIMITS = experts.Limits(
+LIMITS = experts.ExpertLimits(
     sets=2, experts=3, places=2, spare=1, copy_s=0.1, share=0.8
 )
 REPORT = {
@@ -61,18 +61,18 @@
     asked, wire = engines(REPORT)
     report = asyncio.run(asked.report(BACKEND))
     assert wire.asked == [("GET", "/report", b"")]
-    assert report == experts.Report(
+    assert report == experts.RankReport(
         group="g",
         size=8,
         rank=experts.Rank(1),
         epoch=experts.Epoch(2),
         is_open=True,
         running=4,
-        step=experts.Step(46),
+        step=experts.PassNumber(46),
         used=experts.MapVersion(5),
         prepared=experts.MapVersion(6),
-        armed=experts.Arm(experts.MapVersion(6), experts.Step(60)),
-        held=experts.Step(60),
+        armed=experts.Arm(experts.MapVersion(6), experts.PassNumber(60)),
+        held=experts.PassNumber(60),
     )
 
 
@@ -186,7 +186,7 @@
             },
         ),
         (
-            experts.Arm(experts.MapVersion(7), experts.Step(9)),
+            experts.Arm(experts.MapVersion(7), experts.PassNumber(9)),
             {"operation": "arm", "version": 7, "step": 9},
         ),
         (
@@ -194,11 +194,11 @@
             {"operation": "disarm", "version": 7},
         ),
         (
-            experts.Hold(experts.Step(9)),
+            experts.Hold(experts.PassNumber(9)),
             {"operation": "hold", "step": 9},
         ),
         (
-            experts.Release(experts.Step(9)),
+            experts.Release(experts.PassNumber(9)),
             {"operation": "go", "step": 9},
         ),
     ],
@@ -214,7 +214,7 @@
 
 def test_order_carries_the_number_of_the_lease():
     asked, wire = engines({})
-    order = experts.Hold(experts.Step(1))
+    order = experts.Hold(experts.PassNumber(1))
     number = experts.Generation(7)
     asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), number))
     assert json.loads(wire.asked[0][2])["fence"] == 7
@@ -223,24 +223,28 @@
 @pytest.mark.parametrize(
     ("status", "answer", "verdict"),
     [
-        (200, {}, experts.Verdict.DONE),
-        (202, {}, experts.Verdict.DONE),
-        (409, {}, experts.Verdict.REFUSED),
-        (412, {}, experts.Verdict.FENCED),
-        (503, {}, experts.Verdict.UNKNOWN),
-        (200, http1.BrokenError("cut", remedy=""), experts.Verdict.UNKNOWN),
+        (200, {}, experts.OrderResult.DONE),
+        (202, {}, experts.OrderResult.DONE),
+        (409, {}, experts.OrderResult.REFUSED),
+        (412, {}, experts.OrderResult.FENCED),
+        (503, {}, experts.OrderResult.UNKNOWN),
+        (
+            200,
+            http1.BrokenError("cut", remedy=""),
+            experts.OrderResult.UNKNOWN,
+        ),
         (
             200,
             http1.NoConnectionError("none", remedy=""),
-            experts.Verdict.UNKNOWN,
+            experts.OrderResult.UNKNOWN,
         ),
     ],
     ids=["holds", "begun", "conflict", "fenced", "away", "cut", "unreached"],
 )
 def test_answer_to_an_order_tells_what_became_of_it(
-    status: int, answer: object, verdict: experts.Verdict
+    status: int, answer: object, verdict: experts.OrderResult
 ):
     asked, _ = engines(answer, status)
-    order = experts.Hold(experts.Step(1))
+    order = experts.Hold(experts.PassNumber(1))
     found = asyncio.run(asked.order(BACKEND, order, experts.Epoch(1), None))
     assert found is verdict
--- a/testing/support/rank_simulator.py
+++ b/testing/support/rank_simulator.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass
-class ModelRank:
+class SimulatedRank:
     """One rank."""
 
     used: tuple[int, experts.ExpertMap]
@@ -27,10 +27,12 @@
     held: int | None = None
     fence: int = 0
 
-    def obey(self, order: experts.Order, step: int) -> experts.Verdict:
+    def obey(self, order: experts.Order, step: int) -> experts.OrderResult:
         """Carry out an order; ``step`` is the pass that began last."""
         done = self._obey(order, step)
-        return experts.Verdict.DONE if done else experts.Verdict.REFUSED
+        return (
+            experts.OrderResult.DONE if done else experts.OrderResult.REFUSED
+        )
 
     def _obey(self, order: experts.Order, step: int) -> bool:
         if isinstance(order, experts.Prepare):
@@ -82,7 +84,7 @@
             self.prepared = self.armed = None
 
 
-class ModelGroup:
+class SimulatedGroup:
     """All ranks of a group; passes begin at all of them together."""
 
     def __init__(self, size: int, first: experts.ExpertMap) -> None:
@@ -90,14 +92,16 @@
         self.size = size
         self.epoch = 0
         self.step = 0
-        self.ranks: list[ModelRank] = []
+        self.ranks: list[SimulatedRank] = []
         self.form()
 
     def form(self) -> None:
         """Begin a new life, with the first map and nothing else."""
         self.epoch += 1
         self.step = 0
-        self.ranks = [ModelRank((0, self._first)) for _ in range(self.size)]
+        self.ranks = [
+            SimulatedRank((0, self._first)) for _ in range(self.size)
+        ]
 
     def obey(
         self,
@@ -105,15 +109,15 @@
         order: experts.Order,
         epoch: int,
         generation: int | None = None,
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         """Carry out an order at one rank."""
         one = self.ranks[rank]
         if generation is not None:
             if generation < one.fence:
-                return experts.Verdict.FENCED
+                return experts.OrderResult.FENCED
             one.fence = generation
         if epoch != self.epoch:
-            return experts.Verdict.REFUSED
+            return experts.OrderResult.REFUSED
         return one.obey(order, self.step)
 
     @property
@@ -135,18 +139,18 @@
             raise TwoMapsError([rank.used[0] for rank in self.ranks])
         return True
 
-    def report(self, rank: int) -> experts.Report:
+    def report(self, rank: int) -> experts.RankReport:
         """Return what a rank tells."""
         one = self.ranks[rank]
         ready = one.prepared is not None and one.copied
-        return experts.Report(
+        return experts.RankReport(
             group="g",
             size=self.size,
             rank=experts.Rank(rank),
             epoch=experts.Epoch(self.epoch),
             is_open=True,
             running=0,
-            step=experts.Step(self.step),
+            step=experts.PassNumber(self.step),
             used=experts.MapVersion(one.used[0]),
             prepared=(
                 experts.MapVersion(one.prepared.version)
@@ -154,5 +158,5 @@
                 else None
             ),
             armed=one.armed,
-            held=None if one.held is None else experts.Step(one.held),
+            held=None if one.held is None else experts.PassNumber(one.held),
         )
