--- a/bench/maps.py
+++ b/bench/maps.py
@@ -44,19 +44,21 @@
         limits = experts.ExpertLimits(
             sets=sets,
             experts=count,
-            places=places,
-            spare=4,
+            max_experts_per_rank=places,
+            max_new_experts_per_map=4,
             copy_s=0.1,
-            share=0.85,
+            expert_time_ratio=0.85,
         )
         # A group needs a place for each expert; small ones hold several.
         first = experts.round_robin_map(ranks, limits)
         begun = time.process_time()
         plan = experts.plan_map(
-            demand(sets, count), first, limits, most_copies=_COPIES
+            demand(sets, count), first, limits, max_copies_per_rank=_COPIES
         )
         took_ms = (time.process_time() - begun) * 1000
-        order = msgspec.json.encode(list(zip(*plan.next.ranks, strict=True)))
+        order = msgspec.json.encode(
+            list(zip(*plan.next_map.ranks, strict=True))
+        )
         print(
             f"{ranks} ranks x {sets} sets x {count} experts: "
             f"{took_ms:.1f} ms, skew {plan.skew_before:.2f} -> "
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -66,30 +66,32 @@
         """Tell whether this process looks after expert maps now."""
         if not self._fenced():
             return self._candidacy.fit() and self._candidacy.first()
-        return self._lease.held is not None and self._candidacy.fit()
+        return (
+            self._lease.held_generation is not None and self._candidacy.fit()
+        )
 
     def generation(self) -> experts.Generation | None:
         """Return the number for orders; none where none is needed."""
-        return self._lease.held if self._fenced() else None
+        return self._lease.held_generation if self._fenced() else None
 
     def may_order(self, number: experts.Generation | None) -> bool:
         """Tell whether orders under ``number`` may still be given."""
         if not self._fenced():
             return True
-        return number is not None and number == self._lease.held
+        return number is not None and number == self._lease.held_generation
 
     def refused(self, number: experts.Generation) -> None:
         """Note that an engine knows a higher number: stop at once."""
         logging.warning("lease superseded", extra={"generation": number})
-        self._lease.refused(number)
+        self._lease.note_refused(number)
 
     def can_claim(self) -> bool:
         """Tell whether the store answered the last call about the lease."""
-        return not self._lease.failing
+        return not self._lease.store_unavailable
 
     def heard(self, number: experts.Generation) -> None:
         """Take over the number that a peer says it holds."""
-        self._lease.superseded(number)
+        self._lease.note_newer_generation(number)
 
     async def run(self) -> None:
         """Look after the lease until cancelled."""
@@ -106,51 +108,54 @@
 
     async def round(self) -> None:
         """Do at the store what is to be done now."""
-        held = self._lease.held
-        move = self._lease.move(
+        held = self._lease.held_generation
+        action = self._lease.next_action(
             wants=self._wants(),
             held_elsewhere=self._candidacy.held_elsewhere(),
         )
-        if move is experts.LeaseAction.NONE:
+        if action is experts.LeaseAction.NONE:
             return
         try:
-            if move is experts.LeaseAction.READ:
+            if action is experts.LeaseAction.READ:
                 await self._read()
             else:
-                await self._write(self._lease.record(move))
+                await self._write(self._lease.record_for(action))
         except errors.AppendConflictError:
-            self._lease.conflicted()
+            self._lease.note_conflict()
         except errors.PlatformError as exc:
-            self._lease.unclear()
+            self._lease.note_no_answer()
             logging.warning(
                 "lease not settled",
-                extra={"move": move.value, "why": str(exc)},
+                extra={"move": action.value, "why": str(exc)},
             )
-        if self._lease.held != held:
+        if self._lease.held_generation != held:
             logging.info(
-                "lease", extra={"generation": self._lease.held, "was": held}
+                "lease",
+                extra={"generation": self._lease.held_generation, "was": held},
             )
             self._changed()
 
     def _wants(self) -> bool:
         if not self._candidacy.fit():
             # What is under way ends under the number it was begun with.
-            return self._lease.held is not None and self.busy()
-        return self._lease.held is not None or self._candidacy.first()
+            return self._lease.held_generation is not None and self.busy()
+        return (
+            self._lease.held_generation is not None or self._candidacy.first()
+        )
 
     async def _read(self) -> None:
         tail = await self._store.newest(platform.LEASES_TOPIC)
         found = [one for one in tail.records if one.key == _LEASE_KEY]
-        self._lease.saw(_decode(found[0]) if found else None, tail.end)
+        self._lease.note_read(_decode(found[0]) if found else None, tail.end)
 
     async def _write(self, record: experts.LeaseRecord) -> None:
         end = await self._store.put_at(
             platform.LEASES_TOPIC,
             _LEASE_KEY,
             record_lib.dump(record),
-            self._lease.end,
+            self._lease.expected_end,
         )
-        self._lease.wrote(record, end)
+        self._lease.note_written(record, end)
 
 
 def _decode(found: platform.KeyedRecord) -> experts.LeaseRecord | None:
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -204,7 +204,7 @@
             self.switches.finish(group)
 
     def _note_break(self, group: rank_groups.RankGroup) -> None:
-        if group.restraint.broke(self._clock.monotonic()):
+        if group.restraint.note_group_broken(self._clock.monotonic()):
             logging.warning(
                 "group breaks at each change of its map",
                 extra={"group": group.name, "epoch": group.epoch},
@@ -230,7 +230,7 @@
             uses,
             group.used,
             group.limits,
-            most_copies=max(1, copies),
+            max_copies_per_rank=max(1, copies),
             slowness=group.slowness.of(group.size),
         )
         begun = self._clock.monotonic()
@@ -255,7 +255,7 @@
             return
         skew = experts.load_skew(uses, copying, group.slowness.of(group.size))
         saving = experts.pass_time_saving(
-            skew, plan.skew_after, group.limits.share
+            skew, plan.skew_after, group.limits.expert_time_ratio
         )
         if saving >= self.cfg.least_saving:
             self.switches.abandon(group)
@@ -267,7 +267,7 @@
     ) -> None:
         plan = await self._plan(group, uses)
         saving = experts.pass_time_saving(
-            plan.skew_before, plan.skew_after, group.limits.share
+            plan.skew_before, plan.skew_after, group.limits.expert_time_ratio
         )
         worth = saving >= self.cfg.least_saving
         logging.info(
@@ -277,12 +277,12 @@
                 "version": group.version,
                 "skew": round(plan.skew_before, 2),
                 "planned": round(plan.skew_after, 2),
-                "copies": plan.copies,
+                "copies": plan.max_copies_per_rank,
                 "switch": worth,
             },
         )
         if worth:
-            group.restraint.began()
+            group.restraint.note_switch_started()
             self.switches.change(group, plan)
 
     def _keeps_map(self, group: rank_groups.RankGroup) -> bool:
@@ -292,4 +292,4 @@
         """
         if self._queries.is_resting(group):
             return True
-        return group.restraint.rests(self._clock.monotonic())
+        return group.restraint.is_active(self._clock.monotonic())
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -161,15 +161,15 @@
             self.planned_at = None
         self.is_open = report.is_open
         self.step = report.step
-        self.newest = max(self.newest, report.newest)
-        if report.used == self.awaited:
+        self.newest = max(self.newest, report.highest_version)
+        if report.version_in_use == self.awaited:
             self.awaited = None
-        if report.used != self.version and self.awaited is None:
+        if report.version_in_use != self.version and self.awaited is None:
             # Someone else has switched it; ranks are asked for the map.
-            self.version = report.used
+            self.version = report.version_in_use
             self.used = None
         if report.rank == 0 and not self.busy:
-            self._note_hold(report.held, now)
+            self._note_hold(report.held_pass, now)
 
     def _note_hold(
         self, held: experts.PassNumber | None, now: clock_lib.Instant
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -84,8 +84,8 @@
                 return False
             late = now - copied > _CANCEL_AFTER
             vain = late or self._resting() or not self._group.is_open
-            if vain and not switch.holds:
-                switch.leave()
+            if vain and not switch.may_hold_pass:
+                switch.cancel()
                 continue
             if switch.phase is experts.SwitchPhase.COPY:
                 await self._wait_copied(copied, switch)
@@ -100,7 +100,7 @@
     ) -> None:
         left = (copied - self._clock.monotonic()).total_seconds()
         if self._outdated:
-            switch.leave()
+            switch.cancel()
         elif left > 0:
             await self._sleep(min(left, _COPY_POLL_INTERVAL_S))
         else:
@@ -119,13 +119,13 @@
             await self._sleep(_RETRY_DELAY_S)
             return
         if report is None or report.epoch != self._group.epoch:
-            switch.epoch_over()
-        elif report.held is not None:
+            switch.note_epoch_ended()
+        elif report.held_pass is not None:
             # Another process is switching this group.
-            switch.leave()
+            switch.cancel()
         else:
-            switch.copied(report.step, ahead=self._group.ahead())
-            switch.hold_later(report.step)
+            switch.note_copied(report.step, passes_ahead=self._group.ahead())
+            switch.hold_later_pass(report.step)
 
     async def _report(self, rank: experts.Rank) -> experts.RankReport | None:
         """Return what a rank reports; none if it is in no group.
@@ -143,12 +143,12 @@
         return self._leadership.may_order(self._generation)
 
     async def _send_all(self, switch: experts.MapSwitch) -> None:
-        todo = switch.todo()
+        todo = switch.pending_orders()
         verdicts = await asyncio.gather(
             *(self._send(rank, order) for rank, order in todo)
         )
         for (rank, order), verdict in zip(todo, verdicts, strict=True):
-            switch.take(rank, order, verdict)
+            switch.apply_result(rank, order, verdict)
         if all(one is experts.OrderResult.DONE for one in verdicts):
             return
         if experts.OrderResult.FENCED in verdicts or switch.hold_refused:
@@ -185,4 +185,4 @@
             logging.info("no epoch", extra={"why": str(exc)})
             return
         if report is not None and report.epoch != self._group.epoch:
-            switch.epoch_over()
+            switch.note_epoch_ended()
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -93,7 +93,7 @@
             logging.exception("a switch failed", extra={"group": group.name})
         finally:
             group.busy = False
-            group.restraint.ended(self._clock.monotonic())
+            group.restraint.note_switch_ended(self._clock.monotonic())
             group.looked_at = None
             group.hold_seen = None
 
@@ -116,12 +116,12 @@
     ) -> None:
         assert group.used is not None
         switch = experts.MapSwitch(
-            size=group.size,
-            version=self._owner.version(group.newest),
-            after=plan.next,
-            before=group.used,
-            owner=self._owner,
-            since=group.step,
+            rank_count=group.size,
+            version=self._owner.next_version(group.newest),
+            new_map=plan.next_map,
+            old_map=group.used,
+            allocator=self._owner,
+            pass_at_planning=group.step,
         )
         await self._drive(group, switch, plan)
 
@@ -135,11 +135,13 @@
             )
             if one is not None
         ]
-        group.newest = max([group.newest, *(one.newest for one in reports)])
+        group.newest = max(
+            [group.newest, *(one.highest_version for one in reports)]
+        )
         armed = [
-            one.armed.version
+            one.armed_order.version
             for one in reports
-            if one.armed is not None and one.armed.step == step
+            if one.armed_order is not None and one.armed_order.step == step
         ]
         used = group.used or await self._queries.read_map(group)
         if used is None:
@@ -148,13 +150,13 @@
             "held pass was left",
             extra={"group": group.name, "step": step, "armed": len(armed)},
         )
-        switch = experts.MapSwitch.found(
-            size=group.size,
-            newest=group.newest,
-            armed=max(armed, default=None),
-            step=step,
-            before=used,
-            owner=self._owner,
+        switch = experts.MapSwitch.resume(
+            rank_count=group.size,
+            highest_version=group.newest,
+            armed_version=max(armed, default=None),
+            held_pass=step,
+            old_map=used,
+            allocator=self._owner,
         )
         await self._drive(group, switch, None)
         group.used = None
@@ -167,7 +169,7 @@
     ) -> None:
         generation = self._leadership.generation()
         if generation is not None:
-            self._owner.take_turn(generation)
+            self._owner.use_generation(generation)
         driver = switch_driver.SwitchDriver(
             self._engines,
             group,
@@ -177,9 +179,11 @@
             resting=lambda: self._queries.is_resting(group),
         )
         self._drivers[group.service, group.name] = driver
-        group.copying = plan.next if plan else None
+        group.copying = plan.next_map if plan else None
         try:
-            finished = await driver.run(switch, plan.copies if plan else 0)
+            finished = await driver.run(
+                switch, plan.max_copies_per_rank if plan else 0
+            )
         finally:
             group.copying = None
             del self._drivers[group.service, group.name]
@@ -190,10 +194,10 @@
             extra={
                 "group": group.name,
                 "version": switch.version,
-                "step": switch.step,
+                "step": switch.target_pass,
                 "outcome": switch.outcome.value,
                 "finished": finished,
             },
         )
         if plan and switch.outcome is experts.SwitchOutcome.SWITCHED:
-            group.switched(switch.version, plan.next)
+            group.switched(switch.version, plan.next_map)
--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -18,25 +18,25 @@
 class ExpertCounts:
     """How often each expert was used at one rank since its start.
 
-    :param sets: by set, then by expert.
+    :param uses_by_set: by set, then by expert.
     """
 
     epoch: orders.Epoch
     step: orders.PassNumber
-    sets: tuple[tuple[int, ...], ...]
+    uses_by_set: tuple[tuple[int, ...], ...]
 
 
 def uses_between(
-    before: ExpertCounts | None, now: ExpertCounts
+    earlier: ExpertCounts | None, later: ExpertCounts
 ) -> tuple[tuple[int, ...], ...] | None:
     """Return the uses between two readings of one rank.
 
     None if they do not follow each other or tell too little. What lies
     further back is of no use: demand jumps, it does not drift.
     """
-    if before is None or before.epoch != now.epoch:
+    if earlier is None or earlier.epoch != later.epoch:
         return None
-    pairs = zip(now.sets, before.sets, strict=True)
+    pairs = zip(later.uses_by_set, earlier.uses_by_set, strict=True)
     uses = tuple(
         tuple(new - old for new, old in zip(*pair, strict=True))
         for pair in pairs
@@ -49,15 +49,15 @@
 
 
 def counts_by_set(
-    flat: Sequence[int], limits: model.ExpertLimits
+    counts: Sequence[int], limits: model.ExpertLimits
 ) -> list[list[int]]:
     """Return counts set by set.
 
     :raises ValueError: when they are not ``sets`` times ``experts``.
     """
-    if len(flat) != limits.sets * limits.experts:
+    if len(counts) != limits.sets * limits.experts:
         raise ValueError(
-            f"{len(flat)} counts, not {limits.sets} x {limits.experts}"
+            f"{len(counts)} counts, not {limits.sets} x {limits.experts}"
         )
     size = limits.experts
-    return [list(flat[at : at + size]) for at in range(0, len(flat), size)]
+    return [list(counts[at : at + size]) for at in range(0, len(counts), size)]
--- a/src/lugcross/experts/election.py
+++ b/src/lugcross/experts/election.py
@@ -26,6 +26,6 @@
     incarnation: str
 
 
-def elect_leader(claims: Iterable[Candidate]) -> Candidate | None:
+def elect_leader(candidates: Iterable[Candidate]) -> Candidate | None:
     """Return whose duty it is; none if there is nobody."""
-    return min(claims, default=None)
+    return min(candidates, default=None)
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -71,33 +71,33 @@
 class Lease:
     """One process's part in a lease; no I/O.
 
-    Whoever drives it carries out each :meth:`move` and says what came of
-    it, by one of :meth:`saw`, :meth:`wrote`, :meth:`conflicted` and
-    :meth:`unclear`.
+    Whoever drives it carries out each :meth:`next_action` and says what came
+    of it, by one of :meth:`note_read`, :meth:`note_written`,
+    :meth:`note_conflict` and :meth:`note_no_answer`.
 
     :param incarnation: of this process.
     """
 
     def __init__(self, incarnation: str, clock: clock_lib.Clock) -> None:
-        self._own = incarnation
+        self._incarnation = incarnation
         self._clock = clock
-        self._seen: LeaseRecord | None = None
-        self._end: positions.Position | None = None
-        self._since = clock.monotonic()
+        self._seen_record: LeaseRecord | None = None
+        self._expected_end: positions.Position | None = None
+        self._unchanged_since = clock.monotonic()
         self._renewed_at = clock.monotonic()
         self._retry_at = clock.monotonic()
         #: Highest number that is known to be of no use any more.
-        self._spent = Generation(0)
-        self._held: Generation | None = None
+        self._highest_spent = Generation(0)
+        self._held_generation: Generation | None = None
         #: Whether the store left the last call without an answer.
-        self.failing = False
+        self.store_unavailable = False
 
     @property
-    def held(self) -> Generation | None:
+    def held_generation(self) -> Generation | None:
         """Number of this process's claim; none while it has no lease."""
-        return self._held
+        return self._held_generation
 
-    def move(self, *, wants: bool, held_elsewhere: bool) -> LeaseAction:
+    def next_action(self, *, wants: bool, held_elsewhere: bool) -> LeaseAction:
         """Return what to do at the store now.
 
         :param wants: whether this process should have the lease.
@@ -106,23 +106,23 @@
         now = self._clock.monotonic()
         if now < self._retry_at:
             return LeaseAction.NONE
-        if self._held is not None:
-            return self._move_of_holder(now, wants)
+        if self._held_generation is not None:
+            return self._next_action_of_holder(now, wants)
         if not wants or held_elsewhere:
             # What was seen is too old to start the time to live from.
-            self._end = None
+            self._expected_end = None
             return LeaseAction.NONE
-        if self._end is None:
+        if self._expected_end is None:
             return LeaseAction.READ
-        free = self._seen is None or self._seen.released
-        if free or now - self._since >= TIME_TO_LIVE:
+        free = self._seen_record is None or self._seen_record.released
+        if free or now - self._unchanged_since >= TIME_TO_LIVE:
             return LeaseAction.CLAIM
         return LeaseAction.NONE
 
-    def _move_of_holder(
+    def _next_action_of_holder(
         self, now: clock_lib.Instant, wants: bool
     ) -> LeaseAction:
-        if self._end is None:
+        if self._expected_end is None:
             return LeaseAction.READ
         if not wants:
             return LeaseAction.RELEASE
@@ -130,79 +130,96 @@
             return LeaseAction.RENEW
         return LeaseAction.NONE
 
-    def record(self, move: LeaseAction) -> LeaseRecord:
+    def record_for(self, action: LeaseAction) -> LeaseRecord:
         """Return the record that a move writes."""
-        if move is LeaseAction.CLAIM:
-            before = self._seen.generation if self._seen else Generation(0)
+        if action is LeaseAction.CLAIM:
+            before = (
+                self._seen_record.generation
+                if self._seen_record
+                else Generation(0)
+            )
             # What was claimed since the copy that the store came back from is
             # not known to it: each era has numbers above all earlier ones.
-            lowest = positions.era(self.end) << _GENERATION_BIT_COUNT
-            number = Generation(max(before, self._spent, lowest) + 1)
-            return LeaseRecord(holder=self._own, generation=number)
-        assert self._held is not None
+            lowest = positions.era(self.expected_end) << _GENERATION_BIT_COUNT
+            number = Generation(max(before, self._highest_spent, lowest) + 1)
+            return LeaseRecord(holder=self._incarnation, generation=number)
+        assert self._held_generation is not None
         return LeaseRecord(
-            holder=self._own,
-            generation=self._held,
-            released=move is LeaseAction.RELEASE,
+            holder=self._incarnation,
+            generation=self._held_generation,
+            released=action is LeaseAction.RELEASE,
         )
 
     @property
-    def end(self) -> positions.Position:
+    def expected_end(self) -> positions.Position:
         """Where the store's log must end for a write to count."""
-        assert self._end is not None
-        return self._end
+        assert self._expected_end is not None
+        return self._expected_end
 
-    def saw(self, found: LeaseRecord | None, end: positions.Position) -> None:
+    def note_read(
+        self, record: LeaseRecord | None, end: positions.Position
+    ) -> None:
         """Take over what the store holds."""
-        self.failing = False
+        self.store_unavailable = False
         now = self._clock.monotonic()
-        if end != self._end or self._seen != found:
-            self._since = now
-        self._seen, self._end = found, end
-        if found is None:
+        if end != self._expected_end or self._seen_record != record:
+            self._unchanged_since = now
+        self._seen_record, self._expected_end = record, end
+        if record is None:
             return
-        number = found.generation
-        if self._held is not None and number > self._held:
-            self._drop(self._held)
-        ours = found.holder == self._own and not found.released
-        if ours and number > self._spent:
+        number = record.generation
+        if (
+            self._held_generation is not None
+            and number > self._held_generation
+        ):
+            self._give_up(self._held_generation)
+        ours = record.holder == self._incarnation and not record.released
+        if ours and number > self._highest_spent:
             # A write of ours whose answer was lost took effect.
-            self._held = number
+            self._held_generation = number
             self._renewed_at = now
 
-    def wrote(self, record: LeaseRecord, end: positions.Position) -> None:
+    def note_written(
+        self, record: LeaseRecord, end: positions.Position
+    ) -> None:
         """Note that the store has taken a record of ours."""
-        self.failing = False
-        self._seen, self._end = record, end
-        self._since = self._renewed_at = self._clock.monotonic()
+        self.store_unavailable = False
+        self._seen_record, self._expected_end = record, end
+        self._unchanged_since = self._renewed_at = self._clock.monotonic()
         if record.released:
-            self._drop(record.generation)
-        elif record.generation > self._spent:
-            self._held = record.generation
+            self._give_up(record.generation)
+        elif record.generation > self._highest_spent:
+            self._held_generation = record.generation
 
-    def conflicted(self) -> None:
+    def note_conflict(self) -> None:
         """Note that another write came first."""
-        self.failing = False
-        self._end = None
+        self.store_unavailable = False
+        self._expected_end = None
 
-    def unclear(self) -> None:
+    def note_no_answer(self) -> None:
         """Note that a call got no answer: a write may have counted."""
-        self.failing = True
-        self._end = None
+        self.store_unavailable = True
+        self._expected_end = None
         self._retry_at = self._clock.monotonic() + RETRY_DELAY
 
-    def superseded(self, by: Generation) -> None:
+    def note_newer_generation(self, generation: Generation) -> None:
         """Note a higher number that a peer tells of."""
-        if self._held is not None and by > self._held:
-            self._drop(self._held)
+        if (
+            self._held_generation is not None
+            and generation > self._held_generation
+        ):
+            self._give_up(self._held_generation)
 
-    def refused(self, number: Generation) -> None:
-        """Note that an engine has seen a higher number than ``number``."""
-        self._drop(number)
+    def note_refused(self, generation: Generation) -> None:
+        """Note that an engine has seen a higher number than ``generation``."""
+        self._give_up(generation)
 
-    def _drop(self, number: Generation) -> None:
+    def _give_up(self, generation: Generation) -> None:
         """Never use a number again."""
-        self._spent = max(self._spent, number)
-        if self._held is not None and self._held <= self._spent:
-            self._held = None
-            self._end = None
+        self._highest_spent = max(self._highest_spent, generation)
+        if (
+            self._held_generation is not None
+            and self._held_generation <= self._highest_spent
+        ):
+            self._held_generation = None
+            self._expected_end = None
--- a/src/lugcross/experts/model.py
+++ b/src/lugcross/experts/model.py
@@ -22,18 +22,19 @@
     """What a service's engines allow, as its operator tells it.
 
     :param sets: sets of layers that share one placement.
-    :param places: experts that a rank may hold in a set.
-    :param spare: experts of a set that may be new to a rank in one map.
+    :param max_experts_per_rank: experts that a rank may hold in a set.
+    :param max_new_experts_per_map: experts of a set that may be new to a rank
+        in one map.
     :param copy_s: time to copy one expert, seconds.
-    :param share: part of a pass that is spent in experts.
+    :param expert_time_ratio: part of a pass that is spent in experts.
     """
 
     sets: int
     experts: int
-    places: int
-    spare: int
+    max_experts_per_rank: int
+    max_new_experts_per_map: int
     copy_s: float
-    share: float
+    expert_time_ratio: float
 
 
 @final
@@ -46,39 +47,42 @@
 
     ranks: tuple[RankExperts, ...]
 
-    def new_to(self, rank: int, before: "ExpertMap") -> int:
+    def copies_needed_at(self, rank: int, current_map: "ExpertMap") -> int:
         """Return how many experts ``rank`` must copy, coming from another.
 
-        :param before: the map that is in use.
+        :param current_map: the map that is in use.
         """
-        pairs = zip(self.ranks[rank], before.ranks[rank], strict=True)
+        pairs = zip(self.ranks[rank], current_map.ranks[rank], strict=True)
         return sum(len(set(now) - set(then)) for now, then in pairs)
 
-    def copies(self, before: "ExpertMap") -> int:
+    def max_copies_per_rank(self, current_map: "ExpertMap") -> int:
         """Return the most that any one rank must copy."""
-        return max(self.new_to(rank, before) for rank in range(self.size))
+        return max(
+            self.copies_needed_at(rank, current_map)
+            for rank in range(self.rank_count)
+        )
 
     @property
-    def size(self) -> int:
+    def rank_count(self) -> int:
         """How many ranks there are."""
         return len(self.ranks)
 
 
-def round_robin_map(size: int, limits: ExpertLimits) -> ExpertMap:
+def round_robin_map(rank_count: int, limits: ExpertLimits) -> ExpertMap:
     """Return the map that every new group starts with: dealt in turn."""
     return ExpertMap(
         tuple(
             tuple(
-                tuple(range(rank, limits.experts, size))
+                tuple(range(rank, limits.experts, rank_count))
                 for _ in range(limits.sets)
             )
-            for rank in range(size)
+            for rank in range(rank_count)
         )
     )
 
 
 def load_skew(
-    demand: Demand, used: ExpertMap, slowness: Sequence[float] = ()
+    demand: Demand, expert_map: ExpertMap, slowness: Sequence[float] = ()
 ) -> float:
     """Return the load of the most loaded rank over the mean of all.
 
@@ -87,49 +91,51 @@
     :param slowness: how many times longer each rank takes than usual.
     """
     total = 0.0
-    for num, weights in enumerate(demand):
+    for set_index, weights in enumerate(demand):
         whole = sum(weights)
         if whole <= 0:
             total += 1.0
             continue
-        loads = rank_loads(weights, used, num)
+        loads = rank_loads(weights, expert_map, set_index)
         if slowness:
             loads = list(map(operator.mul, loads, slowness))
-        total += max(loads) * used.size / whole
+        total += max(loads) * expert_map.rank_count / whole
     return total / max(1, len(demand))
 
 
 def rank_loads(
-    weights: Sequence[float], used: ExpertMap, num: int
+    weights: Sequence[float], expert_map: ExpertMap, set_index: int
 ) -> list[float]:
-    """Return each rank's load in set ``num``.
+    """Return each rank's load in set ``set_index``.
 
     The tokens of an expert are split evenly among the ranks that hold it.
     """
     holders = [0] * len(weights)
-    for rank in used.ranks:
-        for expert in rank[num]:
+    for rank in expert_map.ranks:
+        for expert in rank[set_index]:
             holders[expert] += 1
     return [
-        sum(weights[expert] / holders[expert] for expert in rank[num])
-        for rank in used.ranks
+        sum(weights[expert] / holders[expert] for expert in rank[set_index])
+        for rank in expert_map.ranks
     ]
 
 
-def pass_time_saving(before: float, after: float, share: float) -> float:
+def pass_time_saving(
+    skew_before: float, skew_after: float, expert_time_ratio: float
+) -> float:
     """Return the part of a pass that another skew saves.
 
-    :param before: skew now.
-    :param share: part of an even pass that is spent in experts.
+    :param skew_before: skew now.
+    :param expert_time_ratio: part of an even pass that is spent in experts.
     """
-    return 1.0 - relative_pass_time(after, share) / relative_pass_time(
-        before, share
-    )
+    return 1.0 - relative_pass_time(
+        skew_after, expert_time_ratio
+    ) / relative_pass_time(skew_before, expert_time_ratio)
 
 
-def relative_pass_time(skew_now: float, share: float) -> float:
+def relative_pass_time(skew: float, expert_time_ratio: float) -> float:
     """Return how long a pass takes, where 1 is a pass without any skew.
 
-    :param share: part of an even pass that is spent in experts.
+    :param expert_time_ratio: part of an even pass that is spent in experts.
     """
-    return (1.0 - share) + share * skew_now
+    return (1.0 - expert_time_ratio) + expert_time_ratio * skew
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -83,10 +83,11 @@
     """State of one rank, some hundred milliseconds ago.
 
     :param step: pass that began last.
-    :param used: version of the map in use.
-    :param prepared: version that could be armed; none while it is copied.
-    :param armed: version and pass at which it will be taken up.
-    :param held: pass that this rank keeps from beginning.
+    :param version_in_use: version of the map in use.
+    :param prepared_version: version that could be armed; none while it is
+        copied.
+    :param armed_order: version and pass at which it will be taken up.
+    :param held_pass: pass that this rank keeps from beginning.
     :param slowness: how many times longer than usual it takes.
     :param is_open: whether the group takes requests.
     """
@@ -98,17 +99,19 @@
     is_open: bool
     running: int
     step: PassNumber
-    used: MapVersion
-    prepared: MapVersion | None
-    armed: Arm | None
-    held: PassNumber | None
+    version_in_use: MapVersion
+    prepared_version: MapVersion | None
+    armed_order: Arm | None
+    held_pass: PassNumber | None
     slowness: float = 1.0
 
     @property
-    def newest(self) -> MapVersion:
+    def highest_version(self) -> MapVersion:
         """Highest version that the rank tells of."""
-        armed = self.armed.version if self.armed else MapVersion(0)
-        return max(self.used, self.prepared or MapVersion(0), armed)
+        armed = self.armed_order.version if self.armed_order else MapVersion(0)
+        return max(
+            self.version_in_use, self.prepared_version or MapVersion(0), armed
+        )
 
 
 #: Low bits of a version, which tell whose it is.
@@ -130,26 +133,30 @@
 
     def __init__(self, number: int) -> None:
         self._number = number & ((1 << _ALLOCATOR_BIT_COUNT) - 1)
-        self._chosen = MapVersion(0)
-        self._classes = _PASS_CLASS_COUNT
+        self._last_version = MapVersion(0)
+        self._class_count = _PASS_CLASS_COUNT
         self._class = self._number
 
-    def take_turn(self, generation: lease.Generation) -> None:
+    def use_generation(self, generation: lease.Generation) -> None:
         """Choose passes by the number of a lease from now on."""
-        self._classes = _LEASED_PASS_CLASS_COUNT
+        self._class_count = _LEASED_PASS_CLASS_COUNT
         self._class = generation
 
-    def version(self, newest: MapVersion) -> MapVersion:
-        """Return a version above ``newest`` that was never chosen before.
+    def next_version(self, highest_version: MapVersion) -> MapVersion:
+        """Return a version above ``highest_version``, never chosen before.
 
         A version stands for one map: what a report tells may be older than
         what this process has chosen itself.
         """
-        high = (max(newest, self._chosen) >> _ALLOCATOR_BIT_COUNT) + 1
-        self._chosen = MapVersion(high << _ALLOCATOR_BIT_COUNT | self._number)
-        return self._chosen
-
-    def step(self, after: PassNumber) -> PassNumber:
+        high = (
+            max(highest_version, self._last_version) >> _ALLOCATOR_BIT_COUNT
+        ) + 1
+        self._last_version = MapVersion(
+            high << _ALLOCATOR_BIT_COUNT | self._number
+        )
+        return self._last_version
+
+    def next_pass(self, after: PassNumber) -> PassNumber:
         """Return the next pass past ``after`` that this process holds."""
-        ahead = (self._class - after - 1) % self._classes
+        ahead = (self._class - after - 1) % self._class_count
         return PassNumber(after + 1 + ahead)
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -34,32 +34,36 @@
 
     :param skew_before: of the demand under the map in use.
     :param skew_after: of the demand under ``next``.
-    :param copies: most experts that one rank must copy.
+    :param max_copies_per_rank: most experts that one rank must copy.
     """
 
-    next: model.ExpertMap
+    next_map: model.ExpertMap
     skew_before: float
     skew_after: float
-    copies: int
+    max_copies_per_rank: int
 
 
 def plan_map(
     demand: model.Demand,
-    used: model.ExpertMap,
+    current_map: model.ExpertMap,
     limits: model.ExpertLimits,
     *,
-    most_copies: int,
+    max_copies_per_rank: int,
     slowness: Sequence[float] = (),
 ) -> MapPlan:
     """Return the best map that costs each rank few copies.
 
-    :param used: the map in use.
-    :param most_copies: experts that one rank may copy, over all sets.
+    :param current_map: the map in use.
+    :param max_copies_per_rank: experts that one rank may copy, over all sets.
     :param slowness: how many times longer each rank takes than usual; all
         as usual without it.
     """
     planning = plan_in_steps(
-        demand, used, limits, most_copies=most_copies, slowness=slowness
+        demand,
+        current_map,
+        limits,
+        max_copies_per_rank=max_copies_per_rank,
+        slowness=slowness,
     )
     while True:
         try:
@@ -71,10 +75,10 @@
 
 def plan_in_steps(
     demand: model.Demand,
-    used: model.ExpertMap,
+    current_map: model.ExpertMap,
     limits: model.ExpertLimits,
     *,
-    most_copies: int,
+    max_copies_per_rank: int,
     slowness: Sequence[float] = (),
 ) -> Generator[None, None, MapPlan]:
     """Plan as :func:`plan_map` does, a fraction of a millisecond at a time.
@@ -82,45 +86,51 @@
     Whoever must not block its process for long does something else
     between two steps.
     """
-    slow = tuple(slowness) or (1.0,) * used.size
-    budget = [most_copies] * used.size
-    sets = []
+    slow = tuple(slowness) or (1.0,) * current_map.rank_count
+    budget = [max_copies_per_rank] * current_map.rank_count
+    placements = []
     for num, weights in enumerate(demand):
-        ranks = [rank[num] for rank in used.ranks]
-        one = set_placement.SetPlacement(weights, ranks, limits, budget, slow)
-        sets.append((one, _BestPlacement(one)))
+        ranks = [rank[num] for rank in current_map.ranks]
+        placement = set_placement.SetPlacement(
+            weights, ranks, limits, budget, slow
+        )
+        placements.append((placement, _BestPlacement(placement)))
         yield
     # Every set adds its most loaded rank to a pass: the worst goes first,
     # so that it finds copies left.
-    open_sets = list(sets)
-    while open_sets:
-        worst = max(open_sets, key=_max_load)
-        one, trail = worst
-        step = one.best() if one.highest > _EVEN_LOAD_RATIO else None
-        if step is None:
-            open_sets.remove(worst)
+    open_placements = list(placements)
+    while open_placements:
+        worst = max(open_placements, key=_max_load)
+        placement, best = worst
+        relocation = (
+            placement.best_relocation()
+            if placement.max_load > _EVEN_LOAD_RATIO
+            else None
+        )
+        if relocation is None:
+            open_placements.remove(worst)
         else:
-            one.apply(step)
-            trail.note()
+            placement.apply(relocation)
+            best.update()
         yield
     after = model.ExpertMap(
         tuple(
-            tuple(tuple(sorted(trail.best[rank])) for _, trail in sets)
-            for rank in range(used.size)
+            tuple(tuple(sorted(best.ranks[rank])) for _, best in placements)
+            for rank in range(current_map.rank_count)
         )
     )
     return MapPlan(
-        next=after,
-        skew_before=model.load_skew(demand, used, slow),
+        next_map=after,
+        skew_before=model.load_skew(demand, current_map, slow),
         skew_after=model.load_skew(demand, after, slow),
-        copies=after.copies(used),
+        max_copies_per_rank=after.max_copies_per_rank(current_map),
     )
 
 
 def _max_load(
     one: "tuple[set_placement.SetPlacement, _BestPlacement]",
 ) -> float:
-    return one[0].highest
+    return one[0].max_load
 
 
 @final
@@ -132,14 +142,14 @@
     is not copied.
     """
 
-    def __init__(self, one: set_placement.SetPlacement) -> None:
-        self._one = one
-        self.best = [frozenset(held) for held in one.ranks]
-        self._highest = one.highest
+    def __init__(self, placement: set_placement.SetPlacement) -> None:
+        self._placement = placement
+        self.ranks = [frozenset(held) for held in placement.ranks]
+        self._max_load = placement.max_load
 
-    def note(self) -> None:
+    def update(self) -> None:
         """Take a step that was just made into account."""
-        highest = self._one.highest
-        if highest < self._highest - _MIN_LOAD_DECREASE_RATIO:
-            self._highest = highest
-            self.best = [frozenset(held) for held in self._one.ranks]
+        highest = self._placement.max_load
+        if highest < self._max_load - _MIN_LOAD_DECREASE_RATIO:
+            self._max_load = highest
+            self.ranks = [frozenset(held) for held in self._placement.ranks]
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -30,18 +30,19 @@
 
     :param gain: by how much less the ranks that it touches are loaded at
         most, in mean rank loads, for each copy.
-    :param keep: whether ``source`` keeps the expert as well.
-    :param back: expert that ``source`` takes over from ``rank`` for it.
-    :param evicted: replica that ``rank`` gives up to make room.
+    :param keeps_source: whether ``source`` keeps the expert as well.
+    :param swapped_expert: expert that ``source`` takes over from ``target``
+        for it.
+    :param evicted_expert: replica that ``target`` gives up to make room.
     """
 
     gain: float
     expert: int
     source: int
-    rank: int
-    keep: bool
-    back: int | None = None
-    evicted: int | None = None
+    target: int
+    keeps_source: bool
+    swapped_expert: int | None = None
+    evicted_expert: int | None = None
 
 
 @final
@@ -49,8 +50,8 @@
     """Which ranks hold which experts of a set, and how loaded they are.
 
     :param ranks: experts that each rank holds, by rank.
-    :param budget: copies left to each rank; shared by all sets.
-    :param slow: how many times longer than usual each rank takes.
+    :param copies_left: copies left to each rank; shared by all sets.
+    :param slowness: how many times longer than usual each rank takes.
     """
 
     def __init__(
@@ -58,62 +59,64 @@
         weights: Sequence[float],
         ranks: Sequence[Sequence[int]],
         limits: model.ExpertLimits,
-        budget: list[int],
-        slow: Sequence[float],
+        copies_left: list[int],
+        slowness: Sequence[float],
     ) -> None:
         whole = sum(weights) or 1.0
         self._weights = [one * len(ranks) / whole for one in weights]
         self._limits = limits
-        self._budget = budget
-        self._slow = slow
+        self._copies_left = copies_left
+        self._slowness = slowness
         self.ranks = [set(rank) for rank in ranks]
-        self._before = [frozenset(rank) for rank in ranks]
+        self._initial_ranks = [frozenset(rank) for rank in ranks]
         self._holders: list[set[int]] = [set() for _ in weights]
         for rank, held in enumerate(self.ranks):
             for expert in held:
                 self._holders[expert].add(rank)
         #: Part of each expert that one of its holders does.
-        self._shares = [
+        self._replica_loads = [
             weight / max(1, len(held))
             for weight, held in zip(self._weights, self._holders, strict=True)
         ]
-        self._new = [0] * len(ranks)
+        self._new_expert_counts = [0] * len(ranks)
         self._loads = [
-            sum(self._shares[one] for one in held) * slow[rank]
+            sum(self._replica_loads[one] for one in held) * slowness[rank]
             for rank, held in enumerate(self.ranks)
         ]
-        self._left = _MAX_RELOCATIONS_PER_RANK_COUNT * len(ranks)
+        self._relocations_left_count = _MAX_RELOCATIONS_PER_RANK_COUNT * len(
+            ranks
+        )
 
     @property
-    def highest(self) -> float:
+    def max_load(self) -> float:
         """Load of the most loaded rank, in mean rank loads."""
         return max(self._loads)
 
-    def best(self) -> Relocation | None:
+    def best_relocation(self) -> Relocation | None:
         """Return the step that lightens the most loaded rank most."""
-        if self._left <= 0:
+        if self._relocations_left_count <= 0:
             return None
         source = self._loads.index(max(self._loads))
         heavy = heapq.nlargest(
             _TRIED_EXPERT_COUNT,
             self.ranks[source],
-            key=self._shares.__getitem__,
+            key=self._replica_loads.__getitem__,
         )
-        takers = self._takers(source)
+        targets = self._candidate_targets(source)
         found: Relocation | None = None
         for expert in heavy:
             holders = self._holders[expert]
-            for rank in takers:
+            for rank in targets:
                 if rank in holders:
                     continue
-                for step in self._ways(expert, source, rank):
-                    if found is None or step.gain > found.gain:
-                        found = step
+                for candidate in self._relocations_to(expert, source, rank):
+                    if found is None or candidate.gain > found.gain:
+                        found = candidate
         if found is None or found.gain < _MIN_GAIN_RATIO:
             return None
         return found
 
-    def _takers(self, source: int) -> list[int]:
+    def _candidate_targets(self, source: int) -> list[int]:
         """Return the least loaded ranks that may copy."""
         free = [
             (load, rank)
@@ -122,25 +125,25 @@
         ]
         return [rank for _, rank in heapq.nsmallest(_TRIED_RANK_COUNT, free)]
 
-    def apply(self, step: Relocation) -> None:
+    def apply(self, relocation: Relocation) -> None:
         """Carry out a step."""
-        self._left -= 1
-        if step.evicted is not None:
-            self._drop(step.evicted, step.rank)
-        if step.back is not None:
-            self._drop(step.back, step.rank)
-            self._add(step.back, step.source)
-        self._add(step.expert, step.rank)
-        if not step.keep:
-            self._drop(step.expert, step.source)
-
-    def _ways(
+        self._relocations_left_count -= 1
+        if relocation.evicted_expert is not None:
+            self._remove_replica(relocation.evicted_expert, relocation.target)
+        if relocation.swapped_expert is not None:
+            self._remove_replica(relocation.swapped_expert, relocation.target)
+            self._add_replica(relocation.swapped_expert, relocation.source)
+        self._add_replica(relocation.expert, relocation.target)
+        if not relocation.keeps_source:
+            self._remove_replica(relocation.expert, relocation.source)
+
+    def _relocations_to(
         self, expert: int, source: int, rank: int
     ) -> Iterator[Relocation]:
         """Yield what ``rank`` could do for ``source``."""
         high = self._loads[source]
-        share = self._shares[expert]
-        slow, slow_there = self._slow[source], self._slow[rank]
+        share = self._replica_loads[expert]
+        slow, slow_there = self._slowness[source], self._slowness[rank]
         evicted, freed, peak = self._make_room(rank, expert)
         if evicted is None and self._is_full(rank):
             yield from self._swaps(expert, source, rank)
@@ -166,54 +169,58 @@
         if not self._may_copy(source):
             return
         high, there = self._loads[source], self._loads[rank]
-        share = self._shares[expert]
+        share = self._replica_loads[expert]
         for other in self.ranks[rank]:
-            less = share - self._shares[other]
+            less = share - self._replica_loads[other]
             if less <= 0 or source in self._holders[other]:
                 continue
             after = max(
-                high - less * self._slow[source],
-                there + less * self._slow[rank],
+                high - less * self._slowness[source],
+                there + less * self._slowness[rank],
             )
             yield Relocation(
                 (high - after) / 2, expert, source, rank, False, other
             )
 
-    def _add(self, expert: int, rank: int) -> None:
+    def _add_replica(self, expert: int, rank: int) -> None:
         """Give an expert to a rank; the other holders do less of it."""
-        self._change(expert, -1.0)
+        self._adjust_loads(expert, -1.0)
         self._holders[expert].add(rank)
         self.ranks[rank].add(expert)
-        self._count_copy(expert, rank, 1)
-        self._change(expert, 1.0)
+        self._adjust_copy_count(expert, rank, 1)
+        self._adjust_loads(expert, 1.0)
 
-    def _drop(self, expert: int, rank: int) -> None:
+    def _remove_replica(self, expert: int, rank: int) -> None:
         """Take an expert from a rank; the other holders do its part."""
-        self._change(expert, -1.0)
+        self._adjust_loads(expert, -1.0)
         self._holders[expert].discard(rank)
         self.ranks[rank].discard(expert)
-        self._count_copy(expert, rank, -1)
-        self._change(expert, 1.0)
+        self._adjust_copy_count(expert, rank, -1)
+        self._adjust_loads(expert, 1.0)
 
-    def _count_copy(self, expert: int, rank: int, more: int) -> None:
+    def _adjust_copy_count(self, expert: int, rank: int, more: int) -> None:
         """Count an expert that is new to a rank, or is so no more."""
-        if expert not in self._before[rank]:
-            self._new[rank] += more
-            self._budget[rank] -= more
+        if expert not in self._initial_ranks[rank]:
+            self._new_expert_counts[rank] += more
+            self._copies_left[rank] -= more
 
-    def _change(self, expert: int, sign: float) -> None:
+    def _adjust_loads(self, expert: int, sign: float) -> None:
         """Add the parts of an expert to its holders, or take them away."""
         count = max(1, len(self._holders[expert]))
-        self._shares[expert] = self._weights[expert] / count
-        share = self._shares[expert] * sign
+        self._replica_loads[expert] = self._weights[expert] / count
+        share = self._replica_loads[expert] * sign
         for rank in self._holders[expert]:
-            self._loads[rank] += share * self._slow[rank]
+            self._loads[rank] += share * self._slowness[rank]
 
     def _may_copy(self, rank: int) -> bool:
-        return self._budget[rank] > 0 and self._new[rank] < self._limits.spare
+        return (
+            self._copies_left[rank] > 0
+            and self._new_expert_counts[rank]
+            < self._limits.max_new_experts_per_map
+        )
 
     def _is_full(self, rank: int) -> bool:
-        return len(self.ranks[rank]) >= self._limits.places
+        return len(self.ranks[rank]) >= self._limits.max_experts_per_rank
 
     def _make_room(
         self, rank: int, expert: int
@@ -230,20 +237,20 @@
             for one in self.ranks[rank]
             if len(self._holders[one]) > 1
             and one != expert
-            and one in self._before[rank]
+            and one in self._initial_ranks[rank]
         ]
         if not spares:
             return None, 0.0, 0.0
-        lightest = min(spares, key=self._added_by_leaving)
-        added = self._added_by_leaving(lightest)
+        lightest = min(spares, key=self._load_added_by_removal)
+        added = self._load_added_by_removal(lightest)
         peak = max(
-            self._loads[other] + added * self._slow[other]
+            self._loads[other] + added * self._slowness[other]
             for other in self._holders[lightest]
             if other != rank
         )
-        return lightest, self._shares[lightest], peak
+        return lightest, self._replica_loads[lightest], peak
 
-    def _added_by_leaving(self, expert: int) -> float:
+    def _load_added_by_removal(self, expert: int) -> float:
         """Return what each other holder gets more if one gives it up."""
         count = len(self._holders[expert])
         weight = self._weights[expert]
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -65,88 +65,95 @@
 class MapSwitch:
     """One change of one group's map; no I/O.
 
-    Whoever drives it sends all of :meth:`todo`, hands each verdict to
-    :meth:`take` and begins again, until :attr:`phase` is ``OVER``.
+    Whoever drives it sends all of :meth:`pending_orders`, hands each verdict
+    to :meth:`apply_result` and begins again, until :attr:`phase` is ``OVER``.
 
     :param version: version of the new map, above all the ranks had.
-    :param since: pass that had begun when the switch was planned.
-    :param after: the new map; none where a left one is only finished.
-    :param before: the map in use, given to ranks when the new is voided.
+    :param pass_at_planning: pass that had begun when the switch was planned.
+    :param new_map: the new map; none where a left one is only finished.
+    :param old_map: the map in use, given to ranks when the new is voided.
     """
 
     def __init__(
         self,
         *,
-        size: int,
+        rank_count: int,
         version: orders.MapVersion,
-        after: model.ExpertMap | None,
-        before: model.ExpertMap,
-        owner: orders.NumberAllocator,
-        since: orders.PassNumber = orders.PassNumber(0),
+        new_map: model.ExpertMap | None,
+        old_map: model.ExpertMap,
+        allocator: orders.NumberAllocator,
+        pass_at_planning: orders.PassNumber = orders.PassNumber(0),
     ) -> None:
-        self._since = since
-        self._size = size
+        self._pass_at_planning = pass_at_planning
+        self._rank_count = rank_count
         self._version = version
-        self._after = after
-        self._before = before
-        self._owner = owner
-        self._void_version = owner.version(version)
-        self._left = self._all()
-        self._tries = 0
-        self._refusals: collections.Counter[orders.Rank] = (
+        self._new_map = new_map
+        self._old_map = old_map
+        self._allocator = allocator
+        self._void_version = allocator.next_version(version)
+        self._ranks_left = self._all_ranks()
+        self._hold_count = 0
+        self._refusal_counts: collections.Counter[orders.Rank] = (
             collections.Counter()
         )
-        self._unheard: collections.Counter[orders.Rank] = collections.Counter()
-        self._decider = orders.Rank(0)
+        self._unanswered_counts: collections.Counter[orders.Rank] = (
+            collections.Counter()
+        )
+        self._deciding_rank = orders.Rank(0)
         self._may_arm = True
-        self._disarmed: set[orders.Rank] = set()
-        self._step = orders.PassNumber(0)
-        self._held: set[orders.PassNumber] = set()
-        self._ended = SwitchOutcome.LEFT
+        self._disarmed_ranks: set[orders.Rank] = set()
+        self._target_pass = orders.PassNumber(0)
+        self._held_passes: set[orders.PassNumber] = set()
+        self._outcome = SwitchOutcome.LEFT
         self.phase = SwitchPhase.PREPARE
 
     @classmethod
-    def found(
+    def resume(
         cls,
         *,
-        size: int,
-        newest: orders.MapVersion,
-        armed: orders.MapVersion | None,
-        step: orders.PassNumber,
-        before: model.ExpertMap,
-        owner: orders.NumberAllocator,
+        rank_count: int,
+        highest_version: orders.MapVersion,
+        armed_version: orders.MapVersion | None,
+        held_pass: orders.PassNumber,
+        old_map: model.ExpertMap,
+        allocator: orders.NumberAllocator,
     ) -> "MapSwitch":
         """Return one that finishes what another process has left.
 
-        :param newest: highest version that any rank tells of.
-        :param armed: version that a rank is armed with for ``step``. None
-            is voided: to arm a version that another pass may have been
-            named for could change that pass at some ranks only.
-        :param step: the pass that is held.
+        :param highest_version: highest version that any rank tells of.
+        :param armed_version: version that a rank is armed with for
+            ``held_pass``. None is voided: to arm a version that another
+            pass may have been named for could change that pass at some
+            ranks only.
+        :param held_pass: the pass that is held.
         """
-        made = cls(
-            size=size,
-            version=newest if armed is None else armed,
-            after=None,
-            before=before,
-            owner=owner,
+        switch = cls(
+            rank_count=rank_count,
+            version=highest_version
+            if armed_version is None
+            else armed_version,
+            new_map=None,
+            old_map=old_map,
+            allocator=allocator,
+        )
+        switch._void_version = allocator.next_version(highest_version)
+        switch._may_arm = armed_version is not None
+        switch._target_pass = held_pass
+        switch._held_passes = {held_pass}
+        switch._enter_phase(
+            SwitchPhase.ARM if switch._may_arm else SwitchPhase.DECIDE
         )
-        made._void_version = owner.version(newest)
-        made._may_arm = armed is not None
-        made._step = step
-        made._held = {step}
-        made._enter(SwitchPhase.ARM if made._may_arm else SwitchPhase.DECIDE)
-        return made
+        return switch
 
     @property
-    def holds(self) -> bool:
+    def may_hold_pass(self) -> bool:
         """Whether a pass may be held, so that it must be brought to an end."""
-        return bool(self._held) and self.phase is not SwitchPhase.OVER
+        return bool(self._held_passes) and self.phase is not SwitchPhase.OVER
 
     @property
     def outcome(self) -> SwitchOutcome:
         """What came of it, once it is over."""
-        return self._ended
+        return self._outcome
 
     @property
     def version(self) -> orders.MapVersion:
@@ -154,190 +161,204 @@
         return self._version
 
     @property
-    def step(self) -> orders.PassNumber:
+    def target_pass(self) -> orders.PassNumber:
         """The pass at which the ranks take up the new map."""
-        return self._step
+        return self._target_pass
 
-    def todo(self) -> list[tuple[orders.Rank, orders.Order]]:
+    def pending_orders(self) -> list[tuple[orders.Rank, orders.Order]]:
         """Return what to send now, to whom."""
         if self.phase is SwitchPhase.PREPARE:
-            assert self._after is not None
-            order = orders.Prepare(self._version, self._after)
-            return [(rank, order) for rank in sorted(self._left)]
+            assert self._new_map is not None
+            order = orders.Prepare(self._version, self._new_map)
+            return [(rank, order) for rank in sorted(self._ranks_left)]
         if self.phase is SwitchPhase.HOLD:
-            return [(orders.Rank(0), orders.Hold(self.step))]
+            return [(orders.Rank(0), orders.Hold(self.target_pass))]
         if self.phase is SwitchPhase.ARM:
-            arm = orders.Arm(self._version, self.step)
-            return [(rank, arm) for rank in sorted(self._left)]
+            arm = orders.Arm(self._version, self.target_pass)
+            return [(rank, arm) for rank in sorted(self._ranks_left)]
         if self.phase is SwitchPhase.DECIDE:
-            return [(self._decider, self._higher())]
+            return [(self._deciding_rank, self._void_prepare())]
         if self.phase is SwitchPhase.VOID:
-            return [(rank, self._undo(rank)) for rank in sorted(self._left)]
+            return [
+                (rank, self._void_order(rank))
+                for rank in sorted(self._ranks_left)
+            ]
         if self.phase is SwitchPhase.RELEASE:
             return [
                 (orders.Rank(0), orders.Release(step))
-                for step in sorted(self._held)
+                for step in sorted(self._held_passes)
             ]
         return []
 
-    def take(
+    def apply_result(
         self,
         rank: orders.Rank,
         order: orders.Order,
         verdict: orders.OrderResult,
     ) -> None:
-        """Take over what became of an order that :meth:`todo` named.
+        """Take over what became of an order that :meth:`pending_orders` named.
 
         Orders of one round are answered in any order; what an earlier
         answer has made needless is left out.
         """
         if verdict is orders.OrderResult.FENCED:
             # A later holder is at work; it finishes what this one left.
-            self._end(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.LEFT)
             return
-        if (rank, order) not in self.todo():
+        if (rank, order) not in self.pending_orders():
             return
         if self.phase is SwitchPhase.PREPARE:
-            self._prepared(rank, verdict)
+            self._handle_prepare(rank, verdict)
         elif self.phase is SwitchPhase.HOLD:
-            self._hold_tried(verdict)
+            self._handle_hold(verdict)
         elif self.phase is SwitchPhase.ARM:
-            self._arm_tried(rank, verdict)
+            self._handle_arm(rank, verdict)
         elif self.phase is SwitchPhase.DECIDE:
-            self._decided(verdict)
+            self._handle_decide(verdict)
         elif self.phase is SwitchPhase.VOID:
-            self._undone(rank, order, verdict)
+            self._handle_void(rank, order, verdict)
         elif self.phase is SwitchPhase.RELEASE:
-            self._released(order, verdict)
+            self._handle_release(order, verdict)
 
-    def copied(self, now: orders.PassNumber, *, ahead: int = 0) -> None:
+    def note_copied(
+        self, current_pass: orders.PassNumber, *, passes_ahead: int = 0
+    ) -> None:
         """Go on once the ranks have probably copied what they need.
 
-        :param now: pass that began last, as a report tells.
-        :param ahead: passes that may begin from that report until all
+        :param current_pass: pass that began last, as a report tells.
+        :param passes_ahead: passes that may begin from that report until all
             ranks are armed; more of them delay the map, fewer hold up the
             group.
         """
         if self.phase is not SwitchPhase.COPY:
             return
-        if now <= self._since:
-            self._end(SwitchOutcome.LEFT)
+        if current_pass <= self._pass_at_planning:
+            self._finish(SwitchOutcome.LEFT)
             return
-        self._enter(SwitchPhase.HOLD)
-        self._name(now, ahead)
+        self._enter_phase(SwitchPhase.HOLD)
+        self._choose_pass(current_pass, passes_ahead)
 
-    def hold_later(self, now: orders.PassNumber) -> None:
+    def hold_later_pass(self, current_pass: orders.PassNumber) -> None:
         """Hold a later pass where the one that was named had begun.
 
-        :param now: pass that began last, as a report tells. That the
+        :param current_pass: pass that began last, as a report tells. That the
             named one has begun is newer, so that the next one is near.
         """
         if self.hold_refused:
-            self._name(orders.PassNumber(max(now, self._step)), 1)
+            self._choose_pass(
+                orders.PassNumber(max(current_pass, self._target_pass)), 1
+            )
 
     @property
     def hold_refused(self) -> bool:
         """Whether a later pass must be named before going on."""
-        return self.phase is SwitchPhase.HOLD and self._step not in self._held
+        return (
+            self.phase is SwitchPhase.HOLD
+            and self._target_pass not in self._held_passes
+        )
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Give up before anything is armed; a hold may stand or come."""
         if self.phase in (SwitchPhase.PREPARE, SwitchPhase.COPY):
-            self._end(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.LEFT)
         elif self.phase is SwitchPhase.HOLD:
-            self._ended = SwitchOutcome.LEFT
-            self._enter(
-                SwitchPhase.RELEASE if self._held else SwitchPhase.OVER
+            self._outcome = SwitchOutcome.LEFT
+            self._enter_phase(
+                SwitchPhase.RELEASE if self._held_passes else SwitchPhase.OVER
             )
 
-    def epoch_over(self) -> None:
+    def note_epoch_ended(self) -> None:
         """End: the group has a new life, and knows none of this."""
-        self._end(SwitchOutcome.LEFT)
+        self._finish(SwitchOutcome.LEFT)
 
-    def _name(self, now: orders.PassNumber, ahead: int) -> None:
+    def _choose_pass(
+        self, current_pass: orders.PassNumber, passes_ahead: int
+    ) -> None:
         """Choose the pass; from now on it may be held."""
-        self._step = self._owner.step(orders.PassNumber(now + ahead))
-        self._held.add(self._step)
+        self._target_pass = self._allocator.next_pass(
+            orders.PassNumber(current_pass + passes_ahead)
+        )
+        self._held_passes.add(self._target_pass)
 
-    def _all(self) -> set[orders.Rank]:
-        return {orders.Rank(rank) for rank in range(self._size)}
+    def _all_ranks(self) -> set[orders.Rank]:
+        return {orders.Rank(rank) for rank in range(self._rank_count)}
 
-    def _enter(self, phase: SwitchPhase) -> None:
+    def _enter_phase(self, phase: SwitchPhase) -> None:
         self.phase = phase
-        self._left = self._all()
-        self._tries = 0
-        self._refusals.clear()
+        self._ranks_left = self._all_ranks()
+        self._hold_count = 0
+        self._refusal_counts.clear()
 
-    def _end(self, outcome: SwitchOutcome) -> None:
-        self._ended = outcome
+    def _finish(self, outcome: SwitchOutcome) -> None:
+        self._outcome = outcome
         self.phase = SwitchPhase.OVER
 
-    def _prepared(
+    def _handle_prepare(
         self, rank: orders.Rank, verdict: orders.OrderResult
     ) -> None:
         if verdict is orders.OrderResult.REFUSED:
-            self._end(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.LEFT)
         elif verdict is orders.OrderResult.DONE:
-            self._left.discard(rank)
-            if not self._left:
-                self._enter(SwitchPhase.COPY)
+            self._ranks_left.discard(rank)
+            if not self._ranks_left:
+                self._enter_phase(SwitchPhase.COPY)
         else:
-            self._unheard[rank] += 1
-            if self._unheard[rank] >= _MAX_PREPARE_COUNT:
-                self._end(SwitchOutcome.LEFT)
+            self._unanswered_counts[rank] += 1
+            if self._unanswered_counts[rank] >= _MAX_PREPARE_COUNT:
+                self._finish(SwitchOutcome.LEFT)
 
-    def _hold_tried(self, verdict: orders.OrderResult) -> None:
+    def _handle_hold(self, verdict: orders.OrderResult) -> None:
         if verdict is orders.OrderResult.DONE:
-            self._enter(SwitchPhase.ARM)
+            self._enter_phase(SwitchPhase.ARM)
             return
-        self._tries += 1
+        self._hold_count += 1
         if verdict is orders.OrderResult.REFUSED:
-            self._held.discard(self._step)
-        if self._tries >= _MAX_HOLD_COUNT:
-            self.leave()
+            self._held_passes.discard(self._target_pass)
+        if self._hold_count >= _MAX_HOLD_COUNT:
+            self.cancel()
 
-    def _arm_tried(
+    def _handle_arm(
         self, rank: orders.Rank, verdict: orders.OrderResult
     ) -> None:
         if verdict is orders.OrderResult.DONE:
-            self._left.discard(rank)
-            if not self._left:
-                self._ended = SwitchOutcome.SWITCHED
-                self._enter(SwitchPhase.RELEASE)
+            self._ranks_left.discard(rank)
+            if not self._ranks_left:
+                self._outcome = SwitchOutcome.SWITCHED
+                self._enter_phase(SwitchPhase.RELEASE)
         elif verdict is orders.OrderResult.REFUSED:
-            self._refusals[rank] += 1
-            if self._refusals[rank] >= _MAX_ARM_REFUSAL_COUNT:
-                self._decider = rank
-                self._enter(SwitchPhase.DECIDE)
+            self._refusal_counts[rank] += 1
+            if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
+                self._deciding_rank = rank
+                self._enter_phase(SwitchPhase.DECIDE)
 
-    def _decided(self, verdict: orders.OrderResult) -> None:
+    def _handle_decide(self, verdict: orders.OrderResult) -> None:
         if verdict is orders.OrderResult.DONE:
-            self._disarmed = set()
-            self._enter(SwitchPhase.VOID)
-            self._left.discard(self._decider)
+            self._disarmed_ranks = set()
+            self._enter_phase(SwitchPhase.VOID)
+            self._ranks_left.discard(self._deciding_rank)
         elif verdict is orders.OrderResult.REFUSED:
             # It is armed by now, or has had a higher version.
             self._raise_void_version()
             if self._may_arm:
-                self._enter(SwitchPhase.ARM)
+                self._enter_phase(SwitchPhase.ARM)
             else:
-                self._refused_unarmed(self._decider)
+                self._count_void_refusal(self._deciding_rank)
 
-    def _refused_unarmed(self, rank: orders.Rank) -> None:
+    def _count_void_refusal(self, rank: orders.Rank) -> None:
         """Leave it after a few refusals: the rank is armed with something.
 
         Newer reports tell with what, and it is found again.
         """
-        self._refusals[rank] += 1
-        if self._refusals[rank] >= _MAX_ARM_REFUSAL_COUNT:
-            self._end(SwitchOutcome.LEFT)
+        self._refusal_counts[rank] += 1
+        if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
+            self._finish(SwitchOutcome.LEFT)
 
-    def _undo(self, rank: orders.Rank) -> orders.Order:
-        if rank in self._disarmed or not self._may_arm:
-            return self._higher()
+    def _void_order(self, rank: orders.Rank) -> orders.Order:
+        if rank in self._disarmed_ranks or not self._may_arm:
+            return self._void_prepare()
         return orders.Disarm(self._version)
 
-    def _undone(
+    def _handle_void(
         self,
         rank: orders.Rank,
         order: orders.Order,
@@ -345,33 +366,33 @@
     ) -> None:
         if isinstance(order, orders.Disarm):
             if verdict is orders.OrderResult.DONE:
-                self._disarmed.add(rank)
+                self._disarmed_ranks.add(rank)
         elif verdict is orders.OrderResult.DONE:
-            self._left.discard(rank)
+            self._ranks_left.discard(rank)
         elif verdict is orders.OrderResult.REFUSED:
             # A late order has armed it anew, or it had a higher version.
-            self._disarmed.discard(rank)
+            self._disarmed_ranks.discard(rank)
             self._raise_void_version()
             if not self._may_arm:
-                self._refused_unarmed(rank)
+                self._count_void_refusal(rank)
                 return
-        if not self._left:
-            self._ended = SwitchOutcome.VOIDED
-            self._enter(SwitchPhase.RELEASE)
+        if not self._ranks_left:
+            self._outcome = SwitchOutcome.VOIDED
+            self._enter_phase(SwitchPhase.RELEASE)
 
-    def _released(
+    def _handle_release(
         self, order: orders.Order, verdict: orders.OrderResult
     ) -> None:
         if verdict is orders.OrderResult.UNKNOWN:
             return
         assert isinstance(order, orders.Release)
         # Refused means that the group has a new life by now.
-        self._held.discard(order.step)
-        if not self._held:
+        self._held_passes.discard(order.step)
+        if not self._held_passes:
             self.phase = SwitchPhase.OVER
 
-    def _higher(self) -> orders.Prepare:
-        return orders.Prepare(self._void_version, self._before)
+    def _void_prepare(self) -> orders.Prepare:
+        return orders.Prepare(self._void_version, self._old_map)
 
     def _raise_void_version(self) -> None:
-        self._void_version = self._owner.version(self._void_version)
+        self._void_version = self._allocator.next_version(self._void_version)
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -34,38 +34,38 @@
     """What the lives of one group have shown of changes of its map."""
 
     def __init__(self) -> None:
-        self._begun = False
+        self._switch_started = False
         #: When the first change of this life was over.
-        self._over: clock_lib.Instant | None = None
-        self._in_a_row = 0
+        self._switch_ended_at: clock_lib.Instant | None = None
+        self._break_count = 0
         self._until = datetime.timedelta()
 
-    def began(self) -> None:
+    def note_switch_started(self) -> None:
         """Note that a change of map begins; the first of a life counts."""
-        self._begun = True
+        self._switch_started = True
 
-    def ended(self, now: clock_lib.Instant) -> None:
+    def note_switch_ended(self, now: clock_lib.Instant) -> None:
         """Note that all orders of a change have been given."""
-        if self._begun and self._over is None:
-            self._over = now
+        if self._switch_started and self._switch_ended_at is None:
+            self._switch_ended_at = now
 
-    def broke(self, now: clock_lib.Instant) -> bool:
+    def note_group_broken(self, now: clock_lib.Instant) -> bool:
         """Note that the group has broken; tell whether it is left alone."""
-        begun, self._begun = self._begun, False
-        over, self._over = self._over, None
+        begun, self._switch_started = self._switch_started, False
+        over, self._switch_ended_at = self._switch_ended_at, None
         if not begun:
             # Changed by nobody in that life, so that it tells nothing.
             return False
         if over is not None and now - over > BREAK_WINDOW:
-            self._in_a_row = 0
+            self._break_count = 0
             return False
-        self._in_a_row += 1
-        more = self._in_a_row - BREAKS_BEFORE_BACKOFF_COUNT
+        self._break_count += 1
+        more = self._break_count - BREAKS_BEFORE_BACKOFF_COUNT
         if more < 0:
             return False
         self._until = now + min(INITIAL_BACKOFF * 2.0**more, MAX_BACKOFF)
         return True
 
-    def rests(self, now: clock_lib.Instant) -> bool:
+    def is_active(self, now: clock_lib.Instant) -> bool:
         """Tell whether the group keeps its map for now."""
         return now < self._until
--- a/src/lugcross/platform/engines.py
+++ b/src/lugcross/platform/engines.py
@@ -123,13 +123,13 @@
             is_open=raw.group.state == _OPEN,
             running=raw.running + raw.waiting,
             step=experts.PassNumber(raw.step),
-            used=experts.MapVersion(raw.map),
-            prepared=(
+            version_in_use=experts.MapVersion(raw.map),
+            prepared_version=(
                 None
                 if raw.prepared is None
                 else experts.MapVersion(raw.prepared)
             ),
-            armed=(
+            armed_order=(
                 None
                 if armed is None
                 else experts.Arm(
@@ -137,7 +137,9 @@
                     experts.PassNumber(armed.step),
                 )
             ),
-            held=None if raw.held is None else experts.PassNumber(raw.held),
+            held_pass=None
+            if raw.held is None
+            else experts.PassNumber(raw.held),
             slowness=min(max(1.0, raw.pace), _SLOWNESS_MOST),
         )
 
@@ -156,7 +158,7 @@
         return experts.ExpertCounts(
             epoch=experts.Epoch(raw.epoch),
             step=experts.PassNumber(raw.step),
-            sets=tuple(map(tuple, sets)),
+            uses_by_set=tuple(map(tuple, sets)),
         )
 
     async def held_experts(
--- a/src/lugcross/platform/state.py
+++ b/src/lugcross/platform/state.py
@@ -284,10 +284,10 @@
     return experts.ExpertLimits(
         sets=raw.sets,
         experts=raw.experts,
-        places=raw.places,
-        spare=raw.spare,
+        max_experts_per_rank=raw.places,
+        max_new_experts_per_map=raw.spare,
         copy_s=megabits / raw.link_mbps if raw.link_mbps else 0.0,
-        share=raw.expert_share,
+        expert_time_ratio=raw.expert_share,
     )
 
 
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -300,11 +300,11 @@
         lease = experts.Lease("me", manual_clock)
         end = positions.place(positions.Era(era), ids.Offset(3))
         number = experts.Generation(seen)
-        lease.saw(
+        lease.note_read(
             experts.LeaseRecord(holder="x", generation=number, released=True),
             end,
         )
-        return lease.record(experts.LeaseAction.CLAIM).generation
+        return lease.record_for(experts.LeaseAction.CLAIM).generation
 
     assert claim(0, 5) == 6
     # Whatever number was claimed after the copy had been made.
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -24,7 +24,12 @@
 SIZE = 4
 SERVICE = ids.ServiceName("llm")
 LIMITS = experts.ExpertLimits(
-    sets=1, experts=8, places=4, spare=2, copy_s=0.1, share=0.8
+    sets=1,
+    experts=8,
+    max_experts_per_rank=4,
+    max_new_experts_per_map=2,
+    copy_s=0.1,
+    expert_time_ratio=0.8,
 )
 FIRST = experts.round_robin_map(SIZE, LIMITS)
 #: Uses of each expert in one reading; the first has nearly all.
@@ -98,7 +103,7 @@
         self.called.append(rank)
         if rank in self.silent or rank in self.deaf:
             return experts.OrderResult.UNKNOWN
-        return self.group.obey(rank, order, epoch, generation)
+        return self.group.execute(rank, order, epoch, generation)
 
 
 class MapLeadership:
@@ -279,7 +284,7 @@
         await rig.rounds(1)
         group = rig.engines.group
         held = experts.Hold(experts.PassNumber(group.step + 1))
-        group.obey(0, held, group.epoch)
+        group.execute(0, held, group.epoch)
         assert not group.begin_pass()
         await rig.rounds(3)
         assert group.begin_pass()
@@ -382,7 +387,7 @@
     group = rank_groups.RankGroup("g", SERVICE, LIMITS, SIZE)
     ranks = rank_simulator.SimulatedGroup(SIZE, FIRST)
     old = ranks.report(1)
-    ranks.form()
+    ranks.form_anew()
     group.take(ranks.report(0), SECOND)
     group.take(dataclasses.replace(old, is_open=False), SECOND)
     assert group.is_open
@@ -406,7 +411,7 @@
         await rig.rounds(1)
         rig.engines.deaf = {2}
         group = rig.engines.group
-        group.obey(
+        group.execute(
             0, experts.Hold(experts.PassNumber(group.step + 9)), group.epoch
         )
         assert not rig.maps.switches.is_stuck()
@@ -454,7 +459,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(4)
         for _ in range(epochs):
-            rig.engines.group.form()
+            rig.engines.group.form_anew()
             assert rig.engines.group.ranks[0].used == (0, FIRST)
             await rig.rounds(3)
         assert rig.engines.group.ranks[0].used[0] > 0
@@ -476,7 +481,7 @@
         async def order(backend, order, epoch, generation):
             if isinstance(order, experts.Prepare) and engines.is_open:
                 engines.is_open = False
-                engines.group.form()
+                engines.group.form_anew()
                 return experts.OrderResult.UNKNOWN
             return await obey(backend, order, epoch, generation)
 
@@ -505,7 +510,7 @@
     async def act(rig: Rig) -> None:
         rig.leadership.number = experts.Generation(4)
         for rank in rig.engines.group.ranks:
-            rank.fence = 5
+            rank.min_generation = 5
         await rig.rounds(5)
         assert rig.leadership.spent
         # The one round of orders that was refused.
@@ -639,7 +644,7 @@
         rig.leadership.number = experts.Generation(4) if leased else None
         group = rig.engines.group
         held = experts.Hold(experts.PassNumber(group.step + 1))
-        group.obey(0, held, group.epoch)
+        group.execute(0, held, group.epoch)
         for _ in range(3):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
             await rig.maps.round()
@@ -666,7 +671,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(6)
         jumping = Jumping(rig)
-        rig.engines.group.form()
+        rig.engines.group.form_anew()
         rig.engines.uses = [0] * LIMITS.experts
         before = jumping.reads
         for _ in range(12):
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -13,7 +13,12 @@
 
 MS = datetime.timedelta(milliseconds=1)
 LIMITS = experts.ExpertLimits(
-    sets=1, experts=8, places=4, spare=2, copy_s=0.1, share=0.8
+    sets=1,
+    experts=8,
+    max_experts_per_rank=4,
+    max_new_experts_per_map=2,
+    copy_s=0.1,
+    expert_time_ratio=0.8,
 )
 
 
--- a/testing/experts/test_lease.py
+++ b/testing/experts/test_lease.py
@@ -13,7 +13,7 @@
 from lugcross.experts import lease as lease_lib
 from lugcross import ids
 
-Move = experts.LeaseAction
+LeaseAction = experts.LeaseAction
 MS = datetime.timedelta(milliseconds=1)
 
 
@@ -48,24 +48,26 @@
     def __post_init__(self) -> None:
         self.lease = experts.Lease(self.name, self.clock)
 
-    def move(self) -> experts.LeaseAction:
-        return self.lease.move(wants=self.wants, held_elsewhere=self.elsewhere)
+    def next_action(self) -> experts.LeaseAction:
+        return self.lease.next_action(
+            wants=self.wants, held_elsewhere=self.elsewhere
+        )
 
     def step(self) -> experts.LeaseAction:
         """Do what is to be done now; the store answers at once."""
-        move = self.move()
-        if move is Move.READ:
-            self.lease.saw(self.store.newest, ids.Offset(self.store.end))
-        elif move is not Move.NONE:
-            record = self.lease.record(move)
-            if self.store.put(record, self.lease.end):
-                self.lease.wrote(record, ids.Offset(self.store.end))
+        action = self.next_action()
+        if action is LeaseAction.READ:
+            self.lease.note_read(self.store.newest, ids.Offset(self.store.end))
+        elif action is not LeaseAction.NONE:
+            record = self.lease.record_for(action)
+            if self.store.put(record, self.lease.expected_end):
+                self.lease.note_written(record, ids.Offset(self.store.end))
             else:
-                self.lease.conflicted()
-        return move
+                self.lease.note_conflict()
+        return action
 
     def settle(self) -> None:
-        while self.step() is not Move.NONE:
+        while self.step() is not LeaseAction.NONE:
             pass
 
 
@@ -87,15 +89,15 @@
 def test_lease_that_nobody_has_is_claimed_at_once(new) -> None:
     node = new("a")
     node.settle()
-    assert node.lease.held == 1
+    assert node.lease.held_generation == 1
 
 
 def test_process_that_should_not_have_it_calls_nobody(new) -> None:
     node = new("a")
     node.wants = False
-    assert node.step() is Move.NONE
+    assert node.step() is LeaseAction.NONE
     node.wants, node.elsewhere = True, True
-    assert node.step() is Move.NONE
+    assert node.step() is LeaseAction.NONE
 
 
 def test_lease_that_is_renewed_is_left_to_its_holder(new, clock) -> None:
@@ -105,18 +107,18 @@
         clock.advance(100 * MS)
         holder.settle()
         other.settle()
-    assert other.lease.held is None
-    assert holder.lease.held == 1
+    assert other.lease.held_generation is None
+    assert holder.lease.held_generation == 1
 
 
 def test_lease_of_a_dead_holder_passes_on_after_its_time(new, clock) -> None:
     holder, other = new("a"), new("b")
     holder.settle()
     other.settle()
-    assert other.lease.held is None
+    assert other.lease.held_generation is None
     clock.advance(lease_lib.TIME_TO_LIVE)
     other.settle()
-    assert other.lease.held == 2
+    assert other.lease.held_generation == 2
 
 
 def test_time_to_live_runs_from_the_first_look(new, clock) -> None:
@@ -124,17 +126,17 @@
     holder.settle()
     clock.advance(10 * lease_lib.TIME_TO_LIVE)
     other.settle()
-    assert other.lease.held is None
+    assert other.lease.held_generation is None
 
 
 def test_released_lease_passes_on_at_once(new) -> None:
     holder, other = new("a"), new("b")
     holder.settle()
     holder.wants = False
-    assert holder.step() is Move.RELEASE
-    assert holder.lease.held is None
+    assert holder.step() is LeaseAction.RELEASE
+    assert holder.lease.held_generation is None
     other.settle()
-    assert other.lease.held == 2
+    assert other.lease.held_generation == 2
 
 
 def test_frozen_holder_learns_at_its_renewal(new, clock) -> None:
@@ -143,11 +145,11 @@
     other.settle()
     clock.advance(lease_lib.TIME_TO_LIVE)
     other.settle()
-    assert holder.lease.held == 1
-    assert holder.step() is Move.RENEW
+    assert holder.lease.held_generation == 1
+    assert holder.step() is LeaseAction.RENEW
     holder.step()
-    assert holder.lease.held is None
-    assert other.lease.held == 2
+    assert holder.lease.held_generation is None
+    assert other.lease.held_generation == 2
 
 
 def test_lease_is_kept_while_the_store_is_away(new, clock) -> None:
@@ -155,31 +157,33 @@
     holder.settle()
     for _ in range(20):
         clock.advance(lease_lib.TIME_TO_LIVE)
-        if holder.move() is not Move.NONE:
-            holder.lease.unclear()
-    assert holder.lease.held == 1
+        if holder.next_action() is not LeaseAction.NONE:
+            holder.lease.note_no_answer()
+    assert holder.lease.held_generation == 1
 
 
 def test_store_that_does_not_answer_is_left_alone_for_a_while(
     new, clock
 ) -> None:
     node = new("a")
-    assert node.move() is Move.READ
-    node.lease.unclear()
-    assert node.move() is Move.NONE
+    assert node.next_action() is LeaseAction.READ
+    node.lease.note_no_answer()
+    assert node.next_action() is LeaseAction.NONE
     clock.advance(lease_lib.RETRY_DELAY)
-    assert node.move() is Move.READ
+    assert node.next_action() is LeaseAction.READ
 
 
 def test_claim_whose_answer_was_lost_counts(new, store, clock) -> None:
     node = new("a")
     node.step()
-    assert node.move() is Move.CLAIM
-    assert store.put(node.lease.record(Move.CLAIM), node.lease.end)
-    node.lease.unclear()
+    assert node.next_action() is LeaseAction.CLAIM
+    assert store.put(
+        node.lease.record_for(LeaseAction.CLAIM), node.lease.expected_end
+    )
+    node.lease.note_no_answer()
     clock.advance(lease_lib.RETRY_DELAY)
     node.settle()
-    assert node.lease.held == 1
+    assert node.lease.held_generation == 1
     assert len(store.kept) == 1
 
 
@@ -188,26 +192,29 @@
 ) -> None:
     late, other = new("a"), new("b")
     late.step()
-    record, end = late.lease.record(Move.CLAIM), late.lease.end
-    late.lease.unclear()
+    record, end = (
+        late.lease.record_for(LeaseAction.CLAIM),
+        late.lease.expected_end,
+    )
+    late.lease.note_no_answer()
     other.settle()
     assert not store.put(record, end)
     clock.advance(lease_lib.RETRY_DELAY)
     late.settle()
-    assert late.lease.held is None
-    assert other.lease.held == 1
+    assert late.lease.held_generation is None
+    assert other.lease.held_generation == 1
 
 
 def test_number_that_an_engine_refused_is_never_used_again(new, clock) -> None:
     node = new("a")
     node.settle()
-    node.lease.refused(experts.Generation(1))
-    assert node.lease.held is None
+    node.lease.note_refused(experts.Generation(1))
+    assert node.lease.held_generation is None
     node.step()
-    assert node.lease.held is None
+    assert node.lease.held_generation is None
     clock.advance(lease_lib.TIME_TO_LIVE)
     node.settle()
-    assert node.lease.held == 2
+    assert node.lease.held_generation == 2
 
 
 def test_number_rises_above_a_refused_one_though_the_record_is_lost(
@@ -215,10 +222,10 @@
 ) -> None:
     node = new("a")
     node.settle()
-    node.lease.refused(experts.Generation(1))
+    node.lease.note_refused(experts.Generation(1))
     store.newest = None
     node.settle()
-    assert node.lease.held == 2
+    assert node.lease.held_generation == 2
 
 
 def test_store_is_read_again_after_a_write_without_an_answer(
@@ -227,10 +234,10 @@
     node = new("a")
     node.settle()
     clock.advance(lease_lib.RENEWAL_INTERVAL)
-    assert node.move() is Move.RENEW
-    node.lease.unclear()
+    assert node.next_action() is LeaseAction.RENEW
+    node.lease.note_no_answer()
     clock.advance(lease_lib.RETRY_DELAY)
-    assert node.move() is Move.READ
+    assert node.next_action() is LeaseAction.READ
 
 
 @pytest.mark.parametrize(
@@ -241,8 +248,8 @@
 ) -> None:
     node = new("a")
     node.settle()
-    node.lease.superseded(experts.Generation(number))
-    assert node.lease.held == held
+    node.lease.note_newer_generation(experts.Generation(number))
+    assert node.lease.held_generation == held
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -266,21 +273,24 @@
             continue
         node.wants = rng.random() < 0.95
         node.elsewhere = rng.random() < 0.3
-        if node.lease.held and rng.random() < 0.01:
-            node.lease.refused(node.lease.held)
-        move = node.move()
+        if node.lease.held_generation and rng.random() < 0.01:
+            node.lease.note_refused(node.lease.held_generation)
+        action = node.next_action()
         lost = rng.random() < 0.2
-        if lost and move not in (Move.NONE, Move.READ):
-            record, end = node.lease.record(move), node.lease.end
+        if lost and action not in (LeaseAction.NONE, LeaseAction.READ):
+            record, end = (
+                node.lease.record_for(action),
+                node.lease.expected_end,
+            )
             if rng.random() < 0.5:
                 store.put(record, end)
             else:
                 late.append((record, end))
-            node.lease.unclear()
+            node.lease.note_no_answer()
         elif not lost:
             node.step()
-        if node.lease.held is not None:
-            first = holders.setdefault(node.lease.held, node.name)
+        if node.lease.held_generation is not None:
+            first = holders.setdefault(node.lease.held_generation, node.name)
             assert first == node.name
     numbers = [one.generation for one in store.kept]
     assert numbers == sorted(numbers)
--- a/testing/experts/test_planner.py
+++ b/testing/experts/test_planner.py
@@ -8,7 +8,12 @@
 from lugcross import experts
 
 LIMITS = experts.ExpertLimits(
-    sets=2, experts=24, places=5, spare=2, copy_s=0.1, share=0.85
+    sets=2,
+    experts=24,
+    max_experts_per_rank=5,
+    max_new_experts_per_map=2,
+    copy_s=0.1,
+    expert_time_ratio=0.85,
 )
 SIZE = 6
 
@@ -29,25 +34,29 @@
     used = experts.round_robin_map(SIZE, LIMITS)
     for num in range(5):
         plan = experts.plan_map(
-            _demand(seed * 10 + num), used, LIMITS, most_copies=2
+            _demand(seed * 10 + num), used, LIMITS, max_copies_per_rank=2
         )
         assert plan.skew_after <= plan.skew_before
-        assert plan.copies <= 2
-        for rank in plan.next.ranks:
-            assert all(len(held) <= LIMITS.places for held in rank)
+        assert plan.max_copies_per_rank <= 2
+        for rank in plan.next_map.ranks:
+            assert all(
+                len(held) <= LIMITS.max_experts_per_rank for held in rank
+            )
         for num_set in range(LIMITS.sets):
-            held = {one for rank in plan.next.ranks for one in rank[num_set]}
+            held = {
+                one for rank in plan.next_map.ranks for one in rank[num_set]
+            }
             assert held == set(range(LIMITS.experts))
-        used = plan.next
+        used = plan.next_map
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_skew_told_is_that_of_the_map(seed: int) -> None:
     demand = _demand(seed)
     used = experts.round_robin_map(SIZE, LIMITS)
-    plan = experts.plan_map(demand, used, LIMITS, most_copies=1)
+    plan = experts.plan_map(demand, used, LIMITS, max_copies_per_rank=1)
     assert plan.skew_before == experts.load_skew(demand, used)
-    assert plan.skew_after == experts.load_skew(demand, plan.next)
+    assert plan.skew_after == experts.load_skew(demand, plan.next_map)
 
 
 def test_loads_kept_while_planning_are_those_of_the_map() -> None:
@@ -55,16 +64,20 @@
     used = experts.round_robin_map(SIZE, LIMITS)
     for num in range(8):
         demand = _demand(num)
-        plan = experts.plan_map(demand, used, LIMITS, most_copies=3)
-        again = experts.plan_map(demand, plan.next, LIMITS, most_copies=0)
-        assert again.next == plan.next
+        plan = experts.plan_map(demand, used, LIMITS, max_copies_per_rank=3)
+        again = experts.plan_map(
+            demand, plan.next_map, LIMITS, max_copies_per_rank=0
+        )
+        assert again.next_map == plan.next_map
         assert again.skew_before == pytest.approx(plan.skew_after)
-        used = plan.next
+        used = plan.next_map
 
 
 def test_planning_can_be_interrupted_between_small_steps() -> None:
     used = experts.round_robin_map(SIZE, LIMITS)
-    planning = experts.plan_in_steps(_demand(1), used, LIMITS, most_copies=2)
+    planning = experts.plan_in_steps(
+        _demand(1), used, LIMITS, max_copies_per_rank=2
+    )
     count = 0
     while True:
         try:
@@ -74,7 +87,9 @@
             break
         count += 1
     assert count >= 2 * LIMITS.sets
-    assert plan == experts.plan_map(_demand(1), used, LIMITS, most_copies=2)
+    assert plan == experts.plan_map(
+        _demand(1), used, LIMITS, max_copies_per_rank=2
+    )
 
 
 def _zipf(rng: random.Random, count: int) -> list[float]:
@@ -104,13 +119,20 @@
     """
     rng = random.Random(3)
     limits = experts.ExpertLimits(
-        sets=sets, experts=count, places=5, spare=2, copy_s=0.1, share=0.85
+        sets=sets,
+        experts=count,
+        max_experts_per_rank=5,
+        max_new_experts_per_map=2,
+        copy_s=0.1,
+        expert_time_ratio=0.85,
     )
     demand = [_zipf(rng, count) for _ in range(sets)]
     used = experts.round_robin_map(size, limits)
-    plan = experts.plan_map(demand, used, limits, most_copies=8)
+    plan = experts.plan_map(demand, used, limits, max_copies_per_rank=8)
     assert plan.skew_after <= 1.45
-    made = sum(plan.next.new_to(rank, used) for rank in range(size))
+    made = sum(
+        plan.next_map.copies_needed_at(rank, used) for rank in range(size)
+    )
     assert made <= copies
 
 
@@ -123,31 +145,45 @@
     """
     rng = random.Random(3)
     limits = experts.ExpertLimits(
-        sets=2, experts=252, places=5, spare=2, copy_s=0.1, share=0.85
+        sets=2,
+        experts=252,
+        max_experts_per_rank=5,
+        max_new_experts_per_map=2,
+        copy_s=0.1,
+        expert_time_ratio=0.85,
     )
     demand = [_zipf(rng, 252) for _ in range(2)]
     slow = [1.0] * 63
     slow[7] = 4.0
     used = experts.round_robin_map(63, limits)
-    plan = experts.plan_map(demand, used, limits, most_copies=8, slowness=slow)
+    plan = experts.plan_map(
+        demand, used, limits, max_copies_per_rank=8, slowness=slow
+    )
     assert plan.skew_before > 4.0
     assert plan.skew_after <= 1.45
-    after = experts.plan_map(demand, plan.next, limits, most_copies=8)
+    after = experts.plan_map(
+        demand, plan.next_map, limits, max_copies_per_rank=8
+    )
     assert after.skew_after <= 1.45, "it gets its part back"
 
 
 def test_plan_for_full_ranks_keeps_the_number_of_their_experts() -> None:
     """Without a free place experts change places."""
     limits = experts.ExpertLimits(
-        sets=1, experts=24, places=4, spare=2, copy_s=0.1, share=0.85
+        sets=1,
+        experts=24,
+        max_experts_per_rank=4,
+        max_new_experts_per_map=2,
+        copy_s=0.1,
+        expert_time_ratio=0.85,
     )
     demand = [[10.0] * 4 + [1.0] * 20]
     ranks = [tuple(range(num * 4, num * 4 + 4)) for num in range(6)]
     used = experts.ExpertMap(tuple((held,) for held in ranks))
-    plan = experts.plan_map(demand, used, limits, most_copies=2)
+    plan = experts.plan_map(demand, used, limits, max_copies_per_rank=2)
     assert plan.skew_before == 4.0
     # Two experts may be new to a rank: the hottest keeps two of its four.
     assert plan.skew_after == pytest.approx(2.2)
-    assert all(len(rank[0]) == 4 for rank in plan.next.ranks)
-    held = [one for rank in plan.next.ranks for one in rank[0]]
+    assert all(len(rank[0]) == 4 for rank in plan.next_map.ranks)
+    held = [one for rank in plan.next_map.ranks for one in rank[0]]
     assert sorted(held) == list(range(24))
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -96,7 +96,7 @@
         if self.fenced and holder.switch is None:
             self.claims += 1
             holder.generation = self.claims
-            holder.owner.take_turn(experts.Generation(self.claims))
+            holder.owner.use_generation(experts.Generation(self.claims))
 
     def _may_begin(self, holder: Holder) -> bool:
         rests = self.fenced and holder.generation is None
@@ -104,41 +104,41 @@
 
     def start(self, pick: int) -> None:
         holder = self._holder(pick)
-        if not self._may_begin(holder) or self.old[0].held is not None:
+        if not self._may_begin(holder) or self.old[0].held_pass is not None:
             return
-        newest = max(report.newest for report in self.old)
+        newest = max(report.highest_version for report in self.old)
         self._begin(
             holder,
             experts.MapSwitch(
-                size=SIZE,
-                version=holder.owner.version(newest),
-                after=MAPS[pick % len(MAPS)],
-                before=self.group.ranks[0].used[1],
-                owner=holder.owner,
-                since=experts.PassNumber(self.group.step),
+                rank_count=SIZE,
+                version=holder.owner.next_version(newest),
+                new_map=MAPS[pick % len(MAPS)],
+                old_map=self.group.ranks[0].used[1],
+                allocator=holder.owner,
+                pass_at_planning=experts.PassNumber(self.group.step),
             ),
         )
 
     def finish_what_is_held(self, pick: int) -> None:
         holder = self._holder(pick)
-        held = self.old[0].held
+        held = self.old[0].held_pass
         if not self._may_begin(holder) or held is None:
             return
         armed = [
-            one.armed.version
+            one.armed_order.version
             for one in self.old
-            if one.armed and one.armed.step == held
+            if one.armed_order and one.armed_order.step == held
         ]
-        newest = max(one.newest for one in self.old)
+        newest = max(one.highest_version for one in self.old)
         self._begin(
             holder,
-            experts.MapSwitch.found(
-                size=SIZE,
-                newest=newest,
-                armed=max(armed, default=None),
-                step=held,
-                before=self.group.ranks[0].used[1],
-                owner=holder.owner,
+            experts.MapSwitch.resume(
+                rank_count=SIZE,
+                highest_version=newest,
+                armed_version=max(armed, default=None),
+                held_pass=held,
+                old_map=self.group.ranks[0].used[1],
+                allocator=holder.owner,
             ),
         )
 
@@ -156,12 +156,12 @@
             holder.switch = None
         elif switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
             report = self.group.report(0)
-            if report.held is not None:
+            if report.held_pass is not None:
                 return
-            switch.copied(report.step)
-            switch.hold_later(report.step)
+            switch.note_copied(report.step)
+            switch.hold_later_pass(report.step)
         else:
-            todo = switch.todo()
+            todo = switch.pending_orders()
             life = holder.index, holder.life
             holder.waits = len(todo)
             self.flying += [
@@ -187,7 +187,7 @@
         if not self.flying:
             return
         one = self.flying.pop(pick % len(self.flying))
-        verdict = self.group.obey(
+        verdict = self.group.execute(
             one.rank, one.order, one.epoch, one.generation
         )
         self._tell(one, verdict if heard else experts.OrderResult.UNKNOWN)
@@ -206,7 +206,7 @@
             return
         assert holder.switch is not None
         holder.waits -= 1
-        holder.switch.take(one.rank, one.order, verdict)
+        holder.switch.apply_result(one.rank, one.order, verdict)
         if verdict is experts.OrderResult.FENCED:
             assert holder.switch.phase is experts.SwitchPhase.OVER
             holder.generation = None
@@ -239,7 +239,7 @@
 
     def form_anew(self, pick: int) -> None:
         del pick
-        self.group.form()
+        self.group.form_anew()
 
 
 #: Events, each as often as it stands to the others in a walk.
@@ -329,13 +329,13 @@
         for rank in copied:
             group.ranks[rank].copied = True
         group.begin_pass()
-        switch.copied(experts.PassNumber(group.step))
-        switch.hold_later(experts.PassNumber(group.step))
+        switch.note_copied(experts.PassNumber(group.step))
+        switch.hold_later_pass(experts.PassNumber(group.step))
         return 0
-    todo = switch.todo()[:most]
+    todo = switch.pending_orders()[:most]
     for rank, order in todo:
-        verdict = group.obey(rank, order, group.epoch)
-        switch.take(rank, order, hears(order, verdict))
+        verdict = group.execute(rank, order, group.epoch)
+        switch.apply_result(rank, order, hears(order, verdict))
     return len(todo)
 
 
@@ -361,11 +361,11 @@
 
 def new_switch(version: int = 5) -> experts.MapSwitch:
     return experts.MapSwitch(
-        size=SIZE,
+        rank_count=SIZE,
         version=experts.MapVersion(version),
-        after=MAPS[1],
-        before=MAPS[0],
-        owner=experts.NumberAllocator(1),
+        new_map=MAPS[1],
+        old_map=MAPS[0],
+        allocator=experts.NumberAllocator(1),
     )
 
 
@@ -405,16 +405,18 @@
     while left > 0 and switch.phase is not experts.SwitchPhase.OVER:
         left -= advance(group, switch, most=left)
     report = group.report(0)
-    if report.held is not None:
+    if report.held_pass is not None:
         armed = [one.armed for one in group.ranks if one.armed]
-        newest = max(group.report(rank).newest for rank in range(SIZE))
-        found = experts.MapSwitch.found(
-            size=SIZE,
-            newest=newest,
-            armed=max((one.version for one in armed), default=None),
-            step=report.held,
-            before=MAPS[0],
-            owner=experts.NumberAllocator(2),
+        newest = max(
+            group.report(rank).highest_version for rank in range(SIZE)
+        )
+        found = experts.MapSwitch.resume(
+            rank_count=SIZE,
+            highest_version=newest,
+            armed_version=max((one.version for one in armed), default=None),
+            held_pass=report.held_pass,
+            old_map=MAPS[0],
+            allocator=experts.NumberAllocator(2),
         )
         drive(group, found)
     assert_runs_on(group)
@@ -425,18 +427,18 @@
     slow = new_switch()
     while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
-    late = slow.todo()
-    found = experts.MapSwitch.found(
-        size=SIZE,
-        newest=slow.version,
-        armed=slow.version,
-        step=slow.step,
-        before=MAPS[0],
-        owner=experts.NumberAllocator(2),
+    late = slow.pending_orders()
+    found = experts.MapSwitch.resume(
+        rank_count=SIZE,
+        highest_version=slow.version,
+        armed_version=slow.version,
+        held_pass=slow.target_pass,
+        old_map=MAPS[0],
+        allocator=experts.NumberAllocator(2),
     )
     drive(group, found)
     for rank, order in late:
-        group.obey(rank, order, group.epoch)
+        group.execute(rank, order, group.epoch)
     assert_runs_on(group)
 
 
@@ -445,40 +447,42 @@
     group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
     while switch.phase is not experts.SwitchPhase.OVER:
-        todo = switch.todo()
+        todo = switch.pending_orders()
         releases = [one for _, one in todo if isinstance(one, experts.Release)]
         if releases and len(lost) < 3:
             # Lost on its way: the rank never hears of it.
             lost += releases
             for rank, order in todo:
-                switch.take(rank, order, experts.OrderResult.UNKNOWN)
+                switch.apply_result(rank, order, experts.OrderResult.UNKNOWN)
             continue
         advance(group, switch)
     assert len(lost) == 3
-    assert not group.held
+    assert not group.next_pass_is_held
     assert group.begin_pass()
 
 
 def test_group_that_makes_no_passes_is_left_alone() -> None:
     group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
-    for rank, order in switch.todo():
-        switch.take(rank, order, group.obey(rank, order, group.epoch))
-    switch.copied(experts.PassNumber(group.step))
+    for rank, order in switch.pending_orders():
+        switch.apply_result(
+            rank, order, group.execute(rank, order, group.epoch)
+        )
+    switch.note_copied(experts.PassNumber(group.step))
     assert switch.phase is experts.SwitchPhase.OVER
     assert switch.outcome is experts.SwitchOutcome.LEFT
 
 
 def test_version_is_never_chosen_twice() -> None:
     owner = experts.NumberAllocator(7)
-    first = owner.version(experts.MapVersion(0))
-    assert owner.version(experts.MapVersion(0)) > first
+    first = owner.next_version(experts.MapVersion(0))
+    assert owner.next_version(experts.MapVersion(0)) > first
 
 
 def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
     group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
-    switch.epoch_over()
+    switch.note_epoch_ended()
     assert switch.phase is experts.SwitchPhase.OVER
     assert switch.outcome is experts.SwitchOutcome.LEFT
     assert group.begin_pass()
@@ -487,7 +491,7 @@
 @pytest.mark.parametrize("after", range(6))
 def test_processes_of_unlike_classes_never_hold_one_pass(after: int) -> None:
     steps = [
-        experts.NumberAllocator(number).step(experts.PassNumber(after))
+        experts.NumberAllocator(number).next_pass(experts.PassNumber(after))
         for number in range(STEP_CLASSES)
     ]
     assert len(set(steps)) == STEP_CLASSES
@@ -499,8 +503,8 @@
     steps = []
     for generation in (7, 8):
         owner = experts.NumberAllocator(3)
-        owner.take_turn(experts.Generation(generation))
-        steps.append(owner.step(experts.PassNumber(after)))
+        owner.use_generation(experts.Generation(generation))
+        steps.append(owner.next_pass(experts.PassNumber(after)))
     assert len(set(steps)) == 2
     assert min(steps) == after + 1
 
@@ -511,9 +515,9 @@
     while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
     for rank in range(SIZE):
-        group.ranks[rank].fence = 2
-    (rank, order), *_ = slow.todo()
-    slow.take(rank, order, group.obey(rank, order, group.epoch, 1))
+        group.ranks[rank].min_generation = 2
+    (rank, order), *_ = slow.pending_orders()
+    slow.apply_result(rank, order, group.execute(rank, order, group.epoch, 1))
     assert slow.phase is experts.SwitchPhase.OVER
-    assert not slow.todo()
+    assert not slow.pending_orders()
     assert not group.ranks[rank].armed
--- a/testing/platform/test_engines.py
+++ b/testing/platform/test_engines.py
@@ -17,7 +17,12 @@
 
 BACKEND = edge_rig.backend()
 LIMITS = experts.ExpertLimits(
-    sets=2, experts=3, places=2, spare=1, copy_s=0.1, share=0.8
+    sets=2,
+    experts=3,
+    max_experts_per_rank=2,
+    max_new_experts_per_map=1,
+    copy_s=0.1,
+    expert_time_ratio=0.8,
 )
 REPORT = {
     "group": {"name": "g", "epoch": 2, "rank": 1, "state": "open"},
@@ -69,10 +74,10 @@
         is_open=True,
         running=4,
         step=experts.PassNumber(46),
-        used=experts.MapVersion(5),
-        prepared=experts.MapVersion(6),
-        armed=experts.Arm(experts.MapVersion(6), experts.PassNumber(60)),
-        held=experts.PassNumber(60),
+        version_in_use=experts.MapVersion(5),
+        prepared_version=experts.MapVersion(6),
+        armed_order=experts.Arm(experts.MapVersion(6), experts.PassNumber(60)),
+        held_pass=experts.PassNumber(60),
     )
 
 
@@ -95,7 +100,7 @@
     )
     counts = asyncio.run(asked.counts(BACKEND, LIMITS))
     assert wire.asked == [("GET", "/picked", b"")]
-    assert counts.sets == ((1, 2, 3), (4, 5, 6))
+    assert counts.uses_by_set == ((1, 2, 3), (4, 5, 6))
 
 
 @pytest.mark.parametrize(
--- a/testing/support/rank_simulator.py
+++ b/testing/support/rank_simulator.py
@@ -25,16 +25,16 @@
     copied: bool = False
     armed: experts.Arm | None = None
     held: int | None = None
-    fence: int = 0
+    min_generation: int = 0
 
-    def obey(self, order: experts.Order, step: int) -> experts.OrderResult:
+    def execute(self, order: experts.Order, step: int) -> experts.OrderResult:
         """Carry out an order; ``step`` is the pass that began last."""
-        done = self._obey(order, step)
+        done = self._execute(order, step)
         return (
             experts.OrderResult.DONE if done else experts.OrderResult.REFUSED
         )
 
-    def _obey(self, order: experts.Order, step: int) -> bool:
+    def _execute(self, order: experts.Order, step: int) -> bool:
         if isinstance(order, experts.Prepare):
             return self._prepare(order)
         if isinstance(order, experts.Arm):
@@ -76,7 +76,7 @@
         self.armed = order
         return True
 
-    def begin(self, step: int) -> None:
+    def begin_pass(self, step: int) -> None:
         """Take up an armed map as pass ``step`` begins."""
         if self.armed and self.armed.step == step:
             assert self.prepared is not None
@@ -88,22 +88,22 @@
     """All ranks of a group; passes begin at all of them together."""
 
     def __init__(self, size: int, first: experts.ExpertMap) -> None:
-        self._first = first
+        self._initial_map = first
         self.size = size
         self.epoch = 0
         self.step = 0
         self.ranks: list[SimulatedRank] = []
-        self.form()
+        self.form_anew()
 
-    def form(self) -> None:
+    def form_anew(self) -> None:
         """Begin a new life, with the first map and nothing else."""
         self.epoch += 1
         self.step = 0
         self.ranks = [
-            SimulatedRank((0, self._first)) for _ in range(self.size)
+            SimulatedRank((0, self._initial_map)) for _ in range(self.size)
         ]
 
-    def obey(
+    def execute(
         self,
         rank: int,
         order: experts.Order,
@@ -113,15 +113,15 @@
         """Carry out an order at one rank."""
         one = self.ranks[rank]
         if generation is not None:
-            if generation < one.fence:
+            if generation < one.min_generation:
                 return experts.OrderResult.FENCED
-            one.fence = generation
+            one.min_generation = generation
         if epoch != self.epoch:
             return experts.OrderResult.REFUSED
-        return one.obey(order, self.step)
+        return one.execute(order, self.step)
 
     @property
-    def held(self) -> bool:
+    def next_pass_is_held(self) -> bool:
         """Whether a rank keeps the next pass from beginning."""
         return any(rank.held == self.step + 1 for rank in self.ranks)
 
@@ -130,11 +130,11 @@
 
         :raises TwoMapsError: when the ranks differ in their maps.
         """
-        if self.held:
+        if self.next_pass_is_held:
             return False
         self.step += 1
         for rank in self.ranks:
-            rank.begin(self.step)
+            rank.begin_pass(self.step)
         if any(rank.used != self.ranks[0].used for rank in self.ranks):
             raise TwoMapsError([rank.used[0] for rank in self.ranks])
         return True
@@ -151,12 +151,14 @@
             is_open=True,
             running=0,
             step=experts.PassNumber(self.step),
-            used=experts.MapVersion(one.used[0]),
-            prepared=(
+            version_in_use=experts.MapVersion(one.used[0]),
+            prepared_version=(
                 experts.MapVersion(one.prepared.version)
                 if ready and one.prepared
                 else None
             ),
-            armed=one.armed,
-            held=None if one.held is None else experts.PassNumber(one.held),
+            armed_order=one.armed,
+            held_pass=None
+            if one.held is None
+            else experts.PassNumber(one.held),
         )
