--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -92,14 +92,14 @@
         pool = self.world.pool
         reports = engine_client.EngineClient(
             pool,
-            answer_s=engine_client.REPORT_TIMEOUT_S,
-            heard=self.world.heard,
+            timeout_s=engine_client.REPORT_TIMEOUT_S,
+            on_answer_head=self.world.heard,
             may_send=self.world.rests.may_ask,
         )
         orders = engine_client.EngineClient(
             pool,
-            answer_s=engine_client.ORDER_TIMEOUT_S,
-            heard=self.world.heard,
+            timeout_s=engine_client.ORDER_TIMEOUT_S,
+            on_answer_head=self.world.heard,
             may_send=self.world.rests.may_disturb,
         )
         urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
@@ -107,8 +107,8 @@
             experts.Lease(self.knowledge.incarnation, clock),
             self._store,
             self.knowledge,
-            fenced=lambda: self.world.bounds.fenced,
-            changed=urgent,
+            needs_fencing=lambda: self.world.bounds.fenced,
+            on_lease_change=urgent,
         )
         self._maps = map_manager.MapManager(
             self.world,
@@ -116,18 +116,18 @@
             clock=clock,
             sleep=asyncio.sleep,
             leadership=self._duty,
-            owner=experts.NumberAllocator(rng.getrandbits(_OWNER_BITS)),
-            changed=urgent,
+            allocator=experts.NumberAllocator(rng.getrandbits(_OWNER_BITS)),
+            on_group_state_change=urgent,
             node=settings.node,
             cfg=settings.maps,
         )
-        self._duty.busy = self._maps.switches.is_busy
-        self.knowledge.unfit = self._maps.switches.is_stuck
+        self._duty.has_work_in_progress = self._maps.switch_runner.is_busy
+        self.knowledge.unfit = self._maps.switch_runner.is_stuck
         self.knowledge.generation = self._duty.generation
-        self.knowledge.heard_generation = self._duty.heard
-        self.knowledge.can_claim = self._duty.can_claim
-        self.knowledge.seen_broken = self._maps.seen_broken
-        self.knowledge.seen_slow = self._maps.seen_slow
+        self.knowledge.heard_generation = self._duty.note_newer_generation
+        self.knowledge.can_claim = self._duty.store_answers
+        self.knowledge.seen_broken = self._maps.servers_of_broken_groups
+        self.knowledge.seen_slow = self._maps.slow_servers
         self._conns: set[http1.ServerConn] = set()
         self._leaving_since: clock_lib.Instant | None = None
         self._stop = asyncio.Event()
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -140,7 +140,7 @@
         world = self._world
         plan = self._plan
         world.loads.started(self._backend.key)
-        world.uses.began(plan.service, plan.space)
+        world.uses.began(plan.service, plan.workspace_name)
         try:
             try:
                 once = not self._plan.route.repeatable
@@ -162,7 +162,7 @@
                 # would be left alone for good.
                 self._health().unclear()
             world.loads.ended(self._backend.key)
-            world.uses.ended(plan.service, plan.space)
+            world.uses.ended(plan.service, plan.workspace_name)
 
     async def _use(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         whole = False
@@ -191,7 +191,7 @@
         headers = platform.request_headers(
             plan.req.raw,
             backend=self._backend.id,
-            workspace=plan.space,
+            workspace=plan.workspace_name,
             time_left=left,
             body_bytes=None if plan.req.body is None else len(plan.req.body),
             resume_after=self._delivery.last_id if resumed else "",
--- a/src/lugcross/edge/checked_request.py
+++ b/src/lugcross/edge/checked_request.py
@@ -31,12 +31,12 @@
     version: int
 
     @property
-    def space(self) -> ids.WorkspaceName | None:
+    def workspace_name(self) -> ids.WorkspaceName | None:
         """Name of the workspace, if keys are used."""
         return self.workspace.name if self.workspace else None
 
     @property
-    def told_fingerprint(self) -> str | None:
+    def logged_fingerprint(self) -> str | None:
         """The fingerprint for a log line, if anything has needed it."""
         return self.fingerprint.hex() if "fingerprint" in vars(self) else None
 
@@ -45,7 +45,7 @@
         """What all tries of this request have in common."""
         return suspects.Identity(
             service=self.service,
-            workspace=self.space or "",
+            workspace=self.workspace_name or "",
             host=self.route.host,
             method=self.req.method,
             target=self.req.target,
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -34,7 +34,7 @@
 
     backend: desired.BackendKey
     counts: experts.ExpertCounts
-    at: clock_lib.Instant
+    read_at: clock_lib.Instant
 
 
 @final
@@ -42,13 +42,13 @@
 class RecentDemand:
     """What was in demand between two readings.
 
-    :param at: when the second of them was made.
-    :param past: whether demand has jumped since.
+    :param read_at: when the second of them was made.
+    :param is_outdated: whether demand has jumped since.
     """
 
     uses: experts.Demand
-    at: clock_lib.Instant
-    past: bool = False
+    read_at: clock_lib.Instant
+    is_outdated: bool = False
 
 
 @final
@@ -64,30 +64,32 @@
         self._rests = rests
         self._engines = engines
         self._clock = clock
-        self._last: dict[ids.ServiceName, _CountsReading] = {}
-        self._gaps: dict[ids.ServiceName, datetime.timedelta] = {}
-        self._seen: dict[ids.ServiceName, RecentDemand] = {}
+        self._last_readings: dict[ids.ServiceName, _CountsReading] = {}
+        self._next_intervals: dict[ids.ServiceName, datetime.timedelta] = {}
+        self._recent: dict[ids.ServiceName, RecentDemand] = {}
 
     def clear(self) -> None:
         """Forget everything: another process has looked meanwhile."""
-        self._last.clear()
-        self._gaps.clear()
-        self._seen.clear()
+        self._last_readings.clear()
+        self._next_intervals.clear()
+        self._recent.clear()
 
-    def jumped(
-        self, service: ids.ServiceName, settle: datetime.timedelta
+    def note_jump(
+        self, service: ids.ServiceName, settle_time: datetime.timedelta
     ) -> None:
         """Begin anew: what was counted before tells of the past.
 
-        :param settle: time in which counts tell enough of the new demand.
+        :param settle_time: time in which counts tell enough of the new demand.
         """
-        self._last.pop(service, None)
-        self._gaps[service] = settle
-        seen = self._seen.get(service)
-        if seen is not None:
-            self._seen[service] = dataclasses.replace(seen, past=True)
-
-    async def look(
+        self._last_readings.pop(service, None)
+        self._next_intervals[service] = settle_time
+        recent = self._recent.get(service)
+        if recent is not None:
+            self._recent[service] = dataclasses.replace(
+                recent, is_outdated=True
+            )
+
+    async def read_counts(
         self,
         service: ids.ServiceName,
         groups: Iterable[rank_groups.RankGroup],
@@ -98,39 +100,39 @@
         All groups of a service see the same demand, so that one rank of
         one of them tells enough.
         """
-        source = next((g for g in groups if g.is_open and g.whole), None)
+        source = next((g for g in groups if g.is_open and g.is_complete), None)
         now = self._clock.monotonic()
-        last = self._last.get(service)
+        last = self._last_readings.get(service)
         if source is None:
             return
-        if last is not None and now - last.at < self._gap(service):
+        if last is not None and now - last.read_at < self._interval(service):
             return
-        awake = source.awake(self._rests.servers())
+        awake = source.ranks_to_ask(self._rests.servers())
         if not awake:
             return
-        backend = source.members[awake[0]]
+        backend = source.servers_by_rank[awake[0]]
         try:
             counts = await self._engines.counts(backend, limits)
         except platform.EngineError as exc:
             logging.info("no counts", extra={"why": str(exc)})
             return
-        self._last[service] = _CountsReading(backend.key, counts, now)
+        self._last_readings[service] = _CountsReading(backend.key, counts, now)
         if last is None or last.backend != backend.key:
             return
-        self._gaps.pop(service, None)
+        self._next_intervals.pop(service, None)
         if last.counts.epoch != counts.epoch:
-            self._gaps[service] = _FIRST_READ_INTERVAL
+            self._next_intervals[service] = _FIRST_READ_INTERVAL
         uses = experts.uses_between(last.counts, counts)
         if uses is not None:
-            self._seen[service] = RecentDemand(uses=uses, at=now)
+            self._recent[service] = RecentDemand(uses=uses, read_at=now)
 
-    def _gap(self, service: ids.ServiceName) -> datetime.timedelta:
+    def _interval(self, service: ids.ServiceName) -> datetime.timedelta:
         usual = (
-            _READ_INTERVAL if service in self._seen else _FIRST_READ_INTERVAL
+            _READ_INTERVAL if service in self._recent else _FIRST_READ_INTERVAL
         )
-        return self._gaps.get(service, usual)
+        return self._next_intervals.get(service, usual)
 
-    def demand(
+    def demand_for(
         self, service: ids.ServiceName, group: rank_groups.RankGroup
     ) -> RecentDemand | None:
         """Return what a group's map should be planned by, if it is known.
@@ -139,10 +141,14 @@
         while ago: about half of it has changed every few seconds; the rest
         is more than the group's first map knows.
         """
-        seen = self._seen.get(service)
-        if seen is None:
+        recent = self._recent.get(service)
+        if recent is None:
             return None
-        age = self._clock.monotonic() - seen.at
-        if group.is_new:
-            return seen if age <= _MAX_AGE_FOR_NEW_GROUP else None
-        return seen if age <= _READ_INTERVAL and not seen.past else None
+        age = self._clock.monotonic() - recent.read_at
+        if group.has_initial_map:
+            return recent if age <= _MAX_AGE_FOR_NEW_GROUP else None
+        return (
+            recent
+            if age <= _READ_INTERVAL and not recent.is_outdated
+            else None
+        )
--- a/src/lugcross/edge/eligible_servers.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -25,13 +25,13 @@
 class EligibleServers:
     """Servers that may be used now.
 
-    :param near: those of this process's failure domain.
-    :param far: all others.
+    :param same_domain: those of this process's failure domain.
+    :param other_domains: all others.
     :param slots: slots of all of them.
     """
 
-    near: tuple[desired.Backend, ...]
-    far: tuple[desired.Backend, ...]
+    same_domain: tuple[desired.Backend, ...]
+    other_domains: tuple[desired.Backend, ...]
     keys: frozenset[desired.BackendKey]
     slots: int
 
@@ -41,20 +41,25 @@
     @property
     def all(self) -> tuple[desired.Backend, ...]:
         """All of them."""
-        return self.near + self.far
+        return self.same_domain + self.other_domains
 
     def sample(self, rng: random.Random) -> list[desired.Backend]:
         """Return the servers that one choice looks at."""
-        return [*_random_run(self.near, rng), *_random_run(self.far, rng)]
+        return [
+            *_random_run(self.same_domain, rng),
+            *_random_run(self.other_domains, rng),
+        ]
 
 
 def split_by_domain(
-    servers: Sequence[desired.Backend], *, home: ids.DomainName
+    servers: Sequence[desired.Backend], *, own_domain: ids.DomainName
 ) -> EligibleServers:
-    """Return servers sorted by whether they are in the domain ``home``."""
+    """Return servers split by whether they are in ``own_domain``."""
     return EligibleServers(
-        near=tuple(one for one in servers if one.domain == home),
-        far=tuple(one for one in servers if one.domain != home),
+        same_domain=tuple(one for one in servers if one.domain == own_domain),
+        other_domains=tuple(
+            one for one in servers if one.domain != own_domain
+        ),
         keys=frozenset(one.key for one in servers),
         slots=sum(one.slots for one in servers),
     )
@@ -70,10 +75,10 @@
     and the whole group waits for it. Where many are slow, or all that are
     left, they are needed all the same.
     """
-    left = [one for one in servers if one.key not in slow]
-    if len(servers) - len(left) > len(servers) * _MAX_SLOW_RATIO:
+    others = [one for one in servers if one.key not in slow]
+    if len(servers) - len(others) > len(servers) * _MAX_SLOW_RATIO:
         return list(servers)
-    return left
+    return others
 
 
 def _random_run(
--- a/src/lugcross/edge/engine_client.py
+++ b/src/lugcross/edge/engine_client.py
@@ -23,8 +23,8 @@
 class EngineClient:
     """Sends one request at a time over a pooled connection.
 
-    :param answer_s: longest wait, in seconds.
-    :param heard: takes over what a server says of itself.
+    :param timeout_s: longest wait, in seconds.
+    :param on_answer_head: takes over what a server says of itself.
     :param may_send: tells whether a server may be sent anything now.
     """
 
@@ -32,13 +32,13 @@
         self,
         pool: pool_lib.Pool,
         *,
-        answer_s: float,
-        heard: Callable[[desired.Backend, platform.AnswerHead], None],
+        timeout_s: float,
+        on_answer_head: Callable[[desired.Backend, platform.AnswerHead], None],
         may_send: Callable[[desired.BackendKey], bool],
     ) -> None:
         self._pool = pool
-        self._answer_s = answer_s
-        self._heard = heard
+        self._timeout_s = timeout_s
+        self._on_answer_head = on_answer_head
         self._may_send = may_send
 
     async def exchange(
@@ -60,19 +60,19 @@
             headers.append((b"Content-Type", b"application/json"))
             headers.append((b"Content-Length", str(len(body)).encode()))
         try:
-            async with asyncio.timeout(self._answer_s):
+            async with asyncio.timeout(self._timeout_s):
                 conn.send(method.encode(), target.encode(), headers, body)
                 answer = await conn.answer()
                 got = await conn.body()
         except TimeoutError as exc:
             conn.close()
             raise http1.BrokenError(
-                f"no answer within {self._answer_s} s", remedy="ask again"
+                f"no answer within {self._timeout_s} s", remedy="ask again"
             ) from exc
         except BaseException:
             conn.close()
             raise
         head = platform.read_answer_head(answer.status, answer.headers)
         self._pool.give(backend, conn, head.keep)
-        self._heard(backend, head)
+        self._on_answer_head(backend, head)
         return answer.status, got
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -41,9 +41,10 @@
 class MapLeadership:
     """This process's part in the duty.
 
-    :param fenced: whether orders must carry a number now.
-    :param changed: called when the lease was got or lost.
-    :param busy: whether something is under way that must end first.
+    :param needs_fencing: whether orders must carry a number now.
+    :param on_lease_change: called when the lease was got or lost.
+    :param has_work_in_progress: whether something is under way that must end
+        first.
     """
 
     def __init__(
@@ -52,19 +53,19 @@
         store: platform.StoreClient,
         candidacy: Candidacy,
         *,
-        fenced: Callable[[], bool],
-        changed: Callable[[], None],
+        needs_fencing: Callable[[], bool],
+        on_lease_change: Callable[[], None],
     ) -> None:
-        self._changed = changed
+        self._on_lease_change = on_lease_change
         self._lease = lease
         self._store = store
         self._candidacy = candidacy
-        self._fenced = fenced
-        self.busy: Callable[[], bool] = lambda: False
+        self._needs_fencing = needs_fencing
+        self.has_work_in_progress: Callable[[], bool] = lambda: False
 
-    def mine(self) -> bool:
+    def is_leader(self) -> bool:
         """Tell whether this process looks after expert maps now."""
-        if not self._fenced():
+        if not self._needs_fencing():
             return self._candidacy.fit() and self._candidacy.first()
         return (
             self._lease.held_generation is not None and self._candidacy.fit()
@@ -72,32 +73,35 @@
 
     def generation(self) -> experts.Generation | None:
         """Return the number for orders; none where none is needed."""
-        return self._lease.held_generation if self._fenced() else None
+        return self._lease.held_generation if self._needs_fencing() else None
 
-    def may_order(self, number: experts.Generation | None) -> bool:
-        """Tell whether orders under ``number`` may still be given."""
-        if not self._fenced():
+    def may_order(self, generation: experts.Generation | None) -> bool:
+        """Tell whether orders under ``generation`` may still be given."""
+        if not self._needs_fencing():
             return True
-        return number is not None and number == self._lease.held_generation
+        return (
+            generation is not None
+            and generation == self._lease.held_generation
+        )
 
-    def refused(self, number: experts.Generation) -> None:
+    def note_refused(self, generation: experts.Generation) -> None:
         """Note that an engine knows a higher number: stop at once."""
-        logging.warning("lease superseded", extra={"generation": number})
-        self._lease.note_refused(number)
+        logging.warning("lease superseded", extra={"generation": generation})
+        self._lease.note_refused(generation)
 
-    def can_claim(self) -> bool:
+    def store_answers(self) -> bool:
         """Tell whether the store answered the last call about the lease."""
         return not self._lease.store_unavailable
 
-    def heard(self, number: experts.Generation) -> None:
+    def note_newer_generation(self, generation: experts.Generation) -> None:
         """Take over the number that a peer says it holds."""
-        self._lease.note_newer_generation(number)
+        self._lease.note_newer_generation(generation)
 
     async def run(self) -> None:
         """Look after the lease until cancelled."""
         while True:
             await asyncio.sleep(_ROUND_INTERVAL_S)
-            if not self._fenced():
+            if not self._needs_fencing():
                 continue
             try:
                 await self.round()
@@ -110,7 +114,7 @@
         """Do at the store what is to be done now."""
         held = self._lease.held_generation
         action = self._lease.next_action(
-            wants=self._wants(),
+            wants=self._wants_lease(),
             held_elsewhere=self._candidacy.held_elsewhere(),
         )
         if action is experts.LeaseAction.NONE:
@@ -133,12 +137,15 @@
                 "lease",
                 extra={"generation": self._lease.held_generation, "was": held},
             )
-            self._changed()
+            self._on_lease_change()
 
-    def _wants(self) -> bool:
+    def _wants_lease(self) -> bool:
         if not self._candidacy.fit():
             # What is under way ends under the number it was begun with.
-            return self._lease.held_generation is not None and self.busy()
+            return (
+                self._lease.held_generation is not None
+                and self.has_work_in_progress()
+            )
         return (
             self._lease.held_generation is not None or self._candidacy.first()
         )
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -47,8 +47,9 @@
     :param engines: reaches the ranks.
     :param sleep: waits for some seconds.
     :param leadership: tells whether they are this process's to look after.
-    :param owner: chooses versions and passes for this process.
-    :param changed: called when a group has broken or formed anew.
+    :param allocator: chooses versions and passes for this process.
+    :param on_group_state_change: called when a group has broken or formed
+        anew.
     :param node: name of this process's host.
     :param cfg: when a map is worth changing.
     """
@@ -61,16 +62,16 @@
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
         leadership: map_leadership.MapLeadership,
-        owner: experts.NumberAllocator,
-        changed: Callable[[], None],
+        allocator: experts.NumberAllocator,
+        on_group_state_change: Callable[[], None],
         node: str,
         cfg: settings_lib.Maps,
     ) -> None:
         self.cfg = cfg
-        self._changed = changed
+        self._on_group_state_change = on_group_state_change
         self._node = node
         self._world = world
-        world.on_pause = self._paused
+        world.on_pause = self._note_pause
         self._clock = clock
         self._leadership = leadership
         self._sleep = sleep
@@ -81,40 +82,44 @@
         self._queries = rank_queries.RankQueries(
             engines, self._groups, clock, world.rests
         )
-        self.switches = switch_runner.SwitchRunner(
+        self.switch_runner = switch_runner.SwitchRunner(
             engines,
             self._queries,
-            owner=owner,
+            allocator=allocator,
             leadership=leadership,
             clock=clock,
             sleep=sleep,
         )
         self._was_leader = False
 
-    def _paused(
+    def _note_pause(
         self, key: desired.BackendKey, pause: datetime.timedelta
     ) -> None:
         """Learn what a pass takes from a pause between two events."""
         group = self._groups.of_backend(key)
         if group is None:
             return
-        if group.pulse.paused(pause, self._clock.monotonic()):
+        if group.pass_times.note_pause(pause, self._clock.monotonic()):
             logging.info(
                 "passes have jumped",
                 extra={"group": group.name, "pass_s": pause.total_seconds()},
             )
-            self._demand_reader.jumped(
+            self._demand_reader.note_jump(
                 group.service, pause * _SETTLE_PASS_COUNT
             )
-            group.slowness.jumped(self._clock.monotonic(), group.report_lag)
+            group.rank_slowness.note_jump(
+                self._clock.monotonic(), group.report_lag
+            )
 
-    def seen_broken(self) -> list[desired.BackendKey]:
+    def servers_of_broken_groups(self) -> list[desired.BackendKey]:
         """Return the servers whose groups this process saw broken."""
-        return self._groups.broken() if self._was_leader else []
+        return (
+            self._groups.servers_of_broken_groups() if self._was_leader else []
+        )
 
-    def seen_slow(self) -> list[desired.BackendKey]:
+    def slow_servers(self) -> list[desired.BackendKey]:
         """Return the servers that hold their groups back, as they told."""
-        return self._groups.slow() if self._was_leader else []
+        return self._groups.slow_servers() if self._was_leader else []
 
     async def run(self) -> None:
         """Look after the maps until cancelled."""
@@ -127,30 +132,32 @@
                 # as they are, and a pass held by a dead process held.
                 logging.exception("looking after expert maps failed")
 
-    def _note_leadership(self, mine: bool) -> None:
-        if mine == self._was_leader:
+    def _note_leadership(self, is_leader: bool) -> None:
+        if is_leader == self._was_leader:
             return
-        self._was_leader = mine
+        self._was_leader = is_leader
         self._groups.clear()
         self._demand_reader.clear()
-        logging.info("duty of expert maps", extra={"mine": mine})
+        logging.info("duty of expert maps", extra={"mine": is_leader})
 
     async def round(self) -> None:
         """Look once at all that is due."""
-        self._note_leadership(self._leadership.mine())
+        self._note_leadership(self._leadership.is_leader())
         if self._was_leader:
-            await self._look_at_all()
-        self._world.outages.told(self._node, self.seen_broken())
-        self._world.slow.told(self._node, self.seen_slow())
+            await self._manage_all()
+        self._world.outages.told(self._node, self.servers_of_broken_groups())
+        self._world.slow.told(self._node, self.slow_servers())
 
-    async def _look_at_all(self) -> None:
+    async def _manage_all(self) -> None:
         state = self._world.desired
         for service in state.services.values() if state else ():
             engine = service.engine
             if engine is not None and engine.experts is not None:
-                await self._serve(service.name, engine, engine.experts)
+                await self._manage_service(
+                    service.name, engine, engine.experts
+                )
 
-    async def _serve(
+    async def _manage_service(
         self,
         service: ids.ServiceName,
         engine: desired.Engine,
@@ -159,79 +166,87 @@
         backends = [
             one for one in self._world.backends.all() if one.service == service
         ]
-        self._groups.keep_only(backends)
-        groups = self._groups.of(service)
+        self._groups.retain_servers(backends)
+        groups = self._groups.of_service(service)
         await asyncio.gather(
-            self._demand_reader.look(service, groups, limits),
-            self._queries.place(self._groups.unplaced(backends), engine),
-            *map(self._look, groups),
+            self._demand_reader.read_counts(service, groups, limits),
+            self._queries.discover_ranks(
+                self._groups.servers_of_unknown_rank(backends), engine
+            ),
+            *map(self._update_group, groups),
             *(
-                self._queries.ask_slowness(group)
+                self._queries.update_slowness(group)
                 for group in groups
-                if group.is_open and group.whole
+                if group.is_open and group.is_complete
             ),
         )
         for group in groups:
-            seen = self._demand_reader.demand(service, group)
-            if seen is None or seen.at == group.planned_at:
+            demand = self._demand_reader.demand_for(service, group)
+            if demand is None or demand.read_at == group.planned_reading_at:
                 continue
-            if group.copying is not None:
-                group.planned_at = seen.at
-                await self._reconsider(group, seen.uses)
-            elif group.ready and not self._keeps_map(group):
-                group.planned_at = seen.at
-                await self._consider(group, seen.uses)
+            if group.map_being_copied is not None:
+                group.planned_reading_at = demand.read_at
+                await self._cancel_if_outdated(group, demand.uses)
+            elif group.can_switch and not self._must_keep_map(group):
+                group.planned_reading_at = demand.read_at
+                await self._switch_if_worthwhile(group, demand.uses)
 
-    async def _look(self, group: rank_groups.RankGroup) -> None:
+    async def _update_group(self, group: rank_groups.RankGroup) -> None:
         now = self._clock.monotonic()
-        if not group.members or not group.look_due(now, _REPORT_INTERVAL):
+        if not group.servers_by_rank or not group.report_is_due(
+            now, _REPORT_INTERVAL
+        ):
             return
         was_open, epoch = group.is_open, group.epoch
-        await self._queries.ask_ranks(group)
+        await self._queries.update_state(group)
         if was_open and (not group.is_open or group.epoch != epoch):
             self._note_break(group)
         if group.is_open != was_open:
-            self._note_state(group)
-        if group.busy or not group.is_open or not group.whole:
+            self._publish_state(group)
+        if group.is_switching or not group.is_open or not group.is_complete:
             return
-        if group.used is None:
-            group.used = await self._queries.read_map(group)
+        if group.current_map is None:
+            group.current_map = await self._queries.read_map(group)
         leased = self._leadership.generation() is not None
         # With a lease of our own, whoever held it before cannot go on.
-        at_once = leased and not group.touched
-        after = datetime.timedelta() if at_once else _ABANDONED_HOLD_AGE
-        if group.hold_is_left(now, after):
-            self.switches.finish(group)
+        previous_holder_is_fenced = leased and not group.was_switched_here
+        min_age = (
+            datetime.timedelta()
+            if previous_holder_is_fenced
+            else _ABANDONED_HOLD_AGE
+        )
+        if group.hold_is_abandoned(now, min_age):
+            self.switch_runner.start_recovery(group)
 
     def _note_break(self, group: rank_groups.RankGroup) -> None:
-        if group.restraint.note_group_broken(self._clock.monotonic()):
+        if group.switch_backoff.note_group_broken(self._clock.monotonic()):
             logging.warning(
                 "group breaks at each change of its map",
                 extra={"group": group.name, "epoch": group.epoch},
             )
 
-    def _note_state(self, group: rank_groups.RankGroup) -> None:
+    def _publish_state(self, group: rank_groups.RankGroup) -> None:
         logging.info(
             "group opened" if group.is_open else "group broken",
             extra={"group": group.name, "epoch": group.epoch},
         )
-        self._world.outages.told(self._node, self.seen_broken())
-        self._changed()
+        self._world.outages.told(self._node, self.servers_of_broken_groups())
+        self._on_group_state_change()
 
     async def _plan(
         self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> experts.MapPlan:
         """Plan a map; requests are served between its steps."""
-        assert group.used is not None
+        assert group.current_map is not None
         copies = int(
             self.cfg.copy_s / (group.limits.copy_s or _DEFAULT_COPY_S)
         )
         planning = experts.plan_in_steps(
             uses,
-            group.used,
+            group.current_map,
             group.limits,
             max_copies_per_rank=max(1, copies),
-            slowness=group.slowness.of(group.size),
+            slowness=group.rank_slowness.factors(group.rank_count),
         )
         begun = self._clock.monotonic()
         while True:
@@ -244,32 +259,34 @@
                 await asyncio.sleep(0)
                 begun = self._clock.monotonic()
 
-    async def _reconsider(
+    async def _cancel_if_outdated(
         self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> None:
         """Leave a map that demand has left behind while it is copied."""
-        copying = group.copying
+        copying = group.map_being_copied
         assert copying is not None
         plan = await self._plan(group, uses)
-        if group.copying is not copying:
+        if group.map_being_copied is not copying:
             return
-        skew = experts.load_skew(uses, copying, group.slowness.of(group.size))
+        skew = experts.load_skew(
+            uses, copying, group.rank_slowness.factors(group.rank_count)
+        )
         saving = experts.pass_time_saving(
             skew, plan.skew_after, group.limits.expert_time_ratio
         )
         if saving >= self.cfg.least_saving:
-            self.switches.abandon(group)
+            self.switch_runner.cancel_if_copying(group)
             # Planned anew by the same reading, once it is left.
-            group.planned_at = None
+            group.planned_reading_at = None
 
-    async def _consider(
+    async def _switch_if_worthwhile(
         self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> None:
         plan = await self._plan(group, uses)
         saving = experts.pass_time_saving(
             plan.skew_before, plan.skew_after, group.limits.expert_time_ratio
         )
-        worth = saving >= self.cfg.least_saving
+        is_worthwhile = saving >= self.cfg.least_saving
         logging.info(
             "expert map planned",
             extra={
@@ -278,18 +295,18 @@
                 "skew": round(plan.skew_before, 2),
                 "planned": round(plan.skew_after, 2),
                 "copies": plan.max_copies_per_rank,
-                "switch": worth,
+                "switch": is_worthwhile,
             },
         )
-        if worth:
-            group.restraint.note_switch_started()
-            self.switches.change(group, plan)
+        if is_worthwhile:
+            group.switch_backoff.note_switch_started()
+            self.switch_runner.start_switch(group, plan)
 
-    def _keeps_map(self, group: rank_groups.RankGroup) -> bool:
+    def _must_keep_map(self, group: rank_groups.RankGroup) -> bool:
         """Tell whether a map is to be left as it is for now.
 
         A switch needs orders to all ranks, also to those that want nothing.
         """
-        if self._queries.is_resting(group):
+        if self._queries.has_resting_rank(group):
             return True
-        return group.restraint.is_active(self._clock.monotonic())
+        return group.switch_backoff.is_active(self._clock.monotonic())
--- a/src/lugcross/edge/pace.py
+++ b/src/lugcross/edge/pace.py
@@ -75,7 +75,7 @@
         """
         if pause > limit * _FAULT or per_engine <= 0:
             return
-        if not self._passes.is_new(pause, now):
+        if not self._passes.is_new_pass(pause, now):
             return
         extra_ms = max(0.0, pause / _MS - _fixed_ms(engine))
         count = max(1.0, per_engine)
--- a/src/lugcross/edge/pass_times.py
+++ b/src/lugcross/edge/pass_times.py
@@ -32,15 +32,18 @@
     """Tells the first pause of each pass from those of other streams."""
 
     def __init__(self) -> None:
-        self._at: clock_lib.Instant | None = None
+        self._last_pass_at: clock_lib.Instant | None = None
 
-    def is_new(
+    def is_new_pass(
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
         """Take a pause that ends now; tell whether its pass is new."""
-        if self._at is not None and now - self._at < pause * _SAME_PASS_RATIO:
+        if (
+            self._last_pass_at is not None
+            and now - self._last_pass_at < pause * _SAME_PASS_RATIO
+        ):
             return False
-        self._at = now
+        self._last_pass_at = now
         return True
 
 
@@ -49,31 +52,31 @@
     """Pass times of one group."""
 
     def __init__(self) -> None:
-        self._usual: datetime.timedelta | None = None
-        self._passes = PassDetector()
+        self._typical: datetime.timedelta | None = None
+        self._detector = PassDetector()
 
     @property
-    def usual(self) -> datetime.timedelta | None:
+    def typical(self) -> datetime.timedelta | None:
         """What a pass takes as a rule; none before any was seen."""
-        return self._usual
+        return self._typical
 
-    def paused(
+    def note_pause(
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
         """Take a pause of any stream; tell whether passes have jumped.
 
         A jump is told once: from then on its passes are the usual.
         """
-        if not self._passes.is_new(pause, now):
+        if not self._detector.is_new_pass(pause, now):
             return False
-        usual = self._usual
+        usual = self._typical
         if usual is None:
-            self._usual = pause
+            self._typical = pause
             return False
         if pause > usual * _FAULT_FACTOR:
             return False
         if pause > usual * _JUMP_FACTOR:
-            self._usual = pause
+            self._typical = pause
             return True
-        self._usual = usual + (pause - usual) * _SMOOTHING_WEIGHT
+        self._typical = usual + (pause - usual) * _SMOOTHING_WEIGHT
         return False
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -28,83 +28,84 @@
 class RankGroup:
     """One group of ranks.
 
-    :param members: who is which rank; whole once there are ``size``.
-    :param used: the map in use; none while it is not known.
-    :param awaited: version that all ranks are armed with, until it is in
+    :param servers_by_rank: who is which rank; whole once there are
+        ``rank_count``.
+    :param current_map: the map in use; none while it is not known.
+    :param armed_version: version that all ranks are armed with, until it is in
         use.
-    :param looked_at: when rank 0 told its state last.
-    :param hold_seen: a pass held by someone else, and since when.
-    :param touched: whether this process has switched it: only then may a
-        report that is some time old show a hold of its own.
-    :param planned_at: when the reading was made that a map was last
+    :param reported_at: when rank 0 told its state last.
+    :param foreign_hold: a pass held by someone else, and since when.
+    :param was_switched_here: whether this process has switched it: only then
+        may a report that is some time old show a hold of its own.
+    :param planned_reading_at: when the reading was made that a map was last
         planned by.
-    :param copying: the map that its ranks copy experts for.
+    :param map_being_copied: the map that its ranks copy experts for.
     :param report_lag: age of what its ranks report.
-    :param pulse: what its passes take.
-    :param slowness: which of its ranks are slow.
-    :param restraint: whether changes of its map break it.
+    :param pass_times: what its passes take.
+    :param rank_slowness: which of its ranks are slow.
+    :param switch_backoff: whether changes of its map break it.
     """
 
     name: str
     service: ids.ServiceName
     limits: experts.ExpertLimits
-    size: int
-    members: dict[experts.Rank, desired.Backend] = dataclasses.field(
+    rank_count: int
+    servers_by_rank: dict[experts.Rank, desired.Backend] = dataclasses.field(
         default_factory=dict
     )
     epoch: experts.Epoch = experts.Epoch(0)
     is_open: bool = False
     step: experts.PassNumber = experts.PassNumber(0)
     version: experts.MapVersion = experts.MapVersion(0)
-    newest: experts.MapVersion = experts.MapVersion(0)
-    used: experts.ExpertMap | None = None
-    awaited: experts.MapVersion | None = None
-    looked_at: clock_lib.Instant | None = None
-    hold_seen: tuple[experts.PassNumber, clock_lib.Instant] | None = None
-    busy: bool = False
-    touched: bool = False
-    planned_at: clock_lib.Instant | None = None
-    copying: experts.ExpertMap | None = None
+    highest_version: experts.MapVersion = experts.MapVersion(0)
+    current_map: experts.ExpertMap | None = None
+    armed_version: experts.MapVersion | None = None
+    reported_at: clock_lib.Instant | None = None
+    foreign_hold: tuple[experts.PassNumber, clock_lib.Instant] | None = None
+    is_switching: bool = False
+    was_switched_here: bool = False
+    planned_reading_at: clock_lib.Instant | None = None
+    map_being_copied: experts.ExpertMap | None = None
     report_lag: datetime.timedelta = datetime.timedelta()
-    pulse: pass_times_lib.PassTimes = dataclasses.field(
+    pass_times: pass_times_lib.PassTimes = dataclasses.field(
         default_factory=pass_times_lib.PassTimes
     )
-    slowness: rank_slowness_lib.RankSlowness = dataclasses.field(
+    rank_slowness: rank_slowness_lib.RankSlowness = dataclasses.field(
         default_factory=rank_slowness_lib.RankSlowness
     )
-    restraint: experts.SwitchBackoff = dataclasses.field(
+    switch_backoff: experts.SwitchBackoff = dataclasses.field(
         default_factory=experts.SwitchBackoff
     )
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every rank is known."""
-        return len(self.members) == self.size > 0
+        return len(self.servers_by_rank) == self.rank_count > 0
 
     @property
-    def ready(self) -> bool:
+    def can_switch(self) -> bool:
         """Whether a switch may be planned."""
-        settled = self.awaited is None and self.hold_seen is None
-        known = self.whole and self.used is not None
-        return self.is_open and known and settled and not self.busy
+        settled = self.armed_version is None and self.foreign_hold is None
+        known = self.is_complete and self.current_map is not None
+        return self.is_open and known and settled and not self.is_switching
 
     @property
-    def is_new(self) -> bool:
+    def has_initial_map(self) -> bool:
         """Whether it still has the map that it began its life with."""
         return self.version == 0
 
-    def ahead(self) -> int:
+    def passes_ahead(self) -> int:
         """Return how many passes may begin until all ranks are armed.
 
         Those that have begun since what a report tells, and one in which
         the orders are given.
         """
-        usual = self.pulse.usual
+        usual = self.pass_times.typical
         if not usual or not self.report_lag:
             return _MAX_PASSES_AHEAD_COUNT
         return min(_MAX_PASSES_AHEAD_COUNT, 1 + int(self.report_lag / usual))
 
-    def awake(
+    def ranks_to_ask(
         self, resting: Collection[desired.BackendKey]
     ) -> list[experts.Rank]:
         """Return the ranks that may be asked, in order.
@@ -113,87 +114,96 @@
         """
         return sorted(
             rank
-            for rank, backend in self.members.items()
+            for rank, backend in self.servers_by_rank.items()
             if backend.key not in resting
         )
 
-    def sample(
+    def sample_ranks(
         self, count: int, resting: Collection[desired.BackendKey] = ()
     ) -> list[experts.Rank]:
         """Return the first rank and others spread over the group.
 
         Ranks of one failure domain mostly have numbers side by side.
         """
-        ranks = self.awake(resting)
+        ranks = self.ranks_to_ask(resting)
         return ranks[:: max(1, math.ceil(len(ranks) / count))]
 
-    def look_due(
-        self, now: clock_lib.Instant, gap: datetime.timedelta
+    def report_is_due(
+        self, now: clock_lib.Instant, interval: datetime.timedelta
     ) -> bool:
         """Tell whether its state should be asked for.
 
         Sooner than usual where something is about to change.
         """
-        if self.looked_at is None:
+        if self.reported_at is None:
             return True
         if not self.is_open:
-            gap = min(gap, _SHORT_REPORT_INTERVAL)
-        if self.hold_seen is not None or self.awaited is not None:
-            gap = min(gap, _SHORT_REPORT_INTERVAL)
-        return now - self.looked_at >= gap
+            interval = min(interval, _SHORT_REPORT_INTERVAL)
+        if self.foreign_hold is not None or self.armed_version is not None:
+            interval = min(interval, _SHORT_REPORT_INTERVAL)
+        return now - self.reported_at >= interval
 
-    def lost(self, now: clock_lib.Instant) -> None:
+    def note_unreachable(self, now: clock_lib.Instant) -> None:
         """Note that no rank tells its state."""
         self.is_open = False
-        self.looked_at = now
+        self.reported_at = now
 
-    def take(self, report: experts.RankReport, now: clock_lib.Instant) -> None:
+    def apply_report(
+        self, report: experts.RankReport, now: clock_lib.Instant
+    ) -> None:
         """Take over what a rank tells; only rank 0 is ever held."""
-        self.looked_at = now
+        self.reported_at = now
         if report.epoch < self.epoch:
             return
         if report.epoch != self.epoch:
             self.epoch = report.epoch
-            self.version = self.newest = experts.MapVersion(0)
-            self.used = experts.round_robin_map(self.size, self.limits)
-            self.awaited = None
+            self.version = self.highest_version = experts.MapVersion(0)
+            self.current_map = experts.round_robin_map(
+                self.rank_count, self.limits
+            )
+            self.armed_version = None
             # What was seen before it broke is the best to plan by now.
-            self.planned_at = None
+            self.planned_reading_at = None
         self.is_open = report.is_open
         self.step = report.step
-        self.newest = max(self.newest, report.highest_version)
-        if report.version_in_use == self.awaited:
-            self.awaited = None
-        if report.version_in_use != self.version and self.awaited is None:
+        self.highest_version = max(
+            self.highest_version, report.highest_version
+        )
+        if report.version_in_use == self.armed_version:
+            self.armed_version = None
+        if (
+            report.version_in_use != self.version
+            and self.armed_version is None
+        ):
             # Someone else has switched it; ranks are asked for the map.
             self.version = report.version_in_use
-            self.used = None
-        if report.rank == 0 and not self.busy:
+            self.current_map = None
+        if report.rank == 0 and not self.is_switching:
             self._note_hold(report.held_pass, now)
 
     def _note_hold(
-        self, held: experts.PassNumber | None, now: clock_lib.Instant
+        self, held_pass: experts.PassNumber | None, now: clock_lib.Instant
     ) -> None:
-        if held is None:
-            self.hold_seen = None
-        elif self.hold_seen is None or self.hold_seen[0] != held:
-            self.hold_seen = held, now
+        if held_pass is None:
+            self.foreign_hold = None
+        elif self.foreign_hold is None or self.foreign_hold[0] != held_pass:
+            self.foreign_hold = held_pass, now
 
-    def hold_is_left(
-        self, now: clock_lib.Instant, after: datetime.timedelta
+    def hold_is_abandoned(
+        self, now: clock_lib.Instant, min_age: datetime.timedelta
     ) -> bool:
         """Tell whether nobody will release the pass that is held."""
-        seen = self.hold_seen
-        return seen is not None and now - seen[1] >= after
+        seen = self.foreign_hold
+        return seen is not None and now - seen[1] >= min_age
 
-    def switched(
-        self, version: experts.MapVersion, used: experts.ExpertMap
+    def note_switched(
+        self, version: experts.MapVersion, new_map: experts.ExpertMap
     ) -> None:
         """Note that all ranks will take up a map soon."""
         self.version = version
-        self.newest = max(self.newest, version)
-        self.used = used
-        self.awaited = version
+        self.highest_version = max(self.highest_version, version)
+        self.current_map = new_map
+        self.armed_version = version
 
 
 @final
@@ -202,47 +212,53 @@
 
     def __init__(self) -> None:
         self._groups: dict[tuple[ids.ServiceName, str], RankGroup] = {}
-        self._placed: dict[desired.BackendKey, RankGroup] = {}
+        self._group_by_server: dict[desired.BackendKey, RankGroup] = {}
 
     def clear(self) -> None:
         """Forget all but what is being switched."""
-        self._groups = {k: g for k, g in self._groups.items() if g.busy}
-        self._placed = {k: g for k, g in self._placed.items() if g.busy}
-
-    def of(self, service: ids.ServiceName) -> list[RankGroup]:
+        self._groups = {
+            k: g for k, g in self._groups.items() if g.is_switching
+        }
+        self._group_by_server = {
+            k: g for k, g in self._group_by_server.items() if g.is_switching
+        }
+
+    def of_service(self, service: ids.ServiceName) -> list[RankGroup]:
         """Return the groups of a service, in order of their names."""
         found = [g for k, g in self._groups.items() if k[0] == service]
         return sorted(found, key=lambda group: group.name)
 
-    def broken(self) -> list[desired.BackendKey]:
+    def servers_of_broken_groups(self) -> list[desired.BackendKey]:
         """Return the backend servers whose groups take no requests."""
         return [
             backend.key
             for group in self._groups.values()
-            if group.looked_at is not None and not group.is_open
-            for backend in group.members.values()
+            if group.reported_at is not None and not group.is_open
+            for backend in group.servers_by_rank.values()
         ]
 
-    def slow(self) -> list[desired.BackendKey]:
+    def slow_servers(self) -> list[desired.BackendKey]:
         """Return the backend servers that hold their groups back."""
         return [
-            group.members[rank].key
+            group.servers_by_rank[rank].key
             for group in self._groups.values()
-            for rank in group.slowness.ranks()
-            if rank in group.members
+            for rank in group.rank_slowness.slow_ranks()
+            if rank in group.servers_by_rank
         ]
 
     def of_backend(self, key: desired.BackendKey) -> RankGroup | None:
         """Return the group that a backend server is a rank of, if known."""
-        return self._placed.get(key)
+        return self._group_by_server.get(key)
 
-    def unplaced(
+    def servers_of_unknown_rank(
         self, backends: Iterable[desired.Backend]
     ) -> list[desired.Backend]:
         """Return those of which it is not known what rank they are."""
-        return [one for one in backends if one.key not in self._placed]
+        return [
+            one for one in backends if one.key not in self._group_by_server
+        ]
 
-    def place(
+    def assign_rank(
         self,
         backend: desired.Backend,
         report: experts.RankReport,
@@ -253,7 +269,7 @@
         assert limits is not None
         key = backend.service, report.group
         group = self._groups.get(key)
-        if group is None or group.size != report.size:
+        if group is None or group.rank_count != report.size:
             group = RankGroup(
                 report.group,
                 backend.service,
@@ -262,15 +278,15 @@
                 report_lag=engine.report_lag,
             )
             self._groups[key] = group
-        group.members[report.rank] = backend
-        self._placed[backend.key] = group
+        group.servers_by_rank[report.rank] = backend
+        self._group_by_server[backend.key] = group
 
-    def keep_only(self, backends: Iterable[desired.Backend]) -> None:
+    def retain_servers(self, backends: Iterable[desired.Backend]) -> None:
         """Forget ranks that are gone."""
         known = {one.key for one in backends}
-        for key in self._placed.keys() - known:
-            del self._placed[key]
+        for key in self._group_by_server.keys() - known:
+            del self._group_by_server[key]
         for group in self._groups.values():
-            for rank, backend in list(group.members.items()):
+            for rank, backend in list(group.servers_by_rank.items()):
                 if backend.key not in known:
-                    del group.members[rank]
+                    del group.servers_by_rank[rank]
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -41,9 +41,9 @@
         self._engines = engines
         self._groups = groups
         self._clock = clock
-        self._placed_at: dict[ids.ServiceName, clock_lib.Instant] = {}
+        self._discovered_at: dict[ids.ServiceName, clock_lib.Instant] = {}
 
-    async def place(
+    async def discover_ranks(
         self, backends: list[desired.Backend], engine: desired.Engine
     ) -> None:
         """Learn which ranks of which groups some servers are."""
@@ -51,14 +51,14 @@
         if not backends:
             return
         now = self._clock.monotonic()
-        last = self._placed_at.get(backends[0].service)
+        last = self._discovered_at.get(backends[0].service)
         if last is not None and now - last < _DISCOVERY_INTERVAL:
             return
-        self._placed_at[backends[0].service] = now
+        self._discovered_at[backends[0].service] = now
         reports = await asyncio.gather(*map(self.report, backends))
         for backend, report in zip(backends, reports, strict=True):
             if report is not None:
-                self._groups.place(backend, report, engine)
+                self._groups.assign_rank(backend, report, engine)
 
     async def report(
         self, backend: desired.Backend
@@ -73,70 +73,72 @@
             )
             return None
 
-    async def ask_ranks(self, group: rank_groups.RankGroup) -> None:
+    async def update_state(self, group: rank_groups.RankGroup) -> None:
         """Take over what a few ranks tell; one of them may be cut off."""
         resting = self._rests.servers()
-        ranks = group.sample(
+        ranks = group.sample_ranks(
             1 if group.is_open else _SAMPLED_RANK_COUNT, resting
         )
         if not ranks:
             return
         reports = await self._reports(group, ranks)
         if not reports:
-            others = group.sample(_SAMPLED_RANK_COUNT, resting)
+            others = group.sample_ranks(_SAMPLED_RANK_COUNT, resting)
             reports = await self._reports(group, others)
         now = self._clock.monotonic()
         if not reports:
-            group.lost(now)
+            group.note_unreachable(now)
         for report in reports:
-            group.take(report, now)
+            group.apply_report(report, now)
 
-    async def ask_slowness(self, group: rank_groups.RankGroup) -> None:
+    async def update_slowness(self, group: rank_groups.RankGroup) -> None:
         """Ask all ranks how slow they are, if that is due."""
-        if not group.slowness.is_due(self._clock.monotonic()):
+        if not group.rank_slowness.is_due(self._clock.monotonic()):
             return
-        awake = group.awake(self._rests.servers())
+        awake = group.ranks_to_ask(self._rests.servers())
         reports = await self._reports(group, awake)
         told = {one.rank: one.slowness for one in reports}
-        if group.slowness.told(told, self._clock.monotonic()):
+        if group.rank_slowness.update(told, self._clock.monotonic()):
             logging.info(
                 "ranks are slow",
                 extra={
                     "group": group.name,
                     "ranks": {
-                        str(group.members[rank].key): times
+                        str(group.servers_by_rank[rank].key): times
                         for rank, times in told.items()
-                        if times > 1.0 and rank in group.members
+                        if times > 1.0 and rank in group.servers_by_rank
                     },
                 },
             )
-            group.planned_at = None
+            group.planned_reading_at = None
 
     async def _reports(
         self, group: rank_groups.RankGroup, ranks: list[experts.Rank]
     ) -> list[experts.RankReport]:
         found = await asyncio.gather(
-            *(self.report(group.members[rank]) for rank in ranks)
+            *(self.report(group.servers_by_rank[rank]) for rank in ranks)
         )
         return [
             one for one in found if one is not None and one.group == group.name
         ]
 
-    def is_resting(self, group: rank_groups.RankGroup) -> bool:
+    def has_resting_rank(self, group: rank_groups.RankGroup) -> bool:
         """Tell whether a rank wants nothing from this process now."""
-        return len(group.awake(self._rests.servers())) < len(group.members)
+        return len(group.ranks_to_ask(self._rests.servers())) < len(
+            group.servers_by_rank
+        )
 
     async def read_map(
         self, group: rank_groups.RankGroup
     ) -> experts.ExpertMap | None:
         """Return the map that a group uses; none if a rank is silent."""
-        if self.is_resting(group):
+        if self.has_resting_rank(group):
             return None
         try:
             ranks = await asyncio.gather(
                 *(
-                    self._engines.held_experts(group.members[rank])
-                    for rank in sorted(group.members)
+                    self._engines.held_experts(group.servers_by_rank[rank])
+                    for rank in sorted(group.servers_by_rank)
                 )
             )
         except platform.EngineError as exc:
--- a/src/lugcross/edge/rank_slowness.py
+++ b/src/lugcross/edge/rank_slowness.py
@@ -33,10 +33,10 @@
     """How slow the ranks of one group are, as they told last."""
 
     def __init__(self) -> None:
-        self._due = datetime.timedelta()
-        self._slow: dict[experts.Rank, float] = {}
+        self._due_at = datetime.timedelta()
+        self._factors: dict[experts.Rank, float] = {}
 
-    def jumped(
+    def note_jump(
         self, now: clock_lib.Instant, report_lag: datetime.timedelta
     ) -> None:
         """Note that passes have become longer.
@@ -44,43 +44,44 @@
         :param report_lag: age of what ranks tell: before it is over, they
             tell how they were before.
         """
-        self._due = now + report_lag
+        self._due_at = now + report_lag
 
     def is_due(self, now: clock_lib.Instant) -> bool:
         """Tell whether all ranks should be asked now."""
-        return now >= self._due
+        return now >= self._due_at
 
-    def told(
-        self, slowness: Mapping[experts.Rank, float], now: clock_lib.Instant
+    def update(
+        self, factors: Mapping[experts.Rank, float], now: clock_lib.Instant
     ) -> bool:
         """Take over what ranks tell; tell whether it changes anything.
 
         One that does not answer keeps what is believed of it.
         """
-        before = dict(self._slow)
-        for rank, times in slowness.items():
+        before = dict(self._factors)
+        for rank, times in factors.items():
             if times < _SLOW_FACTOR:
-                self._slow.pop(rank, None)
+                self._factors.pop(rank, None)
             else:
-                self._slow[rank] = times
-        self._due = now + (
-            _QUERY_INTERVAL_WHILE_SLOW if self._slow else _QUERY_INTERVAL
+                self._factors[rank] = times
+        self._due_at = now + (
+            _QUERY_INTERVAL_WHILE_SLOW if self._factors else _QUERY_INTERVAL
         )
-        ranks = before.keys() | self._slow.keys()
+        ranks = before.keys() | self._factors.keys()
         return any(
-            abs(self._slow.get(rank, 1.0) / before.get(rank, 1.0) - 1.0)
+            abs(self._factors.get(rank, 1.0) / before.get(rank, 1.0) - 1.0)
             >= _SIGNIFICANT_CHANGE_RATIO
             for rank in ranks
         )
 
-    def ranks(self) -> list[experts.Rank]:
+    def slow_ranks(self) -> list[experts.Rank]:
         """Return the ranks that are slow."""
-        return sorted(self._slow)
+        return sorted(self._factors)
 
-    def of(self, size: int) -> tuple[float, ...]:
+    def factors(self, rank_count: int) -> tuple[float, ...]:
         """Return how slow each rank is; nothing where all are as usual."""
-        if not self._slow:
+        if not self._factors:
             return ()
         return tuple(
-            self._slow.get(experts.Rank(rank), 1.0) for rank in range(size)
+            self._factors.get(experts.Rank(rank), 1.0)
+            for rank in range(rank_count)
         )
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -130,8 +130,8 @@
     ) -> None:
         service = plan.service if plan else ""
         self._world.figures.answered(service, exc.status, None)
-        if plan is not None and plan.space is not None:
-            self._world.figures.refused(service, plan.space)
+        if plan is not None and plan.workspace_name is not None:
+            self._world.figures.refused(service, plan.workspace_name)
         inputs: dict[str, object] = {}
         if plan is not None:
             picture = self._world.picture(plan.service)
@@ -156,7 +156,7 @@
                 "request": head.attempt_id,
                 "status": exc.status.value,
                 "why": exc.what,
-                "same": plan.told_fingerprint if plan else None,
+                "same": plan.logged_fingerprint if plan else None,
                 "retry_after_ms": None if wait is None else round(wait / _MS),
                 **inputs,
             },
@@ -166,12 +166,12 @@
         self, plan: checked_request.CheckedRequest, picture: admission.Picture
     ) -> dict[str, object]:
         """Return for a log line what the request's workspace may have."""
-        if plan.space is None:
+        if plan.workspace_name is None:
             return {}
-        claim = self._world.uses.claim(plan.service, plan.space)
+        claim = self._world.uses.claim(plan.service, plan.workspace_name)
         places = self._world.full(plan.route, plan.service) * picture.servers
         return {
-            "workspace": plan.space,
+            "workspace": plan.workspace_name,
             "use": claim.use,
             "share": round(claim.share(places), 1),
         }
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -244,7 +244,7 @@
                 "request": plan.head.attempt_id,
                 "service": plan.service,
                 "route": plan.route.name,
-                "workspace": plan.space,
+                "workspace": plan.workspace_name,
                 "version": plan.version,
                 "backend": backend.key,
                 "domain": backend.domain,
--- a/src/lugcross/edge/store_readers.py
+++ b/src/lugcross/edge/store_readers.py
@@ -26,16 +26,16 @@
 class ReaderCandidate:
     """A process that could ask the store.
 
-    :param works: whether the store answered its last call.
+    :param store_answers: whether the store answered its last call.
     """
 
     incarnation: str
-    works: bool
+    store_answers: bool
     domain: str
 
 
 def reads_store(
-    own: ReaderCandidate, peers: Collection[ReaderCandidate]
+    candidate: ReaderCandidate, peers: Collection[ReaderCandidate]
 ) -> bool:
     """Tell whether a process asks the store itself.
 
@@ -44,11 +44,13 @@
 
     :param peers: live processes of all failure domains.
     """
-    return not own.works or own in _selected_readers([own, *peers])
+    return not candidate.store_answers or candidate in _selected_readers(
+        [candidate, *peers]
+    )
 
 
 def reader_position(
-    own: ReaderCandidate, peers: Collection[ReaderCandidate]
+    candidate: ReaderCandidate, peers: Collection[ReaderCandidate]
 ) -> int:
     """Return how many of those that ask go before a process.
 
@@ -56,20 +58,20 @@
     """
     before = [
         one
-        for one in _selected_readers([own, *peers])
-        if one.incarnation < own.incarnation
+        for one in _selected_readers([candidate, *peers])
+        if one.incarnation < candidate.incarnation
     ]
     return len(before)
 
 
 def _selected_readers(
-    fleet: Iterable[ReaderCandidate],
+    candidates: Iterable[ReaderCandidate],
 ) -> list[ReaderCandidate]:
     """Return who asks, of those that the store answers."""
     by_domain: dict[str, list[ReaderCandidate]] = {}
-    for one in fleet:
+    for one in candidates:
         here = by_domain.setdefault(one.domain, [])
-        if one.works:
+        if one.store_answers:
             here.append(one)
     count = (
         1
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -44,7 +44,8 @@
     """Carries out what a switch asks for.
 
     :param leadership: under whose number all orders are given.
-    :param resting: tells whether a rank has asked this process for rest.
+    :param has_resting_rank: tells whether a rank has asked this process for
+        rest.
     """
 
     def __init__(
@@ -54,59 +55,61 @@
         leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: Sleep,
-        resting: Callable[[], bool] = lambda: False,
+        has_resting_rank: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._resting = resting
+        self._has_resting_rank = has_resting_rank
         self._leadership = leadership
         self._generation = leadership.generation()
         self._sleep = sleep
         self._engines = engines
         self._group = group
         self._clock = clock
-        self._outdated = False
+        self._cancel_requested = False
 
-    def abandon(self) -> None:
+    def cancel_if_copying(self) -> None:
         """Leave the switch if its ranks are still copying."""
-        self._outdated = True
+        self._cancel_requested = True
 
     async def run(self, switch: experts.MapSwitch, copies: int) -> bool:
         """Carry out a switch; tell whether it came to an end.
 
         :param copies: most experts that a rank copies.
         """
-        since = self._clock.monotonic()
-        copying = copies * self._group.limits.copy_s
-        copying = copying * _COPY_TIME_FACTOR + _COPY_MARGIN_S
-        copied = since + datetime.timedelta(seconds=copying)
+        started_at = self._clock.monotonic()
+        copy_time_s = copies * self._group.limits.copy_s
+        copy_time_s = copy_time_s * _COPY_TIME_FACTOR + _COPY_MARGIN_S
+        copy_end = started_at + datetime.timedelta(seconds=copy_time_s)
         while switch.phase is not experts.SwitchPhase.OVER:
             now = self._clock.monotonic()
-            if now - copied > _GIVE_UP_AFTER or not self._may_order():
+            if now - copy_end > _GIVE_UP_AFTER or not self._may_order():
                 return False
-            late = now - copied > _CANCEL_AFTER
-            vain = late or self._resting() or not self._group.is_open
-            if vain and not switch.may_hold_pass:
+            is_late = now - copy_end > _CANCEL_AFTER
+            is_pointless = (
+                is_late or self._has_resting_rank() or not self._group.is_open
+            )
+            if is_pointless and not switch.may_hold_pass:
                 switch.cancel()
                 continue
             if switch.phase is experts.SwitchPhase.COPY:
-                await self._wait_copied(copied, switch)
+                await self._wait_until_copied(copy_end, switch)
             elif switch.hold_refused:
-                await self._name_step(switch)
+                await self._choose_pass(switch)
             else:
-                await self._send_all(switch)
+                await self._send_pending_orders(switch)
         return True
 
-    async def _wait_copied(
-        self, copied: clock_lib.Instant, switch: experts.MapSwitch
+    async def _wait_until_copied(
+        self, copy_end: clock_lib.Instant, switch: experts.MapSwitch
     ) -> None:
-        left = (copied - self._clock.monotonic()).total_seconds()
-        if self._outdated:
+        left_s = (copy_end - self._clock.monotonic()).total_seconds()
+        if self._cancel_requested:
             switch.cancel()
-        elif left > 0:
-            await self._sleep(min(left, _COPY_POLL_INTERVAL_S))
+        elif left_s > 0:
+            await self._sleep(min(left_s, _COPY_POLL_INTERVAL_S))
         else:
-            await self._name_step(switch)
+            await self._choose_pass(switch)
 
-    async def _name_step(self, switch: experts.MapSwitch) -> None:
+    async def _choose_pass(self, switch: experts.MapSwitch) -> None:
         """Choose the pass at which all ranks change.
 
         Only the first rank tells whether a pass is held. While its entry is
@@ -124,7 +127,9 @@
             # Another process is switching this group.
             switch.cancel()
         else:
-            switch.note_copied(report.step, passes_ahead=self._group.ahead())
+            switch.note_copied(
+                report.step, passes_ahead=self._group.passes_ahead()
+            )
             switch.hold_later_pass(report.step)
 
     async def _report(self, rank: experts.Rank) -> experts.RankReport | None:
@@ -132,7 +137,7 @@
 
         :raises platform.EngineError: when it is silent or off the list.
         """
-        backend = self._group.members.get(rank)
+        backend = self._group.servers_by_rank.get(rank)
         if backend is None:
             raise platform.EngineError(
                 f"rank {rank} is off the list", remedy="ask again"
@@ -142,43 +147,43 @@
     def _may_order(self) -> bool:
         return self._leadership.may_order(self._generation)
 
-    async def _send_all(self, switch: experts.MapSwitch) -> None:
-        todo = switch.pending_orders()
-        verdicts = await asyncio.gather(
-            *(self._send(rank, order) for rank, order in todo)
+    async def _send_pending_orders(self, switch: experts.MapSwitch) -> None:
+        pending = switch.pending_orders()
+        results = await asyncio.gather(
+            *(self._send_order(rank, order) for rank, order in pending)
         )
-        for (rank, order), verdict in zip(todo, verdicts, strict=True):
-            switch.apply_result(rank, order, verdict)
-        if all(one is experts.OrderResult.DONE for one in verdicts):
+        for (rank, order), result in zip(pending, results, strict=True):
+            switch.apply_result(rank, order, result)
+        if all(one is experts.OrderResult.DONE for one in results):
             return
-        if experts.OrderResult.FENCED in verdicts or switch.hold_refused:
+        if experts.OrderResult.FENCED in results or switch.hold_refused:
             return
-        if experts.OrderResult.REFUSED in verdicts:
+        if experts.OrderResult.REFUSED in results:
             await self._check_epoch(switch)
         await self._sleep(_RETRY_DELAY_S)
 
-    async def _send(
+    async def _send_order(
         self, rank: experts.Rank, order: experts.Order
     ) -> experts.OrderResult:
-        backend = self._group.members.get(rank)
+        backend = self._group.servers_by_rank.get(rank)
         if backend is None:
             return experts.OrderResult.UNKNOWN
-        verdict = await self._engines.order(
+        result = await self._engines.order(
             backend, order, self._group.epoch, self._generation
         )
         if (
-            verdict is experts.OrderResult.FENCED
+            result is experts.OrderResult.FENCED
             and self._generation is not None
         ):
-            self._leadership.refused(self._generation)
-        return verdict
+            self._leadership.note_refused(self._generation)
+        return result
 
     async def _check_epoch(self, switch: experts.MapSwitch) -> None:
         """End the switch if its group has formed anew.
 
         Every rank knows the epoch; the first one's entry may be gone.
         """
-        lowest = min(self._group.members, default=_HOLD_RANK)
+        lowest = min(self._group.servers_by_rank, default=_HOLD_RANK)
         try:
             report = await self._report(lowest)
         except platform.EngineError as exc:
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -28,7 +28,7 @@
     """Starts switches, one a group, and keeps what came of them.
 
     :param engines: takes the orders.
-    :param owner: chooses versions and passes for this process.
+    :param allocator: chooses versions and passes for this process.
     :param leadership: under whose number orders are given.
     :param sleep: waits for some seconds.
     """
@@ -38,14 +38,14 @@
         engines: platform.Engines,
         queries: rank_queries.RankQueries,
         *,
-        owner: experts.NumberAllocator,
+        allocator: experts.NumberAllocator,
         leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
     ) -> None:
         self._engines = engines
         self._queries = queries
-        self._owner = owner
+        self._allocator = allocator
         self._leadership = leadership
         self._clock = clock
         self._sleep = sleep
@@ -68,22 +68,22 @@
         """Tell whether a switch is under way."""
         return bool(self._tasks)
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Return once no switch is under way."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _start(
+    def _start_task(
         self,
         group: rank_groups.RankGroup,
         work: Coroutine[Any, Any, None],
     ) -> None:
-        group.busy = group.touched = True
-        task = asyncio.create_task(self._work_on(group, work))
+        group.is_switching = group.was_switched_here = True
+        task = asyncio.create_task(self._run_task(group, work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _work_on(
+    async def _run_task(
         self, group: rank_groups.RankGroup, work: Coroutine[Any, Any, None]
     ) -> None:
         try:
@@ -92,58 +92,58 @@
             # Whoever looks next finds what this one may have left held.
             logging.exception("a switch failed", extra={"group": group.name})
         finally:
-            group.busy = False
-            group.restraint.note_switch_ended(self._clock.monotonic())
-            group.looked_at = None
-            group.hold_seen = None
+            group.is_switching = False
+            group.switch_backoff.note_switch_ended(self._clock.monotonic())
+            group.reported_at = None
+            group.foreign_hold = None
 
-    def change(
+    def start_switch(
         self, group: rank_groups.RankGroup, plan: experts.MapPlan
     ) -> None:
         """Take a group to the map of a plan."""
-        self._start(group, self._change(group, plan))
+        self._start_task(group, self._switch(group, plan))
 
-    def finish(self, group: rank_groups.RankGroup) -> None:
+    def start_recovery(self, group: rank_groups.RankGroup) -> None:
         """Finish what another process has left half done."""
-        self._start(group, self._finish(group))
+        self._start_task(group, self._recover(group))
 
-    def abandon(self, group: rank_groups.RankGroup) -> None:
+    def cancel_if_copying(self, group: rank_groups.RankGroup) -> None:
         """Leave the switch of a group whose ranks are still copying."""
-        self._drivers[group.service, group.name].abandon()
+        self._drivers[group.service, group.name].cancel_if_copying()
 
-    async def _change(
+    async def _switch(
         self, group: rank_groups.RankGroup, plan: experts.MapPlan
     ) -> None:
-        assert group.used is not None
+        assert group.current_map is not None
         switch = experts.MapSwitch(
-            rank_count=group.size,
-            version=self._owner.next_version(group.newest),
+            rank_count=group.rank_count,
+            version=self._allocator.next_version(group.highest_version),
             new_map=plan.next_map,
-            old_map=group.used,
-            allocator=self._owner,
+            old_map=group.current_map,
+            allocator=self._allocator,
             pass_at_planning=group.step,
         )
         await self._drive(group, switch, plan)
 
-    async def _finish(self, group: rank_groups.RankGroup) -> None:
-        assert group.hold_seen is not None
-        step = group.hold_seen[0]
+    async def _recover(self, group: rank_groups.RankGroup) -> None:
+        assert group.foreign_hold is not None
+        step = group.foreign_hold[0]
         reports = [
             one
             for one in await asyncio.gather(
-                *map(self._queries.report, group.members.values())
+                *map(self._queries.report, group.servers_by_rank.values())
             )
             if one is not None
         ]
-        group.newest = max(
-            [group.newest, *(one.highest_version for one in reports)]
+        group.highest_version = max(
+            [group.highest_version, *(one.highest_version for one in reports)]
         )
         armed = [
             one.armed_order.version
             for one in reports
             if one.armed_order is not None and one.armed_order.step == step
         ]
-        used = group.used or await self._queries.read_map(group)
+        used = group.current_map or await self._queries.read_map(group)
         if used is None:
             return
         logging.warning(
@@ -151,15 +151,15 @@
             extra={"group": group.name, "step": step, "armed": len(armed)},
         )
         switch = experts.MapSwitch.resume(
-            rank_count=group.size,
-            highest_version=group.newest,
+            rank_count=group.rank_count,
+            highest_version=group.highest_version,
             armed_version=max(armed, default=None),
             held_pass=step,
             old_map=used,
-            allocator=self._owner,
+            allocator=self._allocator,
         )
         await self._drive(group, switch, None)
-        group.used = None
+        group.current_map = None
 
     async def _drive(
         self,
@@ -169,23 +169,23 @@
     ) -> None:
         generation = self._leadership.generation()
         if generation is not None:
-            self._owner.use_generation(generation)
+            self._allocator.use_generation(generation)
         driver = switch_driver.SwitchDriver(
             self._engines,
             group,
             self._leadership,
             self._clock,
             self._sleep,
-            resting=lambda: self._queries.is_resting(group),
+            has_resting_rank=lambda: self._queries.has_resting_rank(group),
         )
         self._drivers[group.service, group.name] = driver
-        group.copying = plan.next_map if plan else None
+        group.map_being_copied = plan.next_map if plan else None
         try:
             finished = await driver.run(
                 switch, plan.max_copies_per_rank if plan else 0
             )
         finally:
-            group.copying = None
+            group.map_being_copied = None
             del self._drivers[group.service, group.name]
         if not finished:
             self._stuck_at = self._clock.monotonic()
@@ -200,4 +200,4 @@
             },
         )
         if plan and switch.outcome is experts.SwitchOutcome.SWITCHED:
-            group.switched(switch.version, plan.next_map)
+            group.note_switched(switch.version, plan.next_map)
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -164,7 +164,7 @@
         out = broken | resting
         usable = [one for one in listed if one.key not in out]
         usable = eligible_servers.without_slow(usable, slow)
-        found = eligible_servers.split_by_domain(usable, home=self._home)
+        found = eligible_servers.split_by_domain(usable, own_domain=self._home)
         self._serving[service] = _Cached(
             listed, (broken, resting, slow), found
         )
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -313,7 +313,7 @@
     return eligible_servers.split_by_domain(
         [edge_rig.backend(f"n{num}") for num in range(near)]
         + [edge_rig.backend(f"f{num}", "d2") for num in range(far)],
-        home=ids.DomainName("d1"),
+        own_domain=ids.DomainName("d1"),
     )
 
 
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -55,8 +55,8 @@
             experts.Lease(name, self.clock),
             self.client,
             candidacy,
-            fenced=lambda: self.fenced,
-            changed=self._changed,
+            needs_fencing=lambda: self.fenced,
+            on_lease_change=self._changed,
         )
         return leadership, candidacy
 
@@ -84,10 +84,10 @@
 def test_duty_is_had_only_with_the_lease():
     async def act(rig: Rig) -> None:
         leadership, _ = rig.process("a")
-        assert not leadership.mine()
+        assert not leadership.is_leader()
         assert not leadership.may_order(None)
         await rounds(leadership)
-        assert leadership.mine()
+        assert leadership.is_leader()
         assert leadership.generation() == 1
         assert leadership.may_order(experts.Generation(1))
 
@@ -98,11 +98,11 @@
     async def act(rig: Rig) -> None:
         rig.fenced = False
         leadership, candidacy = rig.process("a")
-        assert leadership.mine()
+        assert leadership.is_leader()
         assert leadership.generation() is None
         assert leadership.may_order(None)
         candidacy.is_first = False
-        assert not leadership.mine()
+        assert not leadership.is_leader()
         assert not rig.store.calls
 
     run(act)
@@ -114,7 +114,7 @@
         await rounds(leadership)
         candidacy.is_first = False
         await rounds(leadership)
-        assert leadership.mine()
+        assert leadership.is_leader()
 
     run(act)
 
@@ -125,7 +125,7 @@
         new, _ = rig.process("b")
         await rounds(old)
         leaving.is_fit = False
-        assert not old.mine()
+        assert not old.is_leader()
         await rounds(old)
         await rounds(new)
         assert new.generation() == 2
@@ -141,7 +141,7 @@
         leadership, candidacy = rig.process("a")
         await rounds(leadership)
         busy = True
-        leadership.busy = lambda: busy
+        leadership.has_work_in_progress = lambda: busy
         candidacy.is_fit = False
         await rounds(leadership)
         assert leadership.may_order(experts.Generation(1))
@@ -156,8 +156,8 @@
     async def act(rig: Rig) -> None:
         leadership, _ = rig.process("a")
         await rounds(leadership)
-        leadership.refused(experts.Generation(1))
-        assert not leadership.mine()
+        leadership.note_refused(experts.Generation(1))
+        assert not leadership.is_leader()
         assert not leadership.may_order(experts.Generation(1))
         await rounds(leadership)
         rig.clock.advance(lease_lib.TIME_TO_LIVE)
@@ -175,7 +175,7 @@
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
             await rounds(leadership)
-        assert leadership.mine()
+        assert leadership.is_leader()
 
     run(act)
 
@@ -187,7 +187,7 @@
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
             await rounds(leadership)
-        assert not leadership.mine()
+        assert not leadership.is_leader()
 
     run(act)
 
@@ -197,7 +197,7 @@
         rig.store.append(platform.LEASES_TOPIC, "maps", b"\xff no record")
         leadership, _ = rig.process("a")
         await rounds(leadership)
-        assert leadership.mine()
+        assert leadership.is_leader()
 
     run(act)
 
@@ -228,10 +228,10 @@
         leadership, _ = rig.process("a")
         rig.store.busy = True
         await rounds(leadership)
-        assert not leadership.can_claim()
+        assert not leadership.store_answers()
         rig.store.busy = False
         rig.clock.advance(lease_lib.RETRY_DELAY)
         await rounds(leadership)
-        assert leadership.can_claim()
+        assert leadership.store_answers()
 
     run(act)
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -114,7 +114,7 @@
         self.number: experts.Generation | None = None
         self.spent: list[experts.Generation] = []
 
-    def mine(self) -> bool:
+    def is_leader(self) -> bool:
         return self.has
 
     def generation(self) -> experts.Generation | None:
@@ -123,7 +123,7 @@
     def may_order(self, number: experts.Generation | None) -> bool:
         return number == self.number and number not in self.spent
 
-    def refused(self, number: experts.Generation) -> None:
+    def note_refused(self, number: experts.Generation) -> None:
         self.spent.append(number)
         self.has = False
 
@@ -145,8 +145,8 @@
             clock=self.clock,
             sleep=self._sleep,
             leadership=self.leadership,
-            owner=experts.NumberAllocator(1),
-            changed=self._changed,
+            allocator=experts.NumberAllocator(1),
+            on_group_state_change=self._changed,
             node="n1",
             cfg=cfg,
         )
@@ -189,7 +189,7 @@
             self.clock.advance(SECOND)
             self.engines.passed(1.0)
             await self.maps.round()
-            await self.maps.switches.idle()
+            await self.maps.switch_runner.wait_idle()
 
 
 def run(
@@ -300,7 +300,7 @@
         before = rig.news
         await rig.rounds(1)
         assert not rig.world.serving(SERVICE)
-        assert len(rig.maps.seen_broken()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == SIZE
         assert rig.news > before
         rig.engines.is_open = True
         await rig.rounds(1)
@@ -315,10 +315,10 @@
         rig.engines.silent = {0}
         rig.engines.is_open = False
         await rig.rounds(1)
-        assert len(rig.maps.seen_broken()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == SIZE
         rig.engines.is_open = True
         await rig.rounds(1)
-        assert not rig.maps.seen_broken()
+        assert not rig.maps.servers_of_broken_groups()
 
     run(act)
 
@@ -329,10 +329,10 @@
         rig.engines.silent = {0}
         for _ in range(3):
             await rig.rounds(1)
-            assert not rig.maps.seen_broken()
+            assert not rig.maps.servers_of_broken_groups()
         rig.engines.silent = set(range(SIZE))
         await rig.rounds(1)
-        assert len(rig.maps.seen_broken()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == SIZE
 
     run(act)
 
@@ -349,8 +349,8 @@
             tail = platform.Tail(end=ids.Offset(51), records=(gone,))
             rig.world.backends.apply(tail, store_was_away=False)
             rig.world.backends.forget(desired.BackendKey("0"), "test")
-            group = rig.maps._groups.of(SERVICE)[0]
-            group.members.pop(experts.Rank(0), None)
+            group = rig.maps._groups.of_service(SERVICE)[0]
+            group.servers_by_rank.pop(experts.Rank(0), None)
         return await order(backend, one, *args)
 
     rig.engines.order = watched
@@ -388,8 +388,8 @@
     ranks = rank_simulator.SimulatedGroup(SIZE, FIRST)
     old = ranks.report(1)
     ranks.form_anew()
-    group.take(ranks.report(0), SECOND)
-    group.take(dataclasses.replace(old, is_open=False), SECOND)
+    group.apply_report(ranks.report(0), SECOND)
+    group.apply_report(dataclasses.replace(old, is_open=False), SECOND)
     assert group.is_open
     assert group.epoch == 2
 
@@ -400,7 +400,7 @@
         await rig.rounds(2)
         rig.leadership.has = False
         await rig.rounds(1)
-        assert not rig.maps.seen_broken()
+        assert not rig.maps.servers_of_broken_groups()
         assert len(rig.world.serving(SERVICE)) == SIZE
 
     run(act)
@@ -414,9 +414,9 @@
         group.execute(
             0, experts.Hold(experts.PassNumber(group.step + 9)), group.epoch
         )
-        assert not rig.maps.switches.is_stuck()
+        assert not rig.maps.switch_runner.is_stuck()
         await rig.rounds(3)
-        assert rig.maps.switches.is_stuck()
+        assert rig.maps.switch_runner.is_stuck()
 
     run(act)
 
@@ -532,7 +532,7 @@
         rig.engines.order = taken
         await rig.rounds(4)
         assert len(rig.engines.orders) == SIZE
-        assert rig.maps.switches.is_stuck()
+        assert rig.maps.switch_runner.is_stuck()
 
     run(act)
 
@@ -605,13 +605,13 @@
     async def act(rig: Rig) -> None:
         jumping = Jumping(rig)
         released = asyncio.Event()
-        sleep = rig.maps.switches._sleep
+        sleep = rig.maps.switch_runner._sleep
 
         async def held(seconds: float) -> None:
             await released.wait()
             await sleep(seconds)
 
-        rig.maps.switches._sleep = held
+        rig.maps.switch_runner._sleep = held
         for _ in range(4):
             rig.clock.advance(SECOND)
             jumping.passed(0.1)
@@ -627,7 +627,7 @@
         await jumping.short_rounds(3)
         released.set()
         jumping.copied()
-        await rig.maps.switches.idle()
+        await rig.maps.switch_runner.wait_idle()
         armed = {
             one.version
             for one in rig.engines.orders
@@ -648,7 +648,7 @@
         for _ in range(3):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
             await rig.maps.round()
-            await rig.maps.switches.idle()
+            await rig.maps.switch_runner.wait_idle()
         assert group.begin_pass() == leased
 
     run(act)
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -31,7 +31,7 @@
     for length in lengths:
         clock.advance(length * MS)
         told += [
-            pulse.paused(length * MS, clock.monotonic())
+            pulse.note_pause(length * MS, clock.monotonic())
             for _ in range(streams)
         ]
     return told
@@ -40,7 +40,7 @@
 def test_first_pass_is_no_jump() -> None:
     pulse = pass_times_lib.PassTimes()
     assert not any(passes(pulse, 50))
-    assert pulse.usual == 50 * MS
+    assert pulse.typical == 50 * MS
 
 
 def test_jump_is_told_once_and_at_its_first_pass() -> None:
@@ -52,7 +52,7 @@
     many, one = pass_times_lib.PassTimes(), pass_times_lib.PassTimes()
     passes(many, 50, 60, 55, streams=9)
     passes(one, 50, 60, 55, streams=1)
-    assert many.usual == one.usual
+    assert many.typical == one.typical
 
 
 def test_pass_with_long_prompts_is_no_jump() -> None:
@@ -62,7 +62,7 @@
 def test_group_that_stood_still_teaches_nothing() -> None:
     pulse = pass_times_lib.PassTimes()
     assert not any(passes(pulse, 50, 50, 1500))
-    assert pulse.usual == 50 * MS
+    assert pulse.typical == 50 * MS
 
 
 @pytest.mark.parametrize(
@@ -77,5 +77,5 @@
         "g", ids.ServiceName("s"), LIMITS, 4, report_lag=lag_ms * MS
     )
     if pass_ms is not None:
-        passes(group.pulse, pass_ms)
-    assert group.ahead() == ahead
+        passes(group.pass_times, pass_ms)
+    assert group.passes_ahead() == ahead
