--- a/bench/maps.py
+++ b/bench/maps.py
@@ -42,8 +42,8 @@
     for ranks, sets, count in SIZES:
         places = max(2, count // ranks + 3)
         limits = experts.ExpertLimits(
-            sets=sets,
-            experts=count,
+            layer_set_count=sets,
+            expert_count=count,
             max_experts_per_rank=places,
             max_new_experts_per_map=4,
             copy_s=0.1,
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -100,17 +100,17 @@
         All groups of a service see the same demand, so that one rank of
         one of them tells enough.
         """
-        source = next((g for g in groups if g.is_open and g.is_complete), None)
+        group = next((g for g in groups if g.is_open and g.is_complete), None)
         now = self._clock.monotonic()
         last = self._last_readings.get(service)
-        if source is None:
+        if group is None:
             return
         if last is not None and now - last.read_at < self._interval(service):
             return
-        awake = source.ranks_to_ask(self._rests.servers())
-        if not awake:
+        ranks = group.ranks_to_ask(self._rests.servers())
+        if not ranks:
             return
-        backend = source.servers_by_rank[awake[0]]
+        backend = group.servers_by_rank[ranks[0]]
         try:
             counts = await self._engines.counts(backend, limits)
         except platform.EngineError as exc:
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -114,8 +114,8 @@
         """Do at the store what is to be done now."""
         held = self._lease.held_generation
         action = self._lease.next_action(
-            wants=self._wants_lease(),
-            held_elsewhere=self._candidacy.held_elsewhere(),
+            wants_lease=self._wants_lease(),
+            held_by_peer=self._candidacy.held_elsewhere(),
         )
         if action is experts.LeaseAction.NONE:
             return
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -291,7 +291,7 @@
             "expert map planned",
             extra={
                 "group": group.name,
-                "version": group.version,
+                "version": group.version_in_use,
                 "skew": round(plan.skew_before, 2),
                 "planned": round(plan.skew_after, 2),
                 "copies": plan.max_copies_per_rank,
--- a/src/lugcross/edge/pass_times.py
+++ b/src/lugcross/edge/pass_times.py
@@ -69,14 +69,14 @@
         """
         if not self._detector.is_new_pass(pause, now):
             return False
-        usual = self._typical
-        if usual is None:
+        typical = self._typical
+        if typical is None:
             self._typical = pause
             return False
-        if pause > usual * _FAULT_FACTOR:
+        if pause > typical * _FAULT_FACTOR:
             return False
-        if pause > usual * _JUMP_FACTOR:
+        if pause > typical * _JUMP_FACTOR:
             self._typical = pause
             return True
-        self._typical = usual + (pause - usual) * _SMOOTHING_WEIGHT
+        self._typical = typical + (pause - typical) * _SMOOTHING_WEIGHT
         return False
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -55,8 +55,8 @@
     )
     epoch: experts.Epoch = experts.Epoch(0)
     is_open: bool = False
-    step: experts.PassNumber = experts.PassNumber(0)
-    version: experts.MapVersion = experts.MapVersion(0)
+    last_pass: experts.PassNumber = experts.PassNumber(0)
+    version_in_use: experts.MapVersion = experts.MapVersion(0)
     highest_version: experts.MapVersion = experts.MapVersion(0)
     current_map: experts.ExpertMap | None = None
     armed_version: experts.MapVersion | None = None
@@ -92,7 +92,7 @@
     @property
     def has_initial_map(self) -> bool:
         """Whether it still has the map that it began its life with."""
-        return self.version == 0
+        return self.version_in_use == 0
 
     def passes_ahead(self) -> int:
         """Return how many passes may begin until all ranks are armed.
@@ -100,10 +100,10 @@
         Those that have begun since what a report tells, and one in which
         the orders are given.
         """
-        usual = self.pass_times.typical
-        if not usual or not self.report_lag:
+        typical = self.pass_times.typical
+        if not typical or not self.report_lag:
             return _MAX_PASSES_AHEAD_COUNT
-        return min(_MAX_PASSES_AHEAD_COUNT, 1 + int(self.report_lag / usual))
+        return min(_MAX_PASSES_AHEAD_COUNT, 1 + int(self.report_lag / typical))
 
     def ranks_to_ask(
         self, resting: Collection[desired.BackendKey]
@@ -157,7 +157,7 @@
             return
         if report.epoch != self.epoch:
             self.epoch = report.epoch
-            self.version = self.highest_version = experts.MapVersion(0)
+            self.version_in_use = self.highest_version = experts.MapVersion(0)
             self.current_map = experts.round_robin_map(
                 self.rank_count, self.limits
             )
@@ -165,18 +165,18 @@
             # What was seen before it broke is the best to plan by now.
             self.planned_reading_at = None
         self.is_open = report.is_open
-        self.step = report.step
+        self.last_pass = report.last_pass
         self.highest_version = max(
             self.highest_version, report.highest_version
         )
         if report.version_in_use == self.armed_version:
             self.armed_version = None
         if (
-            report.version_in_use != self.version
+            report.version_in_use != self.version_in_use
             and self.armed_version is None
         ):
             # Someone else has switched it; ranks are asked for the map.
-            self.version = report.version_in_use
+            self.version_in_use = report.version_in_use
             self.current_map = None
         if report.rank == 0 and not self.is_switching:
             self._note_hold(report.held_pass, now)
@@ -200,7 +200,7 @@
         self, version: experts.MapVersion, new_map: experts.ExpertMap
     ) -> None:
         """Note that all ranks will take up a map soon."""
-        self.version = version
+        self.version_in_use = version
         self.highest_version = max(self.highest_version, version)
         self.current_map = new_map
         self.armed_version = version
@@ -269,12 +269,12 @@
         assert limits is not None
         key = backend.service, report.group
         group = self._groups.get(key)
-        if group is None or group.rank_count != report.size:
+        if group is None or group.rank_count != report.rank_count:
             group = RankGroup(
                 report.group,
                 backend.service,
                 limits,
-                report.size,
+                report.rank_count,
                 report_lag=engine.report_lag,
             )
             self._groups[key] = group
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -95,17 +95,17 @@
         """Ask all ranks how slow they are, if that is due."""
         if not group.rank_slowness.is_due(self._clock.monotonic()):
             return
-        awake = group.ranks_to_ask(self._rests.servers())
-        reports = await self._reports(group, awake)
-        told = {one.rank: one.slowness for one in reports}
-        if group.rank_slowness.update(told, self._clock.monotonic()):
+        ranks = group.ranks_to_ask(self._rests.servers())
+        reports = await self._reports(group, ranks)
+        factors = {one.rank: one.slowness for one in reports}
+        if group.rank_slowness.update(factors, self._clock.monotonic()):
             logging.info(
                 "ranks are slow",
                 extra={
                     "group": group.name,
                     "ranks": {
                         str(group.servers_by_rank[rank].key): times
-                        for rank, times in told.items()
+                        for rank, times in factors.items()
                         if times > 1.0 and rank in group.servers_by_rank
                     },
                 },
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -70,13 +70,15 @@
         """Leave the switch if its ranks are still copying."""
         self._cancel_requested = True
 
-    async def run(self, switch: experts.MapSwitch, copies: int) -> bool:
+    async def run(
+        self, switch: experts.MapSwitch, max_copies_per_rank: int
+    ) -> bool:
         """Carry out a switch; tell whether it came to an end.
 
-        :param copies: most experts that a rank copies.
+        :param max_copies_per_rank: most experts that a rank copies.
         """
         started_at = self._clock.monotonic()
-        copy_time_s = copies * self._group.limits.copy_s
+        copy_time_s = max_copies_per_rank * self._group.limits.copy_s
         copy_time_s = copy_time_s * _COPY_TIME_FACTOR + _COPY_MARGIN_S
         copy_end = started_at + datetime.timedelta(seconds=copy_time_s)
         while switch.phase is not experts.SwitchPhase.OVER:
@@ -128,9 +130,9 @@
             switch.cancel()
         else:
             switch.note_copied(
-                report.step, passes_ahead=self._group.passes_ahead()
+                report.last_pass, passes_ahead=self._group.passes_ahead()
             )
-            switch.hold_later_pass(report.step)
+            switch.hold_later_pass(report.last_pass)
 
     async def _report(self, rank: experts.Rank) -> experts.RankReport | None:
         """Return what a rank reports; none if it is in no group.
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -121,13 +121,13 @@
             new_map=plan.next_map,
             old_map=group.current_map,
             allocator=self._allocator,
-            pass_at_planning=group.step,
+            pass_at_planning=group.last_pass,
         )
         await self._drive(group, switch, plan)
 
     async def _recover(self, group: rank_groups.RankGroup) -> None:
         assert group.foreign_hold is not None
-        step = group.foreign_hold[0]
+        held_pass = group.foreign_hold[0]
         reports = [
             one
             for one in await asyncio.gather(
@@ -138,24 +138,29 @@
         group.highest_version = max(
             [group.highest_version, *(one.highest_version for one in reports)]
         )
-        armed = [
+        armed_versions = [
             one.armed_order.version
             for one in reports
-            if one.armed_order is not None and one.armed_order.step == step
+            if one.armed_order is not None
+            and one.armed_order.pass_number == held_pass
         ]
-        used = group.current_map or await self._queries.read_map(group)
-        if used is None:
+        current_map = group.current_map or await self._queries.read_map(group)
+        if current_map is None:
             return
         logging.warning(
             "held pass was left",
-            extra={"group": group.name, "step": step, "armed": len(armed)},
+            extra={
+                "group": group.name,
+                "step": held_pass,
+                "armed": len(armed_versions),
+            },
         )
         switch = experts.MapSwitch.resume(
             rank_count=group.rank_count,
             highest_version=group.highest_version,
-            armed_version=max(armed, default=None),
-            held_pass=step,
-            old_map=used,
+            armed_version=max(armed_versions, default=None),
+            held_pass=held_pass,
+            old_map=current_map,
             allocator=self._allocator,
         )
         await self._drive(group, switch, None)
--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -13,10 +13,10 @@
 from lugcross.experts.model import Demand
 from lugcross.experts.model import ExpertLimits
 from lugcross.experts.model import ExpertMap
+from lugcross.experts.model import ExpertsBySet
 from lugcross.experts.model import load_skew
 from lugcross.experts.model import pass_time_saving
 from lugcross.experts.model import rank_loads
-from lugcross.experts.model import RankExperts
 from lugcross.experts.model import relative_pass_time
 from lugcross.experts.model import round_robin_map
 from lugcross.experts.orders import Arm
@@ -49,6 +49,7 @@
     "ExpertCounts",
     "ExpertLimits",
     "ExpertMap",
+    "ExpertsBySet",
     "Generation",
     "Hold",
     "Lease",
@@ -63,7 +64,6 @@
     "PassNumber",
     "Prepare",
     "Rank",
-    "RankExperts",
     "RankReport",
     "Release",
     "SwitchBackoff",
--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -22,7 +22,7 @@
     """
 
     epoch: orders.Epoch
-    step: orders.PassNumber
+    last_pass: orders.PassNumber
     uses_by_set: tuple[tuple[int, ...], ...]
 
 
@@ -53,11 +53,13 @@
 ) -> list[list[int]]:
     """Return counts set by set.
 
-    :raises ValueError: when they are not ``sets`` times ``experts``.
+    :raises ValueError: when they are not ``layer_set_count`` times
+        ``expert_count``.
     """
-    if len(counts) != limits.sets * limits.experts:
+    if len(counts) != limits.layer_set_count * limits.expert_count:
         raise ValueError(
-            f"{len(counts)} counts, not {limits.sets} x {limits.experts}"
+            f"{len(counts)} counts, not "
+            f"{limits.layer_set_count} x {limits.expert_count}"
         )
-    size = limits.experts
+    size = limits.expert_count
     return [list(counts[at : at + size]) for at in range(0, len(counts), size)]
--- a/src/lugcross/experts/election.py
+++ b/src/lugcross/experts/election.py
@@ -17,12 +17,12 @@
 class Candidate:
     """A process that could look after expert maps.
 
-    :param since_ms: when it started, by its own time of day; processes
+    :param started_at_ms: when it started, by its own time of day; processes
         that started later leave the duty to earlier ones.
     :param incarnation: decides between two that started together.
     """
 
-    since_ms: int
+    started_at_ms: int
     incarnation: str
 
 
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -97,18 +97,20 @@
         """Number of this process's claim; none while it has no lease."""
         return self._held_generation
 
-    def next_action(self, *, wants: bool, held_elsewhere: bool) -> LeaseAction:
+    def next_action(
+        self, *, wants_lease: bool, held_by_peer: bool
+    ) -> LeaseAction:
         """Return what to do at the store now.
 
-        :param wants: whether this process should have the lease.
-        :param held_elsewhere: whether a live peer says that it has it.
+        :param wants_lease: whether this process should have the lease.
+        :param held_by_peer: whether a live peer says that it has it.
         """
         now = self._clock.monotonic()
         if now < self._retry_at:
             return LeaseAction.NONE
         if self._held_generation is not None:
-            return self._next_action_of_holder(now, wants)
-        if not wants or held_elsewhere:
+            return self._next_action_of_holder(now, wants_lease)
+        if not wants_lease or held_by_peer:
             # What was seen is too old to start the time to live from.
             self._expected_end = None
             return LeaseAction.NONE
@@ -120,11 +122,11 @@
         return LeaseAction.NONE
 
     def _next_action_of_holder(
-        self, now: clock_lib.Instant, wants: bool
+        self, now: clock_lib.Instant, wants_lease: bool
     ) -> LeaseAction:
         if self._expected_end is None:
             return LeaseAction.READ
-        if not wants:
+        if not wants_lease:
             return LeaseAction.RELEASE
         if now - self._renewed_at >= RENEWAL_INTERVAL:
             return LeaseAction.RENEW
--- a/src/lugcross/experts/model.py
+++ b/src/lugcross/experts/model.py
@@ -11,7 +11,7 @@
 from typing import final
 
 #: Experts that one rank holds, set by set.
-RankExperts = tuple[tuple[int, ...], ...]
+ExpertsBySet = tuple[tuple[int, ...], ...]
 #: How much each expert is used in each set of layers; any unit.
 Demand = Sequence[Sequence[float]]
 
@@ -21,7 +21,7 @@
 class ExpertLimits:
     """What a service's engines allow, as its operator tells it.
 
-    :param sets: sets of layers that share one placement.
+    :param layer_set_count: sets of layers that share one placement.
     :param max_experts_per_rank: experts that a rank may hold in a set.
     :param max_new_experts_per_map: experts of a set that may be new to a rank
         in one map.
@@ -29,8 +29,8 @@
     :param expert_time_ratio: part of a pass that is spent in experts.
     """
 
-    sets: int
-    experts: int
+    layer_set_count: int
+    expert_count: int
     max_experts_per_rank: int
     max_new_experts_per_map: int
     copy_s: float
@@ -45,7 +45,7 @@
     :param ranks: by rank, then by set.
     """
 
-    ranks: tuple[RankExperts, ...]
+    ranks: tuple[ExpertsBySet, ...]
 
     def copies_needed_at(self, rank: int, current_map: "ExpertMap") -> int:
         """Return how many experts ``rank`` must copy, coming from another.
@@ -73,8 +73,8 @@
     return ExpertMap(
         tuple(
             tuple(
-                tuple(range(rank, limits.experts, rank_count))
-                for _ in range(limits.sets)
+                tuple(range(rank, limits.expert_count, rank_count))
+                for _ in range(limits.layer_set_count)
             )
             for rank in range(rank_count)
         )
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -34,7 +34,7 @@
     """Take up the prepared map as one pass begins."""
 
     version: MapVersion
-    step: PassNumber
+    pass_number: PassNumber
 
 
 @final
@@ -50,7 +50,7 @@
 class Hold:
     """Do not begin a pass until it is released; stands until then."""
 
-    step: PassNumber
+    pass_number: PassNumber
 
 
 @final
@@ -58,7 +58,7 @@
 class Release:
     """Let a pass that is held begin."""
 
-    step: PassNumber
+    pass_number: PassNumber
 
 
 Order = Prepare | Arm | Disarm | Hold | Release
@@ -82,7 +82,7 @@
 class RankReport:
     """State of one rank, some hundred milliseconds ago.
 
-    :param step: pass that began last.
+    :param last_pass: pass that began last.
     :param version_in_use: version of the map in use.
     :param prepared_version: version that could be armed; none while it is
         copied.
@@ -93,12 +93,12 @@
     """
 
     group: str
-    size: int
+    rank_count: int
     rank: Rank
     epoch: Epoch
     is_open: bool
-    running: int
-    step: PassNumber
+    request_count: int
+    last_pass: PassNumber
     version_in_use: MapVersion
     prepared_version: MapVersion | None
     armed_order: Arm | None
@@ -156,7 +156,7 @@
         )
         return self._last_version
 
-    def next_pass(self, after: PassNumber) -> PassNumber:
-        """Return the next pass past ``after`` that this process holds."""
-        ahead = (self._class - after - 1) % self._class_count
-        return PassNumber(after + 1 + ahead)
+    def next_pass(self, last_pass: PassNumber) -> PassNumber:
+        """Return the next pass past ``last_pass`` that this process holds."""
+        ahead = (self._class - last_pass - 1) % self._class_count
+        return PassNumber(last_pass + 1 + ahead)
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -86,13 +86,13 @@
     Whoever must not block its process for long does something else
     between two steps.
     """
-    slow = tuple(slowness) or (1.0,) * current_map.rank_count
-    budget = [max_copies_per_rank] * current_map.rank_count
+    slowness_factors = tuple(slowness) or (1.0,) * current_map.rank_count
+    copies_left = [max_copies_per_rank] * current_map.rank_count
     placements = []
-    for num, weights in enumerate(demand):
-        ranks = [rank[num] for rank in current_map.ranks]
+    for set_index, weights in enumerate(demand):
+        ranks = [rank[set_index] for rank in current_map.ranks]
         placement = set_placement.SetPlacement(
-            weights, ranks, limits, budget, slow
+            weights, ranks, limits, copies_left, slowness_factors
         )
         placements.append((placement, _BestPlacement(placement)))
         yield
@@ -121,16 +121,16 @@
     )
     return MapPlan(
         next_map=after,
-        skew_before=model.load_skew(demand, current_map, slow),
-        skew_after=model.load_skew(demand, after, slow),
+        skew_before=model.load_skew(demand, current_map, slowness_factors),
+        skew_after=model.load_skew(demand, after, slowness_factors),
         max_copies_per_rank=after.max_copies_per_rank(current_map),
     )
 
 
 def _max_load(
-    one: "tuple[set_placement.SetPlacement, _BestPlacement]",
+    candidate: "tuple[set_placement.SetPlacement, _BestPlacement]",
 ) -> float:
-    return one[0].max_load
+    return candidate[0].max_load
 
 
 @final
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -138,48 +138,74 @@
             self._remove_replica(relocation.expert, relocation.source)
 
     def _relocations_to(
-        self, expert: int, source: int, rank: int
+        self, expert: int, source: int, target: int
     ) -> Iterator[Relocation]:
-        """Yield what ``rank`` could do for ``source``."""
-        high = self._loads[source]
-        share = self._replica_loads[expert]
-        slow, slow_there = self._slowness[source], self._slowness[rank]
-        evicted, freed, peak = self._make_room(rank, expert)
-        if evicted is None and self._is_full(rank):
-            yield from self._swaps(expert, source, rank)
+        """Yield what ``target`` could do for ``source``."""
+        source_load = self._loads[source]
+        load_before = self._replica_loads[expert]
+        source_slowness, target_slowness = (
+            self._slowness[source],
+            self._slowness[target],
+        )
+        evicted, freed, peak = self._make_room(target, expert)
+        if evicted is None and self._is_full(target):
+            yield from self._swaps(expert, source, target)
             return
-        there = self._loads[rank] - freed * slow_there
+        target_load = self._loads[target] - freed * target_slowness
         count = len(self._holders[expert])
-        less = share - share * count / (count + 1)
-        replica = max(
-            high - less * slow, there + (share - less) * slow_there, peak
+        decrease = load_before - load_before * count / (count + 1)
+        max_load_if_replicated = max(
+            source_load - decrease * source_slowness,
+            target_load + (load_before - decrease) * target_slowness,
+            peak,
         )
         yield Relocation(
-            high - replica, expert, source, rank, True, None, evicted
+            source_load - max_load_if_replicated,
+            expert,
+            source,
+            target,
+            True,
+            None,
+            evicted,
+        )
+        max_load_if_moved = max(
+            source_load - load_before * source_slowness,
+            target_load + load_before * target_slowness,
+            peak,
         )
-        moved = max(high - share * slow, there + share * slow_there, peak)
         yield Relocation(
-            high - moved, expert, source, rank, False, None, evicted
+            source_load - max_load_if_moved,
+            expert,
+            source,
+            target,
+            False,
+            None,
+            evicted,
         )
 
     def _swaps(
-        self, expert: int, source: int, rank: int
+        self, expert: int, source: int, target: int
     ) -> Iterator[Relocation]:
         """Yield changes of places with an expert of a full rank."""
         if not self._may_copy(source):
             return
-        high, there = self._loads[source], self._loads[rank]
+        source_load, target_load = self._loads[source], self._loads[target]
         share = self._replica_loads[expert]
-        for other in self.ranks[rank]:
-            less = share - self._replica_loads[other]
-            if less <= 0 or source in self._holders[other]:
+        for other in self.ranks[target]:
+            decrease = share - self._replica_loads[other]
+            if decrease <= 0 or source in self._holders[other]:
                 continue
-            after = max(
-                high - less * self._slowness[source],
-                there + less * self._slowness[rank],
+            max_load_after = max(
+                source_load - decrease * self._slowness[source],
+                target_load + decrease * self._slowness[target],
             )
             yield Relocation(
-                (high - after) / 2, expert, source, rank, False, other
+                (source_load - max_load_after) / 2,
+                expert,
+                source,
+                target,
+                False,
+                other,
             )
 
     def _add_replica(self, expert: int, rank: int) -> None:
@@ -198,11 +224,11 @@
         self._adjust_copy_count(expert, rank, -1)
         self._adjust_loads(expert, 1.0)
 
-    def _adjust_copy_count(self, expert: int, rank: int, more: int) -> None:
+    def _adjust_copy_count(self, expert: int, rank: int, change: int) -> None:
         """Count an expert that is new to a rank, or is so no more."""
         if expert not in self._initial_ranks[rank]:
-            self._new_expert_counts[rank] += more
-            self._copies_left[rank] -= more
+            self._new_expert_counts[rank] += change
+            self._copies_left[rank] -= change
 
     def _adjust_loads(self, expert: int, sign: float) -> None:
         """Add the parts of an expert to its holders, or take them away."""
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -57,7 +57,7 @@
     """What came of it."""
 
     SWITCHED = "switched"
-    LEFT = "left"
+    CANCELLED = "left"
     VOIDED = "voided"
 
 
@@ -104,7 +104,7 @@
         self._disarmed_ranks: set[orders.Rank] = set()
         self._target_pass = orders.PassNumber(0)
         self._held_passes: set[orders.PassNumber] = set()
-        self._outcome = SwitchOutcome.LEFT
+        self._outcome = SwitchOutcome.CANCELLED
         self.phase = SwitchPhase.PREPARE
 
     @classmethod
@@ -194,31 +194,31 @@
         self,
         rank: orders.Rank,
         order: orders.Order,
-        verdict: orders.OrderResult,
+        result: orders.OrderResult,
     ) -> None:
         """Take over what became of an order that :meth:`pending_orders` named.
 
         Orders of one round are answered in any order; what an earlier
         answer has made needless is left out.
         """
-        if verdict is orders.OrderResult.FENCED:
+        if result is orders.OrderResult.FENCED:
             # A later holder is at work; it finishes what this one left.
-            self._finish(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.CANCELLED)
             return
         if (rank, order) not in self.pending_orders():
             return
         if self.phase is SwitchPhase.PREPARE:
-            self._handle_prepare(rank, verdict)
+            self._handle_prepare(rank, result)
         elif self.phase is SwitchPhase.HOLD:
-            self._handle_hold(verdict)
+            self._handle_hold(result)
         elif self.phase is SwitchPhase.ARM:
-            self._handle_arm(rank, verdict)
+            self._handle_arm(rank, result)
         elif self.phase is SwitchPhase.DECIDE:
-            self._handle_decide(verdict)
+            self._handle_decide(result)
         elif self.phase is SwitchPhase.VOID:
-            self._handle_void(rank, order, verdict)
+            self._handle_void(rank, order, result)
         elif self.phase is SwitchPhase.RELEASE:
-            self._handle_release(order, verdict)
+            self._handle_release(order, result)
 
     def note_copied(
         self, current_pass: orders.PassNumber, *, passes_ahead: int = 0
@@ -233,7 +233,7 @@
         if self.phase is not SwitchPhase.COPY:
             return
         if current_pass <= self._pass_at_planning:
-            self._finish(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.CANCELLED)
             return
         self._enter_phase(SwitchPhase.HOLD)
         self._choose_pass(current_pass, passes_ahead)
@@ -260,16 +260,16 @@
     def cancel(self) -> None:
         """Give up before anything is armed; a hold may stand or come."""
         if self.phase in (SwitchPhase.PREPARE, SwitchPhase.COPY):
-            self._finish(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.CANCELLED)
         elif self.phase is SwitchPhase.HOLD:
-            self._outcome = SwitchOutcome.LEFT
+            self._outcome = SwitchOutcome.CANCELLED
             self._enter_phase(
                 SwitchPhase.RELEASE if self._held_passes else SwitchPhase.OVER
             )
 
     def note_epoch_ended(self) -> None:
         """End: the group has a new life, and knows none of this."""
-        self._finish(SwitchOutcome.LEFT)
+        self._finish(SwitchOutcome.CANCELLED)
 
     def _choose_pass(
         self, current_pass: orders.PassNumber, passes_ahead: int
@@ -294,49 +294,49 @@
         self.phase = SwitchPhase.OVER
 
     def _handle_prepare(
-        self, rank: orders.Rank, verdict: orders.OrderResult
+        self, rank: orders.Rank, result: orders.OrderResult
     ) -> None:
-        if verdict is orders.OrderResult.REFUSED:
-            self._finish(SwitchOutcome.LEFT)
-        elif verdict is orders.OrderResult.DONE:
+        if result is orders.OrderResult.REFUSED:
+            self._finish(SwitchOutcome.CANCELLED)
+        elif result is orders.OrderResult.DONE:
             self._ranks_left.discard(rank)
             if not self._ranks_left:
                 self._enter_phase(SwitchPhase.COPY)
         else:
             self._unanswered_counts[rank] += 1
             if self._unanswered_counts[rank] >= _MAX_PREPARE_COUNT:
-                self._finish(SwitchOutcome.LEFT)
+                self._finish(SwitchOutcome.CANCELLED)
 
-    def _handle_hold(self, verdict: orders.OrderResult) -> None:
-        if verdict is orders.OrderResult.DONE:
+    def _handle_hold(self, result: orders.OrderResult) -> None:
+        if result is orders.OrderResult.DONE:
             self._enter_phase(SwitchPhase.ARM)
             return
         self._hold_count += 1
-        if verdict is orders.OrderResult.REFUSED:
+        if result is orders.OrderResult.REFUSED:
             self._held_passes.discard(self._target_pass)
         if self._hold_count >= _MAX_HOLD_COUNT:
             self.cancel()
 
     def _handle_arm(
-        self, rank: orders.Rank, verdict: orders.OrderResult
+        self, rank: orders.Rank, result: orders.OrderResult
     ) -> None:
-        if verdict is orders.OrderResult.DONE:
+        if result is orders.OrderResult.DONE:
             self._ranks_left.discard(rank)
             if not self._ranks_left:
                 self._outcome = SwitchOutcome.SWITCHED
                 self._enter_phase(SwitchPhase.RELEASE)
-        elif verdict is orders.OrderResult.REFUSED:
+        elif result is orders.OrderResult.REFUSED:
             self._refusal_counts[rank] += 1
             if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
                 self._deciding_rank = rank
                 self._enter_phase(SwitchPhase.DECIDE)
 
-    def _handle_decide(self, verdict: orders.OrderResult) -> None:
-        if verdict is orders.OrderResult.DONE:
+    def _handle_decide(self, result: orders.OrderResult) -> None:
+        if result is orders.OrderResult.DONE:
             self._disarmed_ranks = set()
             self._enter_phase(SwitchPhase.VOID)
             self._ranks_left.discard(self._deciding_rank)
-        elif verdict is orders.OrderResult.REFUSED:
+        elif result is orders.OrderResult.REFUSED:
             # It is armed by now, or has had a higher version.
             self._raise_void_version()
             if self._may_arm:
@@ -351,7 +351,7 @@
         """
         self._refusal_counts[rank] += 1
         if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
-            self._finish(SwitchOutcome.LEFT)
+            self._finish(SwitchOutcome.CANCELLED)
 
     def _void_order(self, rank: orders.Rank) -> orders.Order:
         if rank in self._disarmed_ranks or not self._may_arm:
@@ -362,14 +362,14 @@
         self,
         rank: orders.Rank,
         order: orders.Order,
-        verdict: orders.OrderResult,
+        result: orders.OrderResult,
     ) -> None:
         if isinstance(order, orders.Disarm):
-            if verdict is orders.OrderResult.DONE:
+            if result is orders.OrderResult.DONE:
                 self._disarmed_ranks.add(rank)
-        elif verdict is orders.OrderResult.DONE:
+        elif result is orders.OrderResult.DONE:
             self._ranks_left.discard(rank)
-        elif verdict is orders.OrderResult.REFUSED:
+        elif result is orders.OrderResult.REFUSED:
             # A late order has armed it anew, or it had a higher version.
             self._disarmed_ranks.discard(rank)
             self._raise_void_version()
@@ -381,13 +381,13 @@
             self._enter_phase(SwitchPhase.RELEASE)
 
     def _handle_release(
-        self, order: orders.Order, verdict: orders.OrderResult
+        self, order: orders.Order, result: orders.OrderResult
     ) -> None:
-        if verdict is orders.OrderResult.UNKNOWN:
+        if result is orders.OrderResult.UNKNOWN:
             return
         assert isinstance(order, orders.Release)
         # Refused means that the group has a new life by now.
-        self._held_passes.discard(order.step)
+        self._held_passes.discard(order.pass_number)
         if not self._held_passes:
             self.phase = SwitchPhase.OVER
 
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -38,7 +38,7 @@
         #: When the first change of this life was over.
         self._switch_ended_at: clock_lib.Instant | None = None
         self._break_count = 0
-        self._until = datetime.timedelta()
+        self._active_until = datetime.timedelta()
 
     def note_switch_started(self) -> None:
         """Note that a change of map begins; the first of a life counts."""
@@ -51,21 +51,26 @@
 
     def note_group_broken(self, now: clock_lib.Instant) -> bool:
         """Note that the group has broken; tell whether it is left alone."""
-        begun, self._switch_started = self._switch_started, False
-        over, self._switch_ended_at = self._switch_ended_at, None
-        if not begun:
+        switch_started, self._switch_started = self._switch_started, False
+        switch_ended_at, self._switch_ended_at = self._switch_ended_at, None
+        if not switch_started:
             # Changed by nobody in that life, so that it tells nothing.
             return False
-        if over is not None and now - over > BREAK_WINDOW:
+        if (
+            switch_ended_at is not None
+            and now - switch_ended_at > BREAK_WINDOW
+        ):
             self._break_count = 0
             return False
         self._break_count += 1
-        more = self._break_count - BREAKS_BEFORE_BACKOFF_COUNT
-        if more < 0:
+        doublings = self._break_count - BREAKS_BEFORE_BACKOFF_COUNT
+        if doublings < 0:
             return False
-        self._until = now + min(INITIAL_BACKOFF * 2.0**more, MAX_BACKOFF)
+        self._active_until = now + min(
+            INITIAL_BACKOFF * 2.0**doublings, MAX_BACKOFF
+        )
         return True
 
     def is_active(self, now: clock_lib.Instant) -> bool:
         """Tell whether the group keeps its map for now."""
-        return now < self._until
+        return now < self._active_until
--- a/src/lugcross/platform/engines.py
+++ b/src/lugcross/platform/engines.py
@@ -117,12 +117,12 @@
         armed = raw.armed
         return experts.RankReport(
             group=raw.group.name,
-            size=raw.size,
+            rank_count=raw.size,
             rank=experts.Rank(raw.group.rank),
             epoch=experts.Epoch(raw.group.epoch),
             is_open=raw.group.state == _OPEN,
-            running=raw.running + raw.waiting,
-            step=experts.PassNumber(raw.step),
+            request_count=raw.running + raw.waiting,
+            last_pass=experts.PassNumber(raw.step),
             version_in_use=experts.MapVersion(raw.map),
             prepared_version=(
                 None
@@ -157,13 +157,13 @@
             raise _no_answer(backend, str(exc)) from exc
         return experts.ExpertCounts(
             epoch=experts.Epoch(raw.epoch),
-            step=experts.PassNumber(raw.step),
+            last_pass=experts.PassNumber(raw.step),
             uses_by_set=tuple(map(tuple, sets)),
         )
 
     async def held_experts(
         self, backend: desired.Backend
-    ) -> experts.RankExperts:
+    ) -> experts.ExpertsBySet:
         """Return the experts that a rank holds, by set.
 
         :raises EngineError: when it does not tell.
@@ -243,7 +243,7 @@
     return {
         "operation": "arm",
         "version": order.version,
-        "step": order.step,
+        "step": order.pass_number,
     }
 
 
@@ -254,12 +254,12 @@
 
 @_fields.register
 def _(order: experts.Hold) -> dict[str, Any]:
-    return {"operation": "hold", "step": order.step}
+    return {"operation": "hold", "step": order.pass_number}
 
 
 @_fields.register
 def _(order: experts.Release) -> dict[str, Any]:
-    return {"operation": "go", "step": order.step}
+    return {"operation": "go", "step": order.pass_number}
 
 
 def _no_answer(backend: desired.Backend, why: str) -> EngineError:
--- a/src/lugcross/platform/state.py
+++ b/src/lugcross/platform/state.py
@@ -282,8 +282,8 @@
         return None
     megabits = raw.expert_mb * _BITS
     return experts.ExpertLimits(
-        sets=raw.sets,
-        experts=raw.experts,
+        layer_set_count=raw.sets,
+        expert_count=raw.experts,
         max_experts_per_rank=raw.places,
         max_new_experts_per_map=raw.spare,
         copy_s=megabits / raw.link_mbps if raw.link_mbps else 0.0,
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -41,11 +41,11 @@
         self.store = store
         self.clock = clock_lib.ManualClock()
         self.fenced = True
-        self.news = 0
+        self.notification_count = 0
         self.client = platform.StoreClient(address, timeout=LONG)
 
     def _changed(self) -> None:
-        self.news += 1
+        self.notification_count += 1
 
     def process(
         self, name: str
@@ -131,7 +131,7 @@
         assert new.generation() == 2
         assert old.generation() is None
         # Peers hear of each claim and of the release.
-        assert rig.news == 3
+        assert rig.notification_count == 3
 
     run(act)
 
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -24,47 +24,47 @@
 SIZE = 4
 SERVICE = ids.ServiceName("llm")
 LIMITS = experts.ExpertLimits(
-    sets=1,
-    experts=8,
+    layer_set_count=1,
+    expert_count=8,
     max_experts_per_rank=4,
     max_new_experts_per_map=2,
     copy_s=0.1,
     expert_time_ratio=0.8,
 )
-FIRST = experts.round_robin_map(SIZE, LIMITS)
+INITIAL_MAP = experts.round_robin_map(SIZE, LIMITS)
 #: Uses of each expert in one reading; the first has nearly all.
-HOT = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
+HOT_USES = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
 SECOND = datetime.timedelta(seconds=1)
 
 
-class Engines:
+class SimulatedEngines:
     """Ranks that make one pass for each 50 ms that are waited."""
 
     def __init__(self) -> None:
-        self.group = rank_simulator.SimulatedGroup(SIZE, FIRST)
-        self.uses = [0] * LIMITS.experts
+        self.group = rank_simulator.SimulatedGroup(SIZE, INITIAL_MAP)
+        self.uses = [0] * LIMITS.expert_count
         self.is_open = True
-        self.silent: set[int] = set()
-        self.deaf: set[int] = set()
+        self.unreachable: set[int] = set()
+        self.not_receiving: set[int] = set()
         self.orders: list[experts.Order] = []
         #: Ranks that were asked or ordered, as often as they were.
-        self.called: list[int] = []
+        self.called_ranks: list[int] = []
         self.generations: list[experts.Generation | None] = []
 
-    def passed(self, seconds: float) -> None:
+    def run_passes(self, seconds: float) -> None:
         """Go on for a while, under load."""
         for _ in range(max(1, int(seconds / 0.05))):
             self.group.begin_pass()
         for rank in self.group.ranks:
-            rank.copied = True
+            rank.has_copied = True
         self.uses = [
-            old + new for old, new in zip(self.uses, HOT, strict=True)
+            old + new for old, new in zip(self.uses, HOT_USES, strict=True)
         ]
 
     def _rank(self, backend: desired.Backend) -> int:
         rank = int(backend.key)
-        self.called.append(rank)
-        if rank in self.silent:
+        self.called_ranks.append(rank)
+        if rank in self.unreachable:
             raise platform.EngineError("silent", remedy="")
         return rank
 
@@ -80,15 +80,15 @@
         assert limits is LIMITS
         return experts.ExpertCounts(
             experts.Epoch(self.group.epoch),
-            experts.PassNumber(self.group.step),
+            experts.PassNumber(self.group.last_pass),
             (tuple(self.uses),),
         )
 
     async def held_experts(
         self, backend: desired.Backend
-    ) -> experts.RankExperts:
+    ) -> experts.ExpertsBySet:
         rank = self._rank(backend)
-        return self.group.ranks[rank].used[1].ranks[rank]
+        return self.group.ranks[rank].version_and_map[1].ranks[rank]
 
     async def order(
         self,
@@ -100,8 +100,8 @@
         self.orders.append(order)
         self.generations.append(generation)
         rank = int(backend.key)
-        self.called.append(rank)
-        if rank in self.silent or rank in self.deaf:
+        self.called_ranks.append(rank)
+        if rank in self.unreachable or rank in self.not_receiving:
             return experts.OrderResult.UNKNOWN
         return self.group.execute(rank, order, epoch, generation)
 
@@ -110,22 +110,25 @@
     """A duty that a test gives and takes away."""
 
     def __init__(self) -> None:
-        self.has = True
-        self.number: experts.Generation | None = None
-        self.spent: list[experts.Generation] = []
+        self.leads = True
+        self.current_generation: experts.Generation | None = None
+        self.refused_generations: list[experts.Generation] = []
 
     def is_leader(self) -> bool:
-        return self.has
+        return self.leads
 
     def generation(self) -> experts.Generation | None:
-        return self.number
+        return self.current_generation
 
-    def may_order(self, number: experts.Generation | None) -> bool:
-        return number == self.number and number not in self.spent
+    def may_order(self, generation: experts.Generation | None) -> bool:
+        return (
+            generation == self.current_generation
+            and generation not in self.refused_generations
+        )
 
-    def note_refused(self, number: experts.Generation) -> None:
-        self.spent.append(number)
-        self.has = False
+    def note_refused(self, generation: experts.Generation) -> None:
+        self.refused_generations.append(generation)
+        self.leads = False
 
 
 class Rig:
@@ -133,12 +136,12 @@
 
     def __init__(self, cfg: settings_lib.Maps) -> None:
         self.clock = clock_lib.ManualClock()
-        self.engines = Engines()
+        self.engines = SimulatedEngines()
         self.world = world_lib.World(
             edge_rig.settings(), clock=self.clock, rng=edge_rig.new_rng()
         )
         self.leadership = MapLeadership()
-        self.news = 0
+        self.notification_count = 0
         self.maps = map_manager.MapManager(
             self.world,
             self.engines,
@@ -153,7 +156,7 @@
         self._adopt()
 
     def _changed(self) -> None:
-        self.news += 1
+        self.notification_count += 1
 
     def _adopt(self) -> None:
         engine = desired.Engine(slots=6, kv_tokens=1000, experts=LIMITS)
@@ -180,14 +183,14 @@
 
     async def _sleep(self, seconds: float) -> None:
         self.clock.advance(datetime.timedelta(seconds=seconds))
-        self.engines.passed(seconds)
+        self.engines.run_passes(seconds)
         await asyncio.sleep(0)
 
     async def rounds(self, count: int) -> None:
         """Let a second pass before each of some rounds."""
         for _ in range(count):
             self.clock.advance(SECOND)
-            self.engines.passed(1.0)
+            self.engines.run_passes(1.0)
             await self.maps.round()
             await self.maps.switch_runner.wait_idle()
 
@@ -205,7 +208,7 @@
 def test_hot_expert_gets_replicas_and_all_ranks_change_together():
     async def act(rig: Rig) -> None:
         await rig.rounds(5)
-        used = [rank.used for rank in rig.engines.group.ranks]
+        used = [rank.version_and_map for rank in rig.engines.group.ranks]
         assert used[0][0] > 0
         assert used == [used[0]] * SIZE
         before = experts.round_robin_map(SIZE, LIMITS)
@@ -218,18 +221,18 @@
 
 def test_process_without_the_duty_asks_and_orders_nothing():
     async def act(rig: Rig) -> None:
-        rig.leadership.has = False
+        rig.leadership.leads = False
         await rig.rounds(5)
         assert not rig.engines.orders
-        assert rig.engines.group.ranks[0].used == (0, FIRST)
+        assert rig.engines.group.ranks[0].version_and_map == (0, INITIAL_MAP)
 
     run(act)
 
 
 def test_even_demand_is_left_alone():
     async def act(rig: Rig) -> None:
-        rig.engines.passed = lambda seconds: None
-        rig.engines.uses = [0] * LIMITS.experts
+        rig.engines.run_passes = lambda seconds: None
+        rig.engines.uses = [0] * LIMITS.expert_count
         for _ in range(4):
             rig.engines.uses = [one + 5000 for one in rig.engines.uses]
             rig.engines.group.begin_pass()
@@ -249,14 +252,14 @@
         rest = 6 * SECOND
         for rank in resting:
             rig.world.rests.asked(desired.BackendKey(str(rank)), rest)
-        rig.engines.called.clear()
+        rig.engines.called_ranks.clear()
         await rig.rounds(5)
-        assert not set(resting) & set(rig.engines.called)
+        assert not set(resting) & set(rig.engines.called_ranks)
         assert not rig.engines.orders
         # Nothing speaks for it that its group is broken.
         assert not rig.world.outages.servers()
         await rig.rounds(5)
-        assert rig.engines.group.ranks[0].used != (0, FIRST)
+        assert rig.engines.group.ranks[0].version_and_map != (0, INITIAL_MAP)
 
     run(act)
 
@@ -283,7 +286,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         group = rig.engines.group
-        held = experts.Hold(experts.PassNumber(group.step + 1))
+        held = experts.Hold(experts.PassNumber(group.last_pass + 1))
         group.execute(0, held, group.epoch)
         assert not group.begin_pass()
         await rig.rounds(3)
@@ -297,11 +300,11 @@
         await rig.rounds(2)
         assert len(rig.world.serving(SERVICE)) == SIZE
         rig.engines.is_open = False
-        before = rig.news
+        before = rig.notification_count
         await rig.rounds(1)
         assert not rig.world.serving(SERVICE)
         assert len(rig.maps.servers_of_broken_groups()) == SIZE
-        assert rig.news > before
+        assert rig.notification_count > before
         rig.engines.is_open = True
         await rig.rounds(1)
         assert len(rig.world.serving(SERVICE)) == SIZE
@@ -312,7 +315,7 @@
 def test_state_is_known_though_the_first_rank_is_silent():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
-        rig.engines.silent = {0}
+        rig.engines.unreachable = {0}
         rig.engines.is_open = False
         await rig.rounds(1)
         assert len(rig.maps.servers_of_broken_groups()) == SIZE
@@ -326,11 +329,11 @@
 def test_group_is_open_though_its_first_rank_is_silent():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        rig.engines.silent = {0}
+        rig.engines.unreachable = {0}
         for _ in range(3):
             await rig.rounds(1)
             assert not rig.maps.servers_of_broken_groups()
-        rig.engines.silent = set(range(SIZE))
+        rig.engines.unreachable = set(range(SIZE))
         await rig.rounds(1)
         assert len(rig.maps.servers_of_broken_groups()) == SIZE
 
@@ -377,7 +380,7 @@
         _lose_first_entry(rig, at)
         await rig.rounds(5)
         assert "a switch failed" not in caplog.text
-        used = [rank.used for rank in rig.engines.group.ranks]
+        used = [rank.version_and_map for rank in rig.engines.group.ranks]
         assert used == [used[0]] * SIZE
 
     run(act)
@@ -385,7 +388,7 @@
 
 def test_report_of_an_earlier_life_changes_nothing():
     group = rank_groups.RankGroup("g", SERVICE, LIMITS, SIZE)
-    ranks = rank_simulator.SimulatedGroup(SIZE, FIRST)
+    ranks = rank_simulator.SimulatedGroup(SIZE, INITIAL_MAP)
     old = ranks.report(1)
     ranks.form_anew()
     group.apply_report(ranks.report(0), SECOND)
@@ -398,7 +401,7 @@
     async def act(rig: Rig) -> None:
         rig.engines.is_open = False
         await rig.rounds(2)
-        rig.leadership.has = False
+        rig.leadership.leads = False
         await rig.rounds(1)
         assert not rig.maps.servers_of_broken_groups()
         assert len(rig.world.serving(SERVICE)) == SIZE
@@ -409,10 +412,12 @@
 def test_switch_that_cannot_get_on_leaves_the_duty_to_others():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
-        rig.engines.deaf = {2}
+        rig.engines.not_receiving = {2}
         group = rig.engines.group
         group.execute(
-            0, experts.Hold(experts.PassNumber(group.step + 9)), group.epoch
+            0,
+            experts.Hold(experts.PassNumber(group.last_pass + 9)),
+            group.epoch,
         )
         assert not rig.maps.switch_runner.is_stuck()
         await rig.rounds(3)
@@ -449,7 +454,7 @@
 
         rig.engines.order = fail
         await rig.rounds(6)
-        assert rig.engines.group.ranks[0].used[0] > 0
+        assert rig.engines.group.ranks[0].version_and_map[0] > 0
 
     run(act)
 
@@ -460,9 +465,12 @@
         await rig.rounds(4)
         for _ in range(epochs):
             rig.engines.group.form_anew()
-            assert rig.engines.group.ranks[0].used == (0, FIRST)
+            assert rig.engines.group.ranks[0].version_and_map == (
+                0,
+                INITIAL_MAP,
+            )
             await rig.rounds(3)
-        assert rig.engines.group.ranks[0].used[0] > 0
+        assert rig.engines.group.ranks[0].version_and_map[0] > 0
 
     run(act)
 
@@ -497,36 +505,36 @@
 
 def test_every_order_carries_the_number_of_the_lease():
     async def act(rig: Rig) -> None:
-        rig.leadership.number = experts.Generation(4)
+        rig.leadership.current_generation = experts.Generation(4)
         await rig.rounds(5)
         assert rig.engines.orders
         assert set(rig.engines.generations) == {4}
-        assert rig.engines.group.ranks[0].used[0] > 0
+        assert rig.engines.group.ranks[0].version_and_map[0] > 0
 
     run(act)
 
 
 def test_refused_holder_stops_at_once_and_for_good():
     async def act(rig: Rig) -> None:
-        rig.leadership.number = experts.Generation(4)
+        rig.leadership.current_generation = experts.Generation(4)
         for rank in rig.engines.group.ranks:
             rank.min_generation = 5
         await rig.rounds(5)
-        assert rig.leadership.spent
+        assert rig.leadership.refused_generations
         # The one round of orders that was refused.
         assert len(rig.engines.orders) == SIZE
-        assert rig.engines.group.ranks[0].used == (0, FIRST)
+        assert rig.engines.group.ranks[0].version_and_map == (0, INITIAL_MAP)
 
     run(act)
 
 
 def test_holder_whose_lease_goes_during_a_switch_gives_no_further_order():
     async def act(rig: Rig) -> None:
-        rig.leadership.number = experts.Generation(4)
+        rig.leadership.current_generation = experts.Generation(4)
         order = rig.engines.order
 
         async def taken(*args: object) -> experts.OrderResult:
-            rig.leadership.number = None
+            rig.leadership.current_generation = None
             return await order(*args)
 
         rig.engines.order = taken
@@ -538,16 +546,16 @@
 
 
 #: Uses once demand has jumped: another expert has nearly all.
-JUMPED = (1000, 1000, 1000, 100_000, 1000, 1000, 1000, 1000)
+JUMPED_USES = (1000, 1000, 1000, 100_000, 1000, 1000, 1000, 1000)
 
 
-class Jumping:
+class JumpingDemand:
     """Engines whose demand jumps, and a stream that feels it."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
         self.reads = 0
-        self.uses = HOT
+        self.uses = HOT_USES
         counts = rig.engines.counts
 
         async def counted(*args: object) -> experts.ExpertCounts:
@@ -555,9 +563,9 @@
             return await counts(*args)
 
         rig.engines.counts = counted
-        rig.engines.passed = self.passed
+        rig.engines.run_passes = self.run_passes
 
-    def passed(self, seconds: float) -> None:
+    def run_passes(self, seconds: float) -> None:
         for _ in range(max(1, int(seconds / 0.05))):
             self.rig.engines.group.begin_pass()
         if seconds > 0.5:
@@ -569,7 +577,7 @@
 
     def copied(self) -> None:
         for rank in self.rig.engines.group.ranks:
-            rank.copied = True
+            rank.has_copied = True
 
     def event(self, pause_ms: float) -> None:
         """Let a stream get its next event."""
@@ -581,21 +589,21 @@
         """Let some passes go by, with a round at each."""
         for _ in range(count):
             self.rig.clock.advance(datetime.timedelta(seconds=0.1))
-            self.passed(0.1)
+            self.run_passes(0.1)
             await self.rig.maps.round()
 
 
 def test_jump_of_passes_has_counts_read_at_once_and_once_more():
     async def act(rig: Rig) -> None:
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         await rig.rounds(4)
-        jumping.event(50)
-        before = jumping.reads
-        await jumping.short_rounds(2)
-        assert jumping.reads == before
-        jumping.event(120)
-        await jumping.short_rounds(3)
-        assert jumping.reads == before + 2
+        jumping_demand.event(50)
+        before = jumping_demand.reads
+        await jumping_demand.short_rounds(2)
+        assert jumping_demand.reads == before
+        jumping_demand.event(120)
+        await jumping_demand.short_rounds(3)
+        assert jumping_demand.reads == before + 2
 
     run(act, settings_lib.Maps(least_saving=1.0))
 
@@ -603,7 +611,7 @@
 @pytest.mark.parametrize("jumps", [True, False], ids=["jump", "steady"])
 def test_map_that_demand_has_left_is_not_copied_to_the_end(jumps: bool):
     async def act(rig: Rig) -> None:
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         released = asyncio.Event()
         sleep = rig.maps.switch_runner._sleep
 
@@ -614,19 +622,19 @@
         rig.maps.switch_runner._sleep = held
         for _ in range(4):
             rig.clock.advance(SECOND)
-            jumping.passed(0.1)
+            jumping_demand.run_passes(0.1)
             await rig.maps.round()
         for _ in range(20):
             await asyncio.sleep(0)
         first = list(rig.engines.orders)
         assert {type(one) for one in first} == {experts.Prepare}
         if jumps:
-            jumping.uses = JUMPED
-        jumping.event(50)
-        jumping.event(120)
-        await jumping.short_rounds(3)
+            jumping_demand.uses = JUMPED_USES
+        jumping_demand.event(50)
+        jumping_demand.event(120)
+        await jumping_demand.short_rounds(3)
         released.set()
-        jumping.copied()
+        jumping_demand.copied()
         await rig.maps.switch_runner.wait_idle()
         armed = {
             one.version
@@ -641,9 +649,11 @@
 @pytest.mark.parametrize("leased", [True, False], ids=["lease", "none"])
 def test_new_holder_of_a_lease_releases_what_is_held_at_once(leased: bool):
     async def act(rig: Rig) -> None:
-        rig.leadership.number = experts.Generation(4) if leased else None
+        rig.leadership.current_generation = (
+            experts.Generation(4) if leased else None
+        )
         group = rig.engines.group
-        held = experts.Hold(experts.PassNumber(group.step + 1))
+        held = experts.Hold(experts.PassNumber(group.last_pass + 1))
         group.execute(0, held, group.epoch)
         for _ in range(3):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
@@ -657,12 +667,12 @@
 def test_first_demand_after_a_takeover_is_seen_within_a_few_passes():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         for _ in range(8):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
-            jumping.passed(0.05)
+            jumping_demand.run_passes(0.05)
             await rig.maps.round()
-        assert jumping.reads == 2
+        assert jumping_demand.reads == 2
 
     run(act, settings_lib.Maps(least_saving=1.0))
 
@@ -670,13 +680,13 @@
 def test_group_that_forms_anew_is_planned_for_by_what_was_seen_before():
     async def act(rig: Rig) -> None:
         await rig.rounds(6)
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         rig.engines.group.form_anew()
-        rig.engines.uses = [0] * LIMITS.experts
-        before = jumping.reads
+        rig.engines.uses = [0] * LIMITS.expert_count
+        before = jumping_demand.reads
         for _ in range(12):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
-            jumping.passed(0.05)
+            jumping_demand.run_passes(0.05)
             await rig.maps.round()
             await asyncio.sleep(0)
         # Prepared before a second reading in its new life was made.
@@ -686,6 +696,6 @@
             if isinstance(one, experts.Prepare)
         ]
         assert len(prepared) > SIZE
-        assert jumping.reads <= before + 2
+        assert jumping_demand.reads <= before + 2
 
     run(act)
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -13,8 +13,8 @@
 
 MS = datetime.timedelta(milliseconds=1)
 LIMITS = experts.ExpertLimits(
-    sets=1,
-    experts=8,
+    layer_set_count=1,
+    expert_count=8,
     max_experts_per_rank=4,
     max_new_experts_per_map=2,
     copy_s=0.1,
--- a/testing/experts/test_planner.py
+++ b/testing/experts/test_planner.py
@@ -8,8 +8,8 @@
 from lugcross import experts
 
 LIMITS = experts.ExpertLimits(
-    sets=2,
-    experts=24,
+    layer_set_count=2,
+    expert_count=24,
     max_experts_per_rank=5,
     max_new_experts_per_map=2,
     copy_s=0.1,
@@ -21,10 +21,10 @@
 def _demand(seed: int) -> list[list[int]]:
     rng = random.Random(seed)
     found = []
-    for _ in range(LIMITS.sets):
-        uses = [rng.randrange(50, 150) for _ in range(LIMITS.experts)]
+    for _ in range(LIMITS.layer_set_count):
+        uses = [rng.randrange(50, 150) for _ in range(LIMITS.expert_count)]
         for weight in (1200, 500, 300):
-            uses[rng.randrange(LIMITS.experts)] = weight
+            uses[rng.randrange(LIMITS.expert_count)] = weight
         found.append(uses)
     return found
 
@@ -42,11 +42,11 @@
             assert all(
                 len(held) <= LIMITS.max_experts_per_rank for held in rank
             )
-        for num_set in range(LIMITS.sets):
+        for num_set in range(LIMITS.layer_set_count):
             held = {
                 one for rank in plan.next_map.ranks for one in rank[num_set]
             }
-            assert held == set(range(LIMITS.experts))
+            assert held == set(range(LIMITS.expert_count))
         used = plan.next_map
 
 
@@ -86,7 +86,7 @@
             plan = exc.value
             break
         count += 1
-    assert count >= 2 * LIMITS.sets
+    assert count >= 2 * LIMITS.layer_set_count
     assert plan == experts.plan_map(
         _demand(1), used, LIMITS, max_copies_per_rank=2
     )
@@ -119,8 +119,8 @@
     """
     rng = random.Random(3)
     limits = experts.ExpertLimits(
-        sets=sets,
-        experts=count,
+        layer_set_count=sets,
+        expert_count=count,
         max_experts_per_rank=5,
         max_new_experts_per_map=2,
         copy_s=0.1,
@@ -145,8 +145,8 @@
     """
     rng = random.Random(3)
     limits = experts.ExpertLimits(
-        sets=2,
-        experts=252,
+        layer_set_count=2,
+        expert_count=252,
         max_experts_per_rank=5,
         max_new_experts_per_map=2,
         copy_s=0.1,
@@ -170,8 +170,8 @@
 def test_plan_for_full_ranks_keeps_the_number_of_their_experts() -> None:
     """Without a free place experts change places."""
     limits = experts.ExpertLimits(
-        sets=1,
-        experts=24,
+        layer_set_count=1,
+        expert_count=24,
         max_experts_per_rank=4,
         max_new_experts_per_map=2,
         copy_s=0.1,
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -19,53 +19,54 @@
     experts.ExpertMap(tuple(((num, rank),) for rank in range(SIZE)))
     for num in range(3)
 ]
-OWNERS = 2
+PROCESS_COUNT = 2
 #: Classes of passes that numbers stand for. Passes of one class may be
 #: held by two processes at once, and then one releases the other's (see
 #: docs/design/0006-expert-maps.md); so whoever is at work here has a class
 #: of its own, and a process that starts anew has not that of the last one.
-STEP_CLASSES = 4
+PASS_CLASS_COUNT = 4
 #: Walks of one seed, and events in each.
-WALKS = 60
-STEPS = 500
+WALK_COUNT = 60
+EVENTS_PER_WALK_COUNT = 500
 
 Event = tuple[Callable[["Fleet", int], None], int]
 
 
 @dataclasses.dataclass
-class Holder:
+class SwitchingProcess:
     """A process that believes that maps are its duty.
 
-    :param waits: orders of the round whose answers it still waits for.
+    :param unanswered_count: orders of the round whose answers it still waits
+        for.
     :param generation: number of its lease, where ranks check it; it may
         have been superseded without its knowing.
     """
 
     index: int
-    owner: experts.NumberAllocator
+    allocator: experts.NumberAllocator
     life: int = 0
     switch: experts.MapSwitch | None = None
     epoch: int = 0
-    waits: int = 0
+    unanswered_count: int = 0
     generation: int | None = None
 
 
 @dataclasses.dataclass
-class Flying:
+class InFlightOrder:
     """An order on its way; nobody waits for its answer once it is late."""
 
     rank: experts.Rank
     order: experts.Order
     epoch: int
-    sender: Holder | None
+    sender: SwitchingProcess | None
     switch: experts.MapSwitch | None
     life: tuple[int, int]
     generation: int | None
 
 
-def _number(index: int, life: int) -> int:
+def _allocator_number(index: int, life: int) -> int:
     """Return a number never used before, of a class not used lately."""
-    return life * OWNERS + index
+    return life * PROCESS_COUNT + index
 
 
 class Fleet:
@@ -80,99 +81,106 @@
         self.fenced = fenced
         self.claims = 0
         self.group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
-        self.holders = [
-            Holder(num, experts.NumberAllocator(_number(num, 0)))
-            for num in range(OWNERS)
+        self.processes = [
+            SwitchingProcess(
+                num, experts.NumberAllocator(_allocator_number(num, 0))
+            )
+            for num in range(PROCESS_COUNT)
         ]
-        self.flying: list[Flying] = []
-        self.look(0)
+        self.in_flight: list[InFlightOrder] = []
+        self.read_reports(0)
 
-    def _holder(self, pick: int) -> Holder:
-        return self.holders[pick % OWNERS]
+    def _process(self, pick: int) -> SwitchingProcess:
+        return self.processes[pick % PROCESS_COUNT]
 
     def claim(self, pick: int) -> None:
         """Take the lease, whoever has it; that one is not told."""
-        holder = self._holder(pick)
-        if self.fenced and holder.switch is None:
+        process = self._process(pick)
+        if self.fenced and process.switch is None:
             self.claims += 1
-            holder.generation = self.claims
-            holder.owner.use_generation(experts.Generation(self.claims))
+            process.generation = self.claims
+            process.allocator.use_generation(experts.Generation(self.claims))
 
-    def _may_begin(self, holder: Holder) -> bool:
-        rests = self.fenced and holder.generation is None
-        return holder.switch is None and not rests
+    def _may_begin(self, process: SwitchingProcess) -> bool:
+        rests = self.fenced and process.generation is None
+        return process.switch is None and not rests
 
     def start(self, pick: int) -> None:
-        holder = self._holder(pick)
-        if not self._may_begin(holder) or self.old[0].held_pass is not None:
+        process = self._process(pick)
+        if (
+            not self._may_begin(process)
+            or self.last_reports[0].held_pass is not None
+        ):
             return
-        newest = max(report.highest_version for report in self.old)
-        self._begin(
-            holder,
+        newest = max(report.highest_version for report in self.last_reports)
+        self._start_switch(
+            process,
             experts.MapSwitch(
                 rank_count=SIZE,
-                version=holder.owner.next_version(newest),
+                version=process.allocator.next_version(newest),
                 new_map=MAPS[pick % len(MAPS)],
-                old_map=self.group.ranks[0].used[1],
-                allocator=holder.owner,
-                pass_at_planning=experts.PassNumber(self.group.step),
+                old_map=self.group.ranks[0].version_and_map[1],
+                allocator=process.allocator,
+                pass_at_planning=experts.PassNumber(self.group.last_pass),
             ),
         )
 
-    def finish_what_is_held(self, pick: int) -> None:
-        holder = self._holder(pick)
-        held = self.old[0].held_pass
-        if not self._may_begin(holder) or held is None:
+    def resume_switch(self, pick: int) -> None:
+        process = self._process(pick)
+        held = self.last_reports[0].held_pass
+        if not self._may_begin(process) or held is None:
             return
         armed = [
             one.armed_order.version
-            for one in self.old
-            if one.armed_order and one.armed_order.step == held
+            for one in self.last_reports
+            if one.armed_order and one.armed_order.pass_number == held
         ]
-        newest = max(one.highest_version for one in self.old)
-        self._begin(
-            holder,
+        newest = max(one.highest_version for one in self.last_reports)
+        self._start_switch(
+            process,
             experts.MapSwitch.resume(
                 rank_count=SIZE,
                 highest_version=newest,
                 armed_version=max(armed, default=None),
                 held_pass=held,
-                old_map=self.group.ranks[0].used[1],
-                allocator=holder.owner,
+                old_map=self.group.ranks[0].version_and_map[1],
+                allocator=process.allocator,
             ),
         )
 
-    def _begin(self, holder: Holder, switch: experts.MapSwitch) -> None:
-        holder.epoch = self.old[0].epoch
-        holder.waits = 0
-        holder.switch = switch
+    def _start_switch(
+        self, process: SwitchingProcess, switch: experts.MapSwitch
+    ) -> None:
+        process.epoch = self.last_reports[0].epoch
+        process.unanswered_count = 0
+        process.switch = switch
 
     def send(self, pick: int) -> None:
-        holder = self._holder(pick)
-        switch = holder.switch
-        if switch is None or holder.waits:
+        process = self._process(pick)
+        switch = process.switch
+        if switch is None or process.unanswered_count:
             return
         if switch.phase is experts.SwitchPhase.OVER:
-            holder.switch = None
+            process.switch = None
         elif switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
             report = self.group.report(0)
             if report.held_pass is not None:
                 return
-            switch.note_copied(report.step)
-            switch.hold_later_pass(report.step)
+            switch.note_copied(report.last_pass)
+            switch.hold_later_pass(report.last_pass)
         else:
             todo = switch.pending_orders()
-            life = holder.index, holder.life
-            holder.waits = len(todo)
-            self.flying += [
-                Flying(
+            life = process.index, process.life
+            process.unanswered_count = len(todo)
+            self.in_flight += [
+                InFlightOrder(
                     rank,
                     order,
-                    holder.epoch,
-                    holder,
+                    process.epoch,
+                    process,
                     switch,
                     life,
-                    holder.generation,
+                    process.generation,
                 )
                 for rank, order in todo
             ]
@@ -184,54 +192,58 @@
         self._arrive(pick, heard=False)
 
     def _arrive(self, pick: int, *, heard: bool) -> None:
-        if not self.flying:
+        if not self.in_flight:
             return
-        one = self.flying.pop(pick % len(self.flying))
-        verdict = self.group.execute(
+        one = self.in_flight.pop(pick % len(self.in_flight))
+        result = self.group.execute(
             one.rank, one.order, one.epoch, one.generation
         )
-        self._tell(one, verdict if heard else experts.OrderResult.UNKNOWN)
+        self._deliver_result(
+            one, result if heard else experts.OrderResult.UNKNOWN
+        )
 
     def time_out(self, pick: int) -> None:
         """Its sender waits no more; the order itself comes later."""
-        waiting = [one for one in self.flying if one.sender is not None]
+        waiting = [one for one in self.in_flight if one.sender is not None]
         if waiting:
             one = waiting[pick % len(waiting)]
-            self._tell(one, experts.OrderResult.UNKNOWN)
+            self._deliver_result(one, experts.OrderResult.UNKNOWN)
             one.sender = None
 
-    def _tell(self, one: Flying, verdict: experts.OrderResult) -> None:
-        holder = one.sender
-        if holder is None or holder.switch is not one.switch:
+    def _deliver_result(
+        self, one: InFlightOrder, result: experts.OrderResult
+    ) -> None:
+        process = one.sender
+        if process is None or process.switch is not one.switch:
             return
-        assert holder.switch is not None
-        holder.waits -= 1
-        holder.switch.apply_result(one.rank, one.order, verdict)
-        if verdict is experts.OrderResult.FENCED:
-            assert holder.switch.phase is experts.SwitchPhase.OVER
-            holder.generation = None
+        assert process.switch is not None
+        process.unanswered_count -= 1
+        process.switch.apply_result(one.rank, one.order, result)
+        if result is experts.OrderResult.FENCED:
+            assert process.switch.phase is experts.SwitchPhase.OVER
+            process.generation = None
 
     def die(self, pick: int) -> None:
-        holder = self._holder(pick)
-        holder.switch = None
+        process = self._process(pick)
+        process.switch = None
         # What the life before the last one sent has arrived by now.
-        self.flying = [
+        self.in_flight = [
             one
-            for one in self.flying
-            if one.life != (holder.index, holder.life - 1)
+            for one in self.in_flight
+            if one.life != (process.index, process.life - 1)
         ]
-        holder.life += 1
-        holder.generation = None
-        holder.owner = experts.NumberAllocator(
-            _number(holder.index, holder.life)
+        process.life += 1
+        process.generation = None
+        process.allocator = experts.NumberAllocator(
+            _allocator_number(process.index, process.life)
         )
 
     def copy(self, pick: int) -> None:
-        self.group.ranks[pick % SIZE].copied = True
+        self.group.ranks[pick % SIZE].has_copied = True
 
-    def look(self, pick: int) -> None:
+    def read_reports(self, pick: int) -> None:
         del pick
-        self.old = [self.group.report(rank) for rank in range(SIZE)]
+        self.last_reports = [self.group.report(rank) for rank in range(SIZE)]
 
     def pass_begins(self, pick: int) -> None:
         del pick
@@ -245,14 +257,14 @@
 #: Events, each as often as it stands to the others in a walk.
 WEIGHTS = {
     Fleet.start: 3.0,
-    Fleet.finish_what_is_held: 1.0,
+    Fleet.resume_switch: 1.0,
     Fleet.send: 8.0,
     Fleet.arrive: 20.0,
     Fleet.arrive_unheard: 2.0,
     Fleet.time_out: 2.0,
     Fleet.die: 0.2,
     Fleet.copy: 6.0,
-    Fleet.look: 4.0,
+    Fleet.read_reports: 4.0,
     Fleet.pass_begins: 4.0,
     Fleet.form_anew: 0.05,
     Fleet.claim: 0.2,
@@ -291,24 +303,26 @@
     events = list(WEIGHTS)
     weights = list(WEIGHTS.values())
     switched = 0
-    for _ in range(WALKS):
+    for _ in range(WALK_COUNT):
         fleet = Fleet(fenced=fenced)
-        for event in rng.choices(events, weights, k=STEPS):
+        for event in rng.choices(events, weights, k=EVENTS_PER_WALK_COUNT):
             event(fleet, rng.randrange(60))
-        switched += fleet.group.ranks[0].used[0] > 0
+        switched += fleet.group.ranks[0].version_and_map[0] > 0
     # Walks in which nothing is ever switched would prove nothing.
-    assert switched > WALKS // 10
+    assert switched > WALK_COUNT // 10
 
 
 #: Makes what a sender hears of an order from what became of it.
-Hearing = Callable[[experts.Order, experts.OrderResult], experts.OrderResult]
+ResultFilter = Callable[
+    [experts.Order, experts.OrderResult], experts.OrderResult
+]
 
 
-def hears_all(
-    order: experts.Order, verdict: experts.OrderResult
+def all_results(
+    order: experts.Order, result: experts.OrderResult
 ) -> experts.OrderResult:
     del order
-    return verdict
+    return result
 
 
 def advance(
@@ -317,7 +331,7 @@
     *,
     copied: Sequence[int] = range(SIZE),
     most: int | None = None,
-    hears: Hearing = hears_all,
+    result_filter: ResultFilter = all_results,
 ) -> int:
     """Carry out one round of a switch.
 
@@ -327,15 +341,15 @@
     """
     if switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
         for rank in copied:
-            group.ranks[rank].copied = True
+            group.ranks[rank].has_copied = True
         group.begin_pass()
-        switch.note_copied(experts.PassNumber(group.step))
-        switch.hold_later_pass(experts.PassNumber(group.step))
+        switch.note_copied(experts.PassNumber(group.last_pass))
+        switch.hold_later_pass(experts.PassNumber(group.last_pass))
         return 0
     todo = switch.pending_orders()[:most]
     for rank, order in todo:
-        verdict = group.execute(rank, order, group.epoch)
-        switch.apply_result(rank, order, hears(order, verdict))
+        result = group.execute(rank, order, group.epoch)
+        switch.apply_result(rank, order, result_filter(order, result))
     return len(todo)
 
 
@@ -344,13 +358,13 @@
     switch: experts.MapSwitch,
     *,
     copied: Sequence[int] = range(SIZE),
-    hears: Hearing = hears_all,
+    result_filter: ResultFilter = all_results,
 ) -> None:
     """Carry out a switch to its end."""
     for _ in range(200):
         if switch.phase is experts.SwitchPhase.OVER:
             return
-        advance(group, switch, copied=copied, hears=hears)
+        advance(group, switch, copied=copied, result_filter=result_filter)
     raise AssertionError(f"still in {switch.phase}")
 
 
@@ -373,19 +387,21 @@
 def test_ranks_take_up_the_map_whatever_answers_are_lost(deaf: int) -> None:
     answers = itertools.count(1)
 
-    def hears(
-        order: experts.Order, verdict: experts.OrderResult
+    def result_filter(
+        order: experts.Order, result: experts.OrderResult
     ) -> experts.OrderResult:
         del order
         lost = deaf and next(answers) % deaf == 0
-        return experts.OrderResult.UNKNOWN if lost else verdict
+        return experts.OrderResult.UNKNOWN if lost else result
 
     group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
     switch = new_switch()
-    drive(group, switch, hears=hears)
+    drive(group, switch, result_filter=result_filter)
     assert switch.outcome is experts.SwitchOutcome.SWITCHED
     assert_runs_on(group)
-    assert [rank.used for rank in group.ranks] == [(5, MAPS[1])] * SIZE
+    assert [rank.version_and_map for rank in group.ranks] == [
+        (5, MAPS[1])
+    ] * SIZE
 
 
 def test_group_runs_on_where_one_rank_cannot_be_armed() -> None:
@@ -394,7 +410,9 @@
     drive(group, switch, copied=range(SIZE - 1))
     assert switch.outcome is experts.SwitchOutcome.VOIDED
     assert_runs_on(group)
-    assert [rank.used[1] for rank in group.ranks] == [MAPS[0]] * SIZE
+    assert [rank.version_and_map[1] for rank in group.ranks] == [
+        MAPS[0]
+    ] * SIZE
 
 
 @pytest.mark.parametrize("sent", range(0, 14))
@@ -406,7 +424,7 @@
         left -= advance(group, switch, most=left)
     report = group.report(0)
     if report.held_pass is not None:
-        armed = [one.armed for one in group.ranks if one.armed]
+        armed = [one.armed_order for one in group.ranks if one.armed_order]
         newest = max(
             group.report(rank).highest_version for rank in range(SIZE)
         )
@@ -468,15 +486,15 @@
         switch.apply_result(
             rank, order, group.execute(rank, order, group.epoch)
         )
-    switch.note_copied(experts.PassNumber(group.step))
+    switch.note_copied(experts.PassNumber(group.last_pass))
     assert switch.phase is experts.SwitchPhase.OVER
-    assert switch.outcome is experts.SwitchOutcome.LEFT
+    assert switch.outcome is experts.SwitchOutcome.CANCELLED
 
 
 def test_version_is_never_chosen_twice() -> None:
-    owner = experts.NumberAllocator(7)
-    first = owner.next_version(experts.MapVersion(0))
-    assert owner.next_version(experts.MapVersion(0)) > first
+    allocator = experts.NumberAllocator(7)
+    first = allocator.next_version(experts.MapVersion(0))
+    assert allocator.next_version(experts.MapVersion(0)) > first
 
 
 def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
@@ -484,7 +502,7 @@
     switch = new_switch()
     switch.note_epoch_ended()
     assert switch.phase is experts.SwitchPhase.OVER
-    assert switch.outcome is experts.SwitchOutcome.LEFT
+    assert switch.outcome is experts.SwitchOutcome.CANCELLED
     assert group.begin_pass()
 
 
@@ -492,9 +510,9 @@
 def test_processes_of_unlike_classes_never_hold_one_pass(after: int) -> None:
     steps = [
         experts.NumberAllocator(number).next_pass(experts.PassNumber(after))
-        for number in range(STEP_CLASSES)
+        for number in range(PASS_CLASS_COUNT)
     ]
-    assert len(set(steps)) == STEP_CLASSES
+    assert len(set(steps)) == PASS_CLASS_COUNT
     assert min(steps) > after
 
 
@@ -502,9 +520,9 @@
 def test_holders_in_a_row_never_hold_one_pass(after: int) -> None:
     steps = []
     for generation in (7, 8):
-        owner = experts.NumberAllocator(3)
-        owner.use_generation(experts.Generation(generation))
-        steps.append(owner.next_pass(experts.PassNumber(after)))
+        allocator = experts.NumberAllocator(3)
+        allocator.use_generation(experts.Generation(generation))
+        steps.append(allocator.next_pass(experts.PassNumber(after)))
     assert len(set(steps)) == 2
     assert min(steps) == after + 1
 
@@ -520,4 +538,4 @@
     slow.apply_result(rank, order, group.execute(rank, order, group.epoch, 1))
     assert slow.phase is experts.SwitchPhase.OVER
     assert not slow.pending_orders()
-    assert not group.ranks[rank].armed
+    assert not group.ranks[rank].armed_order
--- a/testing/platform/test_engines.py
+++ b/testing/platform/test_engines.py
@@ -17,8 +17,8 @@
 
 BACKEND = edge_rig.backend()
 LIMITS = experts.ExpertLimits(
-    sets=2,
-    experts=3,
+    layer_set_count=2,
+    expert_count=3,
     max_experts_per_rank=2,
     max_new_experts_per_map=1,
     copy_s=0.1,
@@ -68,12 +68,12 @@
     assert wire.asked == [("GET", "/report", b"")]
     assert report == experts.RankReport(
         group="g",
-        size=8,
+        rank_count=8,
         rank=experts.Rank(1),
         epoch=experts.Epoch(2),
         is_open=True,
-        running=4,
-        step=experts.PassNumber(46),
+        request_count=4,
+        last_pass=experts.PassNumber(46),
         version_in_use=experts.MapVersion(5),
         prepared_version=experts.MapVersion(6),
         armed_order=experts.Arm(experts.MapVersion(6), experts.PassNumber(60)),
@@ -165,7 +165,7 @@
         with pytest.raises(platform.EngineError, match="another life"):
             asyncio.run(asked.counts(backend, LIMITS))
     else:
-        assert asyncio.run(asked.counts(backend, LIMITS)).step == 9
+        assert asyncio.run(asked.counts(backend, LIMITS)).last_pass == 9
 
 
 def test_held_experts_are_those_of_the_map_in_use():
--- a/testing/support/rank_simulator.py
+++ b/testing/support/rank_simulator.py
@@ -19,12 +19,12 @@
 class SimulatedRank:
     """One rank."""
 
-    used: tuple[int, experts.ExpertMap]
-    highest: int = 0
-    prepared: experts.Prepare | None = None
-    copied: bool = False
-    armed: experts.Arm | None = None
-    held: int | None = None
+    version_and_map: tuple[int, experts.ExpertMap]
+    highest_version: int = 0
+    prepared_order: experts.Prepare | None = None
+    has_copied: bool = False
+    armed_order: experts.Arm | None = None
+    held_pass: int | None = None
     min_generation: int = 0
 
     def execute(self, order: experts.Order, step: int) -> experts.OrderResult:
@@ -40,48 +40,57 @@
         if isinstance(order, experts.Arm):
             return self._arm(order, step)
         if isinstance(order, experts.Disarm):
-            if order.version == self.used[0]:
+            if order.version == self.version_and_map[0]:
                 return False
-            if self.armed and self.armed.version == order.version:
-                self.armed = None
+            if self.armed_order and self.armed_order.version == order.version:
+                self.armed_order = None
             return True
         if isinstance(order, experts.Hold):
-            if order.step <= step or self.held not in (None, order.step):
+            if order.pass_number <= step or self.held_pass not in (
+                None,
+                order.pass_number,
+            ):
                 return False
-            self.held = order.step
+            self.held_pass = order.pass_number
             return True
-        if self.held == order.step:
-            self.held = None
+        if self.held_pass == order.pass_number:
+            self.held_pass = None
         return True
 
     def _prepare(self, order: experts.Prepare) -> bool:
-        if self.armed:
+        if self.armed_order:
             return False
-        if self.prepared and order.version == self.prepared.version:
+        if (
+            self.prepared_order
+            and order.version == self.prepared_order.version
+        ):
             return True
-        if order.version <= self.highest:
+        if order.version <= self.highest_version:
             return False
-        self.highest = order.version
-        self.prepared = order
-        self.copied = order.map == self.used[1]
+        self.highest_version = order.version
+        self.prepared_order = order
+        self.has_copied = order.map == self.version_and_map[1]
         return True
 
     def _arm(self, order: experts.Arm, step: int) -> bool:
-        ready = self.prepared is not None and self.copied
-        if not ready or order.step <= step:
+        ready = self.prepared_order is not None and self.has_copied
+        if not ready or order.pass_number <= step:
             return False
-        assert self.prepared is not None
-        if self.prepared.version != order.version:
+        assert self.prepared_order is not None
+        if self.prepared_order.version != order.version:
             return False
-        self.armed = order
+        self.armed_order = order
         return True
 
     def begin_pass(self, step: int) -> None:
         """Take up an armed map as pass ``step`` begins."""
-        if self.armed and self.armed.step == step:
-            assert self.prepared is not None
-            self.used = self.prepared.version, self.prepared.map
-            self.prepared = self.armed = None
+        if self.armed_order and self.armed_order.pass_number == step:
+            assert self.prepared_order is not None
+            self.version_and_map = (
+                self.prepared_order.version,
+                self.prepared_order.map,
+            )
+            self.prepared_order = self.armed_order = None
 
 
 class SimulatedGroup:
@@ -91,14 +100,14 @@
         self._initial_map = first
         self.size = size
         self.epoch = 0
-        self.step = 0
+        self.last_pass = 0
         self.ranks: list[SimulatedRank] = []
         self.form_anew()
 
     def form_anew(self) -> None:
         """Begin a new life, with the first map and nothing else."""
         self.epoch += 1
-        self.step = 0
+        self.last_pass = 0
         self.ranks = [
             SimulatedRank((0, self._initial_map)) for _ in range(self.size)
         ]
@@ -118,12 +127,12 @@
             one.min_generation = generation
         if epoch != self.epoch:
             return experts.OrderResult.REFUSED
-        return one.execute(order, self.step)
+        return one.execute(order, self.last_pass)
 
     @property
     def next_pass_is_held(self) -> bool:
         """Whether a rank keeps the next pass from beginning."""
-        return any(rank.held == self.step + 1 for rank in self.ranks)
+        return any(rank.held_pass == self.last_pass + 1 for rank in self.ranks)
 
     def begin_pass(self) -> bool:
         """Begin a pass, unless it is held.
@@ -132,33 +141,38 @@
         """
         if self.next_pass_is_held:
             return False
-        self.step += 1
+        self.last_pass += 1
         for rank in self.ranks:
-            rank.begin_pass(self.step)
-        if any(rank.used != self.ranks[0].used for rank in self.ranks):
-            raise TwoMapsError([rank.used[0] for rank in self.ranks])
+            rank.begin_pass(self.last_pass)
+        if any(
+            rank.version_and_map != self.ranks[0].version_and_map
+            for rank in self.ranks
+        ):
+            raise TwoMapsError(
+                [rank.version_and_map[0] for rank in self.ranks]
+            )
         return True
 
     def report(self, rank: int) -> experts.RankReport:
         """Return what a rank tells."""
         one = self.ranks[rank]
-        ready = one.prepared is not None and one.copied
+        ready = one.prepared_order is not None and one.has_copied
         return experts.RankReport(
             group="g",
-            size=self.size,
+            rank_count=self.size,
             rank=experts.Rank(rank),
             epoch=experts.Epoch(self.epoch),
             is_open=True,
-            running=0,
-            step=experts.PassNumber(self.step),
-            version_in_use=experts.MapVersion(one.used[0]),
+            request_count=0,
+            last_pass=experts.PassNumber(self.last_pass),
+            version_in_use=experts.MapVersion(one.version_and_map[0]),
             prepared_version=(
-                experts.MapVersion(one.prepared.version)
-                if ready and one.prepared
+                experts.MapVersion(one.prepared_order.version)
+                if ready and one.prepared_order
                 else None
             ),
-            armed_order=one.armed,
+            armed_order=one.armed_order,
             held_pass=None
-            if one.held is None
-            else experts.PassNumber(one.held),
+            if one.held_pass is None
+            else experts.PassNumber(one.held_pass),
         )
