--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -17,18 +17,18 @@
 from lugcross import platform
 from lugcross import record as record_lib
 
-#: Name of the duty in the topic of leases. One for all groups: they share
-#: what is seen of demand, and the process that reads it.
+#: Name of the leadership in the topic of leases. One for all groups: they
+#: share what is seen of demand, and the process that reads it.
 _LEASE_KEY = "maps"
 #: Time between two looks whether something is to be done, in seconds.
 _ROUND_INTERVAL_S = 0.1
 
 
 class Candidacy(Protocol):
-    """What is known of the processes that could have the duty."""
+    """What is known of the processes that could be the leader."""
 
     def fit(self) -> bool:
-        """Tell whether this process may have the duty at all."""
+        """Tell whether this process may be the leader at all."""
 
     def first(self) -> bool:
         """Tell whether it comes first among those that may."""
@@ -39,7 +39,7 @@
 
 @final
 class MapLeadership:
-    """This process's part in the duty.
+    """This process's part in the leadership.
 
     :param needs_fencing: whether orders must carry a number now.
     :param on_lease_change: called when the lease was got or lost.
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Looks after the expert maps of all groups while this is our duty."""
+"""Looks after the expert maps of all groups while this process leads."""
 
 import asyncio
 from collections.abc import Callable
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -18,7 +18,7 @@
 from lugcross import ids
 from lugcross import platform
 
-#: How long a process that could not finish a switch leaves the duty to
+#: How long a process that could not finish a switch leaves the leadership to
 #: others; as long as most cuts of single hosts last.
 _STUCK_DURATION = datetime.timedelta(seconds=10)
 
--- a/src/lugcross/experts/election.py
+++ b/src/lugcross/experts/election.py
@@ -18,7 +18,7 @@
     """A process that could look after expert maps.
 
     :param started_at_ms: when it started, by its own time of day; processes
-        that started later leave the duty to earlier ones.
+        that started later leave the leadership to earlier ones.
     :param incarnation: decides between two that started together.
     """
 
@@ -27,5 +27,5 @@
 
 
 def elect_leader(candidates: Iterable[Candidate]) -> Candidate | None:
-    """Return whose duty it is; none if there is nobody."""
+    """Return the leader; none if there is no candidate."""
     return min(candidates, default=None)
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -33,7 +33,7 @@
     """A map that may follow the one in use.
 
     :param skew_before: of the demand under the map in use.
-    :param skew_after: of the demand under ``next``.
+    :param skew_after: of the demand under ``next_map``.
     :param max_copies_per_rank: most experts that one rank must copy.
     """
 
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -2,8 +2,8 @@
 """How long a group is left alone whose first change of map breaks it.
 
 Load pattern: an order, or a map, ends a rank that takes it. The group stands
-still, forms anew some seconds later with its first map, and whoever has the
-duty plans the same change again: the group would break every few seconds for
+still, forms anew some seconds later with its first map, and the
+leader plans the same change again: the group would break every few seconds for
 as long as demand stays as it is.
 
 Groups break for other reasons too, also beside a change. Twice in a row just
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The duty of expert maps: who has it, and under which number."""
+"""The leadership of expert maps: who has it, and under which number."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -13,11 +13,11 @@
 from lugcross import platform
 from lugcross.standin import store as standin
 
-LONG = datetime.timedelta(seconds=30)
+LONG_TIMEOUT = datetime.timedelta(seconds=30)
 
 
 class Candidacy:
-    """What a test says of the processes that could have the duty."""
+    """What a test says of the processes that could be the leader."""
 
     def __init__(self) -> None:
         self.is_fit = True
@@ -42,7 +42,7 @@
         self.clock = clock_lib.ManualClock()
         self.fenced = True
         self.notification_count = 0
-        self.client = platform.StoreClient(address, timeout=LONG)
+        self.client = platform.StoreClient(address, timeout=LONG_TIMEOUT)
 
     def _changed(self) -> None:
         self.notification_count += 1
@@ -81,7 +81,7 @@
         await leadership.round()
 
 
-def test_duty_is_had_only_with_the_lease():
+def test_process_leads_only_with_the_lease():
     async def act(rig: Rig) -> None:
         leadership, _ = rig.process("a")
         assert not leadership.is_leader()
@@ -94,7 +94,7 @@
     run(act)
 
 
-def test_without_fences_the_first_has_the_duty_and_calls_nobody():
+def test_without_fences_the_first_leads_and_calls_nobody():
     async def act(rig: Rig) -> None:
         rig.fenced = False
         leadership, candidacy = rig.process("a")
@@ -167,7 +167,7 @@
     run(act)
 
 
-def test_holder_keeps_the_duty_while_the_store_is_busy():
+def test_holder_keeps_the_leadership_while_the_store_is_busy():
     async def act(rig: Rig) -> None:
         leadership, _ = rig.process("a")
         await rounds(leadership)
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whoever has the duty sees demand, switches maps and tells of outages."""
+"""The leader sees demand, switches maps and tells of outages."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -21,7 +21,7 @@
 from lugcross import ids
 from lugcross import platform
 
-SIZE = 4
+RANK_COUNT = 4
 SERVICE = ids.ServiceName("llm")
 LIMITS = experts.ExpertLimits(
     layer_set_count=1,
@@ -31,7 +31,7 @@
     copy_s=0.1,
     expert_time_ratio=0.8,
 )
-INITIAL_MAP = experts.round_robin_map(SIZE, LIMITS)
+INITIAL_MAP = experts.round_robin_map(RANK_COUNT, LIMITS)
 #: Uses of each expert in one reading; the first has nearly all.
 HOT_USES = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
 SECOND = datetime.timedelta(seconds=1)
@@ -41,7 +41,7 @@
     """Ranks that make one pass for each 50 ms that are waited."""
 
     def __init__(self) -> None:
-        self.group = rank_simulator.SimulatedGroup(SIZE, INITIAL_MAP)
+        self.group = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
         self.uses = [0] * LIMITS.expert_count
         self.is_open = True
         self.unreachable: set[int] = set()
@@ -107,7 +107,7 @@
 
 
 class MapLeadership:
-    """A duty that a test gives and takes away."""
+    """A leadership that a test gives and takes away."""
 
     def __init__(self) -> None:
         self.leads = True
@@ -176,9 +176,9 @@
                 str(rank),
                 edge_rig.entry("llm", f"10.0.0.1:{1000 + rank}"),
             )
-            for rank in range(SIZE)
+            for rank in range(RANK_COUNT)
         )
-        tail = platform.Tail(end=ids.Offset(SIZE), records=rows)
+        tail = platform.Tail(end=ids.Offset(RANK_COUNT), records=rows)
         self.world.backends.apply(tail, store_was_away=False)
 
     async def _sleep(self, seconds: float) -> None:
@@ -210,8 +210,8 @@
         await rig.rounds(5)
         used = [rank.version_and_map for rank in rig.engines.group.ranks]
         assert used[0][0] > 0
-        assert used == [used[0]] * SIZE
-        before = experts.round_robin_map(SIZE, LIMITS)
+        assert used == [used[0]] * RANK_COUNT
+        before = experts.round_robin_map(RANK_COUNT, LIMITS)
         assert experts.load_skew([rig.engines.uses], before) > 1.9
         assert experts.load_skew([rig.engines.uses], used[0][1]) <= 1.4
         assert sum(0 in rank[0] for rank in used[0][1].ranks) > 1
@@ -219,7 +219,7 @@
     run(act)
 
 
-def test_process_without_the_duty_asks_and_orders_nothing():
+def test_process_that_does_not_lead_asks_and_orders_nothing():
     async def act(rig: Rig) -> None:
         rig.leadership.leads = False
         await rig.rounds(5)
@@ -298,16 +298,16 @@
 def test_group_is_told_broken_and_open_again():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.world.serving(SERVICE)) == RANK_COUNT
         rig.engines.is_open = False
         before = rig.notification_count
         await rig.rounds(1)
         assert not rig.world.serving(SERVICE)
-        assert len(rig.maps.servers_of_broken_groups()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
         assert rig.notification_count > before
         rig.engines.is_open = True
         await rig.rounds(1)
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.world.serving(SERVICE)) == RANK_COUNT
 
     run(act)
 
@@ -318,7 +318,7 @@
         rig.engines.unreachable = {0}
         rig.engines.is_open = False
         await rig.rounds(1)
-        assert len(rig.maps.servers_of_broken_groups()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
         rig.engines.is_open = True
         await rig.rounds(1)
         assert not rig.maps.servers_of_broken_groups()
@@ -333,9 +333,9 @@
         for _ in range(3):
             await rig.rounds(1)
             assert not rig.maps.servers_of_broken_groups()
-        rig.engines.unreachable = set(range(SIZE))
+        rig.engines.unreachable = set(range(RANK_COUNT))
         await rig.rounds(1)
-        assert len(rig.maps.servers_of_broken_groups()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
 
     run(act)
 
@@ -381,14 +381,14 @@
         await rig.rounds(5)
         assert "a switch failed" not in caplog.text
         used = [rank.version_and_map for rank in rig.engines.group.ranks]
-        assert used == [used[0]] * SIZE
+        assert used == [used[0]] * RANK_COUNT
 
     run(act)
 
 
 def test_report_of_an_earlier_life_changes_nothing():
-    group = rank_groups.RankGroup("g", SERVICE, LIMITS, SIZE)
-    ranks = rank_simulator.SimulatedGroup(SIZE, INITIAL_MAP)
+    group = rank_groups.RankGroup("g", SERVICE, LIMITS, RANK_COUNT)
+    ranks = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
     old = ranks.report(1)
     ranks.form_anew()
     group.apply_report(ranks.report(0), SECOND)
@@ -397,19 +397,19 @@
     assert group.epoch == 2
 
 
-def test_process_that_loses_the_duty_tells_of_no_outage():
+def test_process_that_loses_the_leadership_tells_of_no_outage():
     async def act(rig: Rig) -> None:
         rig.engines.is_open = False
         await rig.rounds(2)
         rig.leadership.leads = False
         await rig.rounds(1)
         assert not rig.maps.servers_of_broken_groups()
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.world.serving(SERVICE)) == RANK_COUNT
 
     run(act)
 
 
-def test_switch_that_cannot_get_on_leaves_the_duty_to_others():
+def test_switch_that_cannot_get_on_leaves_the_leadership_to_others():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         rig.engines.not_receiving = {2}
@@ -436,7 +436,7 @@
 
         rig.engines.report = fail
         looking = asyncio.create_task(rig.maps.run())
-        while len(rounds) < 3 * SIZE and not looking.done():
+        while len(rounds) < 3 * RANK_COUNT and not looking.done():
             await asyncio.sleep(0)
         assert not looking.done()
         looking.cancel()
@@ -522,7 +522,7 @@
         await rig.rounds(5)
         assert rig.leadership.refused_generations
         # The one round of orders that was refused.
-        assert len(rig.engines.orders) == SIZE
+        assert len(rig.engines.orders) == RANK_COUNT
         assert rig.engines.group.ranks[0].version_and_map == (0, INITIAL_MAP)
 
     run(act)
@@ -539,7 +539,7 @@
 
         rig.engines.order = taken
         await rig.rounds(4)
-        assert len(rig.engines.orders) == SIZE
+        assert len(rig.engines.orders) == RANK_COUNT
         assert rig.maps.switch_runner.is_stuck()
 
     run(act)
@@ -695,7 +695,7 @@
             for one in rig.engines.orders
             if isinstance(one, experts.Prepare)
         ]
-        assert len(prepared) > SIZE
+        assert len(prepared) > RANK_COUNT
         assert jumping_demand.reads <= before + 2
 
     run(act)
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -22,60 +22,62 @@
 )
 
 
-def passes(
-    pulse: pass_times_lib.PassTimes, *lengths: float, streams: int = 3
+def run_passes(
+    pass_times: pass_times_lib.PassTimes, *lengths: float, streams: int = 3
 ) -> list[bool]:
     """Let passes go by, each with an event for some streams."""
     clock = clock_lib.ManualClock()
-    told = []
+    jumps = []
     for length in lengths:
         clock.advance(length * MS)
-        told += [
-            pulse.note_pause(length * MS, clock.monotonic())
+        jumps += [
+            pass_times.note_pause(length * MS, clock.monotonic())
             for _ in range(streams)
         ]
-    return told
+    return jumps
 
 
 def test_first_pass_is_no_jump() -> None:
-    pulse = pass_times_lib.PassTimes()
-    assert not any(passes(pulse, 50))
-    assert pulse.typical == 50 * MS
+    pass_times = pass_times_lib.PassTimes()
+    assert not any(run_passes(pass_times, 50))
+    assert pass_times.typical == 50 * MS
 
 
 def test_jump_is_told_once_and_at_its_first_pass() -> None:
-    told = passes(pass_times_lib.PassTimes(), 50, 50, 50, 110, 110, streams=3)
-    assert told == [False] * 9 + [True] + [False] * 5
+    jumps = run_passes(
+        pass_times_lib.PassTimes(), 50, 50, 50, 110, 110, streams=3
+    )
+    assert jumps == [False] * 9 + [True] + [False] * 5
 
 
 def test_streams_of_one_pass_count_as_one() -> None:
     many, one = pass_times_lib.PassTimes(), pass_times_lib.PassTimes()
-    passes(many, 50, 60, 55, streams=9)
-    passes(one, 50, 60, 55, streams=1)
+    run_passes(many, 50, 60, 55, streams=9)
+    run_passes(one, 50, 60, 55, streams=1)
     assert many.typical == one.typical
 
 
 def test_pass_with_long_prompts_is_no_jump() -> None:
-    assert not any(passes(pass_times_lib.PassTimes(), 50, 50, 65, 50, 60))
+    assert not any(run_passes(pass_times_lib.PassTimes(), 50, 50, 65, 50, 60))
 
 
 def test_group_that_stood_still_teaches_nothing() -> None:
-    pulse = pass_times_lib.PassTimes()
-    assert not any(passes(pulse, 50, 50, 1500))
-    assert pulse.typical == 50 * MS
+    pass_times = pass_times_lib.PassTimes()
+    assert not any(run_passes(pass_times, 50, 50, 1500))
+    assert pass_times.typical == 50 * MS
 
 
 @pytest.mark.parametrize(
-    ("lag_ms", "pass_ms", "ahead"),
+    ("report_lag_ms", "pass_ms", "ahead"),
     [(200, 50, 5), (200, 90, 3), (200, 250, 1), (0, 50, 5), (200, None, 5)],
     ids=["short", "usual", "long", "lag-unknown", "pass-unknown"],
 )
 def test_maps_change_as_few_passes_ahead_as_reports_are_old(
-    lag_ms: float, pass_ms: float | None, ahead: int
+    report_lag_ms: float, pass_ms: float | None, ahead: int
 ) -> None:
     group = rank_groups.RankGroup(
-        "g", ids.ServiceName("s"), LIMITS, 4, report_lag=lag_ms * MS
+        "g", ids.ServiceName("s"), LIMITS, 4, report_lag=report_lag_ms * MS
     )
     if pass_ms is not None:
-        passes(group.pass_times, pass_ms)
+        run_passes(group.pass_times, pass_ms)
     assert group.passes_ahead() == ahead
--- a/testing/experts/test_planner.py
+++ b/testing/experts/test_planner.py
@@ -15,7 +15,7 @@
     copy_s=0.1,
     expert_time_ratio=0.85,
 )
-SIZE = 6
+RANK_COUNT = 6
 
 
 def _demand(seed: int) -> list[list[int]]:
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_plan_keeps_every_limit_and_lowers_the_skew(seed: int) -> None:
-    used = experts.round_robin_map(SIZE, LIMITS)
+    used = experts.round_robin_map(RANK_COUNT, LIMITS)
     for num in range(5):
         plan = experts.plan_map(
             _demand(seed * 10 + num), used, LIMITS, max_copies_per_rank=2
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_skew_told_is_that_of_the_map(seed: int) -> None:
     demand = _demand(seed)
-    used = experts.round_robin_map(SIZE, LIMITS)
+    used = experts.round_robin_map(RANK_COUNT, LIMITS)
     plan = experts.plan_map(demand, used, LIMITS, max_copies_per_rank=1)
     assert plan.skew_before == experts.load_skew(demand, used)
     assert plan.skew_after == experts.load_skew(demand, plan.next_map)
@@ -61,7 +61,7 @@
 
 def test_loads_kept_while_planning_are_those_of_the_map() -> None:
     """Full ranks give experts up, which changes loads of other ranks."""
-    used = experts.round_robin_map(SIZE, LIMITS)
+    used = experts.round_robin_map(RANK_COUNT, LIMITS)
     for num in range(8):
         demand = _demand(num)
         plan = experts.plan_map(demand, used, LIMITS, max_copies_per_rank=3)
@@ -74,7 +74,7 @@
 
 
 def test_planning_can_be_interrupted_between_small_steps() -> None:
-    used = experts.round_robin_map(SIZE, LIMITS)
+    used = experts.round_robin_map(RANK_COUNT, LIMITS)
     planning = experts.plan_in_steps(
         _demand(1), used, LIMITS, max_copies_per_rank=2
     )
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -14,9 +14,9 @@
 
 from lugcross import experts
 
-SIZE = 3
+RANK_COUNT = 3
 MAPS = [
-    experts.ExpertMap(tuple(((num, rank),) for rank in range(SIZE)))
+    experts.ExpertMap(tuple(((num, rank),) for rank in range(RANK_COUNT)))
     for num in range(3)
 ]
 PROCESS_COUNT = 2
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass
 class SwitchingProcess:
-    """A process that believes that maps are its duty.
+    """A process that believes that it leads.
 
     :param unanswered_count: orders of the round whose answers it still waits
         for.
@@ -80,7 +80,7 @@
     def __init__(self, *, fenced: bool = False) -> None:
         self.fenced = fenced
         self.claims = 0
-        self.group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+        self.group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
         self.processes = [
             SwitchingProcess(
                 num, experts.NumberAllocator(_allocator_number(num, 0))
@@ -116,7 +116,7 @@
         self._start_switch(
             process,
             experts.MapSwitch(
-                rank_count=SIZE,
+                rank_count=RANK_COUNT,
                 version=process.allocator.next_version(newest),
                 new_map=MAPS[pick % len(MAPS)],
                 old_map=self.group.ranks[0].version_and_map[1],
@@ -139,7 +139,7 @@
         self._start_switch(
             process,
             experts.MapSwitch.resume(
-                rank_count=SIZE,
+                rank_count=RANK_COUNT,
                 highest_version=newest,
                 armed_version=max(armed, default=None),
                 held_pass=held,
@@ -239,11 +239,13 @@
         )
 
     def copy(self, pick: int) -> None:
-        self.group.ranks[pick % SIZE].has_copied = True
+        self.group.ranks[pick % RANK_COUNT].has_copied = True
 
     def read_reports(self, pick: int) -> None:
         del pick
-        self.last_reports = [self.group.report(rank) for rank in range(SIZE)]
+        self.last_reports = [
+            self.group.report(rank) for rank in range(RANK_COUNT)
+        ]
 
     def pass_begins(self, pick: int) -> None:
         del pick
@@ -329,7 +331,7 @@
     group: rank_simulator.SimulatedGroup,
     switch: experts.MapSwitch,
     *,
-    copied: Sequence[int] = range(SIZE),
+    copied: Sequence[int] = range(RANK_COUNT),
     most: int | None = None,
     result_filter: ResultFilter = all_results,
 ) -> int:
@@ -357,7 +359,7 @@
     group: rank_simulator.SimulatedGroup,
     switch: experts.MapSwitch,
     *,
-    copied: Sequence[int] = range(SIZE),
+    copied: Sequence[int] = range(RANK_COUNT),
     result_filter: ResultFilter = all_results,
 ) -> None:
     """Carry out a switch to its end."""
@@ -375,7 +377,7 @@
 
 def new_switch(version: int = 5) -> experts.MapSwitch:
     return experts.MapSwitch(
-        rank_count=SIZE,
+        rank_count=RANK_COUNT,
         version=experts.MapVersion(version),
         new_map=MAPS[1],
         old_map=MAPS[0],
@@ -394,30 +396,30 @@
         lost = deaf and next(answers) % deaf == 0
         return experts.OrderResult.UNKNOWN if lost else result
 
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     drive(group, switch, result_filter=result_filter)
     assert switch.outcome is experts.SwitchOutcome.SWITCHED
     assert_runs_on(group)
     assert [rank.version_and_map for rank in group.ranks] == [
         (5, MAPS[1])
-    ] * SIZE
+    ] * RANK_COUNT
 
 
 def test_group_runs_on_where_one_rank_cannot_be_armed() -> None:
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    drive(group, switch, copied=range(SIZE - 1))
+    drive(group, switch, copied=range(RANK_COUNT - 1))
     assert switch.outcome is experts.SwitchOutcome.VOIDED
     assert_runs_on(group)
     assert [rank.version_and_map[1] for rank in group.ranks] == [
         MAPS[0]
-    ] * SIZE
+    ] * RANK_COUNT
 
 
 @pytest.mark.parametrize("sent", range(0, 14))
 def test_successor_ends_a_hold_wherever_the_holder_died(sent: int) -> None:
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     left = sent
     while left > 0 and switch.phase is not experts.SwitchPhase.OVER:
@@ -426,10 +428,10 @@
     if report.held_pass is not None:
         armed = [one.armed_order for one in group.ranks if one.armed_order]
         newest = max(
-            group.report(rank).highest_version for rank in range(SIZE)
+            group.report(rank).highest_version for rank in range(RANK_COUNT)
         )
         found = experts.MapSwitch.resume(
-            rank_count=SIZE,
+            rank_count=RANK_COUNT,
             highest_version=newest,
             armed_version=max((one.version for one in armed), default=None),
             held_pass=report.held_pass,
@@ -441,13 +443,13 @@
 
 
 def test_holder_that_wakes_after_a_successor_changes_nothing() -> None:
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     slow = new_switch()
     while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
     late = slow.pending_orders()
     found = experts.MapSwitch.resume(
-        rank_count=SIZE,
+        rank_count=RANK_COUNT,
         highest_version=slow.version,
         armed_version=slow.version,
         held_pass=slow.target_pass,
@@ -462,7 +464,7 @@
 
 def test_pass_is_released_though_the_first_release_gets_no_answer() -> None:
     lost: list[experts.Order] = []
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     while switch.phase is not experts.SwitchPhase.OVER:
         todo = switch.pending_orders()
@@ -480,7 +482,7 @@
 
 
 def test_group_that_makes_no_passes_is_left_alone() -> None:
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     for rank, order in switch.pending_orders():
         switch.apply_result(
@@ -498,7 +500,7 @@
 
 
 def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     switch.note_epoch_ended()
     assert switch.phase is experts.SwitchPhase.OVER
@@ -528,11 +530,11 @@
 
 
 def test_superseded_holder_gives_no_further_order() -> None:
-    group = rank_simulator.SimulatedGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     slow = new_switch()
     while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
-    for rank in range(SIZE):
+    for rank in range(RANK_COUNT):
         group.ranks[rank].min_generation = 2
     (rank, order), *_ = slow.pending_orders()
     slow.apply_result(rank, order, group.execute(rank, order, group.epoch, 1))
