--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -5,7 +5,7 @@
 import dataclasses
 from typing import final
 
-from lugcross.experts import model
+from lugcross.experts import expert_map
 from lugcross.experts import orders
 
 #: Uses of an expert between two readings, over all sets, below which they
@@ -49,7 +49,7 @@
 
 
 def counts_by_set(
-    counts: Sequence[int], limits: model.ExpertLimits
+    counts: Sequence[int], limits: expert_map.ExpertLimits
 ) -> list[list[int]]:
     """Return counts set by set.
 
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -6,8 +6,8 @@
 from typing import final
 from typing import NewType
 
+from lugcross.experts import expert_map
 from lugcross.experts import lease
-from lugcross.experts import model
 
 #: Number of a rank within its group, from 0.
 Rank = NewType("Rank", int)
@@ -25,7 +25,7 @@
     """Copy what a map needs; takes the place of any map prepared before."""
 
     version: MapVersion
-    map: model.ExpertMap
+    map: expert_map.ExpertMap
 
 
 @final
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -14,7 +14,7 @@
 import dataclasses
 from typing import final
 
-from lugcross.experts import model
+from lugcross.experts import expert_map
 from lugcross.experts import set_placement
 
 #: Most that the most loaded rank of a set may do, in mean rank loads, for the
@@ -37,16 +37,16 @@
     :param max_copies_per_rank: most experts that one rank must copy.
     """
 
-    next_map: model.ExpertMap
+    next_map: expert_map.ExpertMap
     skew_before: float
     skew_after: float
     max_copies_per_rank: int
 
 
 def plan_map(
-    demand: model.Demand,
-    current_map: model.ExpertMap,
-    limits: model.ExpertLimits,
+    demand: expert_map.Demand,
+    current_map: expert_map.ExpertMap,
+    limits: expert_map.ExpertLimits,
     *,
     max_copies_per_rank: int,
     slowness: Sequence[float] = (),
@@ -74,9 +74,9 @@
 
 
 def plan_in_steps(
-    demand: model.Demand,
-    current_map: model.ExpertMap,
-    limits: model.ExpertLimits,
+    demand: expert_map.Demand,
+    current_map: expert_map.ExpertMap,
+    limits: expert_map.ExpertLimits,
     *,
     max_copies_per_rank: int,
     slowness: Sequence[float] = (),
@@ -113,7 +113,7 @@
             placement.apply(relocation)
             best.update()
         yield
-    after = model.ExpertMap(
+    after = expert_map.ExpertMap(
         tuple(
             tuple(tuple(sorted(best.ranks[rank])) for _, best in placements)
             for rank in range(current_map.rank_count)
@@ -121,8 +121,10 @@
     )
     return MapPlan(
         next_map=after,
-        skew_before=model.load_skew(demand, current_map, slowness_factors),
-        skew_after=model.load_skew(demand, after, slowness_factors),
+        skew_before=expert_map.load_skew(
+            demand, current_map, slowness_factors
+        ),
+        skew_after=expert_map.load_skew(demand, after, slowness_factors),
         max_copies_per_rank=after.max_copies_per_rank(current_map),
     )
 
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -7,7 +7,7 @@
 import heapq
 from typing import final
 
-from lugcross.experts import model
+from lugcross.experts import expert_map
 
 #: Least by which a step must lighten the most loaded rank for each copy, in
 #: mean rank loads: below it lies the noise of one reading.
@@ -58,7 +58,7 @@
         self,
         weights: Sequence[float],
         ranks: Sequence[Sequence[int]],
-        limits: model.ExpertLimits,
+        limits: expert_map.ExpertLimits,
         copies_left: list[int],
         slowness: Sequence[float],
     ) -> None:
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -26,7 +26,7 @@
 import enum
 from typing import final
 
-from lugcross.experts import model
+from lugcross.experts import expert_map
 from lugcross.experts import orders
 
 #: Tries of one rank's order to prepare after which the switch is left. No
@@ -79,8 +79,8 @@
         *,
         rank_count: int,
         version: orders.MapVersion,
-        new_map: model.ExpertMap | None,
-        old_map: model.ExpertMap,
+        new_map: expert_map.ExpertMap | None,
+        old_map: expert_map.ExpertMap,
         allocator: orders.NumberAllocator,
         pass_at_planning: orders.PassNumber = orders.PassNumber(0),
     ) -> None:
@@ -115,7 +115,7 @@
         highest_version: orders.MapVersion,
         armed_version: orders.MapVersion | None,
         held_pass: orders.PassNumber,
-        old_map: model.ExpertMap,
+        old_map: expert_map.ExpertMap,
         allocator: orders.NumberAllocator,
     ) -> "MapSwitch":
         """Return one that finishes what another process has left.
