--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -202,7 +202,7 @@
     run(act)
 
 
-def test_fault_in_one_round_does_not_end_the_looking(monkeypatch):
+def test_fault_in_one_round_does_not_stop_the_loop(monkeypatch):
     monkeypatch.setattr(map_leadership, "_ROUND_INTERVAL_S", 0.0)
 
     async def act(rig: Rig) -> None:
@@ -214,11 +214,11 @@
             raise KeyError("a fault of our own")
 
         candidacy.fit = fail
-        looking = asyncio.create_task(leadership.run())
-        while len(faults) < 3 and not looking.done():
+        loop_task = asyncio.create_task(leadership.run())
+        while len(faults) < 3 and not loop_task.done():
             await asyncio.sleep(0)
-        assert not looking.done()
-        looking.cancel()
+        assert not loop_task.done()
+        loop_task.cancel()
 
     run(act)
 
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -229,7 +229,7 @@
     run(act)
 
 
-def test_even_demand_is_left_alone():
+def test_even_demand_causes_no_switch():
     async def act(rig: Rig) -> None:
         rig.engines.run_passes = lambda seconds: None
         rig.engines.uses = [0] * LIMITS.expert_count
@@ -295,7 +295,7 @@
     run(act)
 
 
-def test_group_is_told_broken_and_open_again():
+def test_group_is_reported_broken_and_open_again():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
         assert len(rig.world.serving(SERVICE)) == RANK_COUNT
@@ -386,7 +386,7 @@
     run(act)
 
 
-def test_report_of_an_earlier_life_changes_nothing():
+def test_report_of_an_earlier_epoch_changes_nothing():
     group = rank_groups.RankGroup("g", SERVICE, LIMITS, RANK_COUNT)
     ranks = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
     old = ranks.report(1)
@@ -409,7 +409,7 @@
     run(act)
 
 
-def test_switch_that_cannot_get_on_leaves_the_leadership_to_others():
+def test_process_whose_switch_is_stuck_reports_it():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         rig.engines.not_receiving = {2}
@@ -426,7 +426,7 @@
     run(act)
 
 
-def test_fault_in_one_round_does_not_end_the_looking():
+def test_fault_in_one_round_does_not_stop_the_loop():
     async def act(rig: Rig) -> None:
         rounds = []
 
@@ -435,11 +435,11 @@
             raise KeyError("a fault of our own")
 
         rig.engines.report = fail
-        looking = asyncio.create_task(rig.maps.run())
-        while len(rounds) < 3 * RANK_COUNT and not looking.done():
+        loop_task = asyncio.create_task(rig.maps.run())
+        while len(rounds) < 3 * RANK_COUNT and not loop_task.done():
             await asyncio.sleep(0)
-        assert not looking.done()
-        looking.cancel()
+        assert not loop_task.done()
+        loop_task.cancel()
 
     run(act)
 
@@ -475,7 +475,7 @@
     run(act)
 
 
-def test_group_that_breaks_at_each_change_is_left_alone():
+def test_group_that_breaks_at_each_switch_is_left_alone():
     """A rank ends whenever it is told to prepare a map.
 
     The group formed anew and was told the same again, every round: 60
@@ -593,7 +593,7 @@
             await self.rig.maps.round()
 
 
-def test_jump_of_passes_has_counts_read_at_once_and_once_more():
+def test_jump_of_pass_times_triggers_two_reads_of_counts():
     async def act(rig: Rig) -> None:
         jumping_demand = JumpingDemand(rig)
         await rig.rounds(4)
@@ -609,7 +609,7 @@
 
 
 @pytest.mark.parametrize("jumps", [True, False], ids=["jump", "steady"])
-def test_map_that_demand_has_left_is_not_copied_to_the_end(jumps: bool):
+def test_outdated_map_is_not_copied_to_the_end(jumps: bool):
     async def act(rig: Rig) -> None:
         jumping_demand = JumpingDemand(rig)
         released = asyncio.Event()
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -43,7 +43,7 @@
     assert pass_times.typical == 50 * MS
 
 
-def test_jump_is_told_once_and_at_its_first_pass() -> None:
+def test_jump_is_reported_once_and_at_its_first_pass() -> None:
     jumps = run_passes(
         pass_times_lib.PassTimes(), 50, 50, 50, 110, 110, streams=3
     )
@@ -61,7 +61,7 @@
     assert not any(run_passes(pass_times_lib.PassTimes(), 50, 50, 65, 50, 60))
 
 
-def test_group_that_stood_still_teaches_nothing() -> None:
+def test_stalled_group_does_not_change_the_typical_pass_time() -> None:
     pass_times = pass_times_lib.PassTimes()
     assert not any(run_passes(pass_times, 50, 50, 1500))
     assert pass_times.typical == 50 * MS
@@ -72,7 +72,7 @@
     [(200, 50, 5), (200, 90, 3), (200, 250, 1), (0, 50, 5), (200, None, 5)],
     ids=["short", "usual", "long", "lag-unknown", "pass-unknown"],
 )
-def test_maps_change_as_few_passes_ahead_as_reports_are_old(
+def test_passes_ahead_follow_the_report_lag(
     report_lag_ms: float, pass_ms: float | None, ahead: int
 ) -> None:
     group = rank_groups.RankGroup(
--- a/testing/experts/test_planner.py
+++ b/testing/experts/test_planner.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_skew_told_is_that_of_the_map(seed: int) -> None:
+def test_planned_skew_is_that_of_the_map(seed: int) -> None:
     demand = _demand(seed)
     used = experts.round_robin_map(RANK_COUNT, LIMITS)
     plan = experts.plan_map(demand, used, LIMITS, max_copies_per_rank=1)
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -499,7 +499,7 @@
     assert allocator.next_version(experts.MapVersion(0)) > first
 
 
-def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
+def test_switch_is_cancelled_when_its_epoch_ends() -> None:
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     switch.note_epoch_ended()
