--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -56,7 +56,7 @@
         self.status = 0
         self._held: tuple[http1.Answer, bytes] | None = None
         self.begun = False
-        self.last_id = plan.head.last_event_id
+        self.last_id = plan.caller_head.last_event_id
 
     async def give(self, answer: http1.Answer, body: bytes) -> None:
         """Give a whole answer."""
@@ -245,12 +245,12 @@
         while True:
             answer = await conn.answer()
             head = platform.read_answer_head(answer.status, answer.headers)
-            if head.attempt_id in ("", self._plan.head.attempt_id):
+            if head.attempt_id in ("", self._plan.caller_head.attempt_id):
                 return answer, head
             logging.warning(
                 "surplus answer skipped",
                 extra={
-                    "request": self._plan.head.attempt_id,
+                    "request": self._plan.caller_head.attempt_id,
                     "backend": self._backend.key,
                     "other": head.attempt_id,
                 },
@@ -274,7 +274,10 @@
             raise _BadAnswerError("an encoded body is not the server's own")
         if head.success and not head.sealed:
             raise _BadAnswerError("a success without a signature")
-        if head.success and head.attempt_id != self._plan.head.attempt_id:
+        if (
+            head.success
+            and head.attempt_id != self._plan.caller_head.attempt_id
+        ):
             raise _BadAnswerError("a success without the request's id")
 
     async def _pass_whole(
@@ -338,7 +341,7 @@
         logging.info(
             "backend server failed",
             extra={
-                "request": self._plan.head.attempt_id,
+                "request": self._plan.caller_head.attempt_id,
                 "same": self._plan.fingerprint.hex(),
                 "backend": self._backend.key,
                 "why": why,
--- a/src/lugcross/edge/checked_request.py
+++ b/src/lugcross/edge/checked_request.py
@@ -19,16 +19,16 @@
     """One request, checked and ready to be sent.
 
     :param deadline: when it must have its final answer.
-    :param version: version of the desired state that it goes by.
+    :param desired_version: version of the desired state that it goes by.
     """
 
     req: http1.Request
-    head: platform.CallerHead
+    caller_head: platform.CallerHead
     route: desired.Route
     service: ids.ServiceName
     workspace: desired.Workspace | None
     deadline: clock_lib.Instant
-    version: int
+    desired_version: int
 
     @property
     def workspace_name(self) -> ids.WorkspaceName | None:
--- a/src/lugcross/edge/endings.py
+++ b/src/lugcross/edge/endings.py
@@ -157,7 +157,7 @@
         logging.warning(
             "server ended under a request",
             extra={
-                "request": plan.head.attempt_id,
+                "request": plan.caller_head.attempt_id,
                 "same": plan.fingerprint.hex(),
                 "service": plan.service,
                 "backend": backend.key,
@@ -201,7 +201,7 @@
         logging.info(
             "suspect cleared",
             extra={
-                "request": plan.head.attempt_id,
+                "request": plan.caller_head.attempt_id,
                 "same": plan.fingerprint.hex(),
                 "backend": backend.key,
             },
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -55,12 +55,12 @@
         if last is not None and now - last < _DISCOVERY_INTERVAL:
             return
         self._discovered_at[backends[0].service] = now
-        reports = await asyncio.gather(*map(self.report, backends))
+        reports = await asyncio.gather(*map(self.fetch_report, backends))
         for backend, report in zip(backends, reports, strict=True):
             if report is not None:
                 self._groups.assign_rank(backend, report, engine)
 
-    async def report(
+    async def fetch_report(
         self, backend: desired.Backend
     ) -> experts.RankReport | None:
         """Return what a rank tells; none if it does not."""
@@ -81,10 +81,10 @@
         )
         if not ranks:
             return
-        reports = await self._reports(group, ranks)
+        reports = await self._fetch_reports(group, ranks)
         if not reports:
             others = group.sample_ranks(_SAMPLED_RANK_COUNT, resting)
-            reports = await self._reports(group, others)
+            reports = await self._fetch_reports(group, others)
         now = self._clock.monotonic()
         if not reports:
             group.note_unreachable(now)
@@ -96,7 +96,7 @@
         if not group.rank_slowness.is_due(self._clock.monotonic()):
             return
         ranks = group.ranks_to_ask(self._rests.servers())
-        reports = await self._reports(group, ranks)
+        reports = await self._fetch_reports(group, ranks)
         factors = {one.rank: one.slowness for one in reports}
         if group.rank_slowness.update(factors, self._clock.monotonic()):
             logging.info(
@@ -112,11 +112,11 @@
             )
             group.planned_reading_at = None
 
-    async def _reports(
+    async def _fetch_reports(
         self, group: rank_groups.RankGroup, ranks: list[experts.Rank]
     ) -> list[experts.RankReport]:
         found = await asyncio.gather(
-            *(self.report(group.servers_by_rank[rank]) for rank in ranks)
+            *(self.fetch_report(group.servers_by_rank[rank]) for rank in ranks)
         )
         return [
             one for one in found if one is not None and one.group == group.name
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -82,12 +82,12 @@
         wait = min(head.time_left or route.timeout, route.timeout)
         return checked_request.CheckedRequest(
             req=req,
-            head=head,
+            caller_head=head,
             route=route,
             service=self._service(route),
             workspace=workspace,
             deadline=req.at + wait,
-            version=state.version,
+            desired_version=state.version,
         )
 
     def _route(
@@ -138,7 +138,7 @@
             inputs = {
                 "service": plan.service,
                 "route": plan.route.name,
-                "version": plan.version,
+                "version": plan.desired_version,
                 "servers": picture.servers,
                 "resting": len(self._world.rests.servers()),
                 "busy": picture.busy,
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -75,7 +75,7 @@
         """
         self._refuse_if_ending()
         back = self._world.returns(self._plan.route.name).is_back(
-            self._plan.head.time_left
+            self._plan.caller_head.time_left
         )
         found = self._choose()
         verdict = self._verdict(found, back=back)
@@ -241,11 +241,11 @@
         logging.info(
             "answered",
             extra={
-                "request": plan.head.attempt_id,
+                "request": plan.caller_head.attempt_id,
                 "service": plan.service,
                 "route": plan.route.name,
                 "workspace": plan.workspace_name,
-                "version": plan.version,
+                "version": plan.desired_version,
                 "backend": backend.key,
                 "domain": backend.domain,
                 "status": status,
@@ -265,7 +265,7 @@
         logging.info(
             "attempt ended",
             extra={
-                "request": self._plan.head.attempt_id,
+                "request": self._plan.caller_head.attempt_id,
                 "backend": backend.key,
                 "event": event.value,
                 "action": action.value,
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -118,7 +118,7 @@
         off the list, as in a cut of its failure domain, none is chosen.
         """
         try:
-            report = await self._report(_HOLD_RANK)
+            report = await self._fetch_report(_HOLD_RANK)
         except platform.EngineError as exc:
             logging.info("no step", extra={"why": str(exc)})
             await self._sleep(_RETRY_DELAY_S)
@@ -134,7 +134,9 @@
             )
             switch.hold_later_pass(report.last_pass)
 
-    async def _report(self, rank: experts.Rank) -> experts.RankReport | None:
+    async def _fetch_report(
+        self, rank: experts.Rank
+    ) -> experts.RankReport | None:
         """Return what a rank reports; none if it is in no group.
 
         :raises platform.EngineError: when it is silent or off the list.
@@ -187,7 +189,7 @@
         """
         lowest = min(self._group.servers_by_rank, default=_HOLD_RANK)
         try:
-            report = await self._report(lowest)
+            report = await self._fetch_report(lowest)
         except platform.EngineError as exc:
             logging.info("no epoch", extra={"why": str(exc)})
             return
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -123,7 +123,7 @@
             allocator=self._allocator,
             pass_at_planning=group.last_pass,
         )
-        await self._drive(group, switch, plan)
+        await self._drive_to_end(group, switch, plan)
 
     async def _recover(self, group: rank_groups.RankGroup) -> None:
         assert group.foreign_hold is not None
@@ -131,7 +131,9 @@
         reports = [
             one
             for one in await asyncio.gather(
-                *map(self._queries.report, group.servers_by_rank.values())
+                *map(
+                    self._queries.fetch_report, group.servers_by_rank.values()
+                )
             )
             if one is not None
         ]
@@ -163,10 +165,10 @@
             old_map=current_map,
             allocator=self._allocator,
         )
-        await self._drive(group, switch, None)
+        await self._drive_to_end(group, switch, None)
         group.current_map = None
 
-    async def _drive(
+    async def _drive_to_end(
         self,
         group: rank_groups.RankGroup,
         switch: experts.MapSwitch,
