--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -18,9 +18,9 @@
 from lugcross import desired
 from lugcross.edge import duty as duty_lib
 from lugcross.edge import engines as engines_lib
-from lugcross.edge import figures as figures_lib
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import maps as maps_lib
+from lugcross.edge import metrics as metrics_lib
 from lugcross.edge import ready as ready_lib
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
@@ -223,7 +223,7 @@
     ) -> None:
         age = self.world.backends.age()
         state = self.world.desired
-        self.world.figures.now(
+        self.world.figures.set_gauges(
             desired_version=state.version if state else 0,
             backends=len(self.world.backends.all()),
             backends_age_seconds=min(age.total_seconds(), _AGE_MOST_S),
@@ -232,13 +232,13 @@
             connections=len(self._conns),
             suspects=len(self.world.endings.ledger),
         )
-        self.world.figures.running(self.world.uses.by_service())
-        give = functools.partial(
-            figures_lib.give,
+        self.world.figures.set_workspace_running(self.world.uses.by_service())
+        serve = functools.partial(
+            metrics_lib.serve,
             self.world.figures,
-            listing=self.world.endings.listing,
+            suspects_json=self.world.endings.listing,
         )
-        await self._serve_inner(reader, writer, give)
+        await self._serve_inner(reader, writer, serve)
 
     async def _serve_inner(
         self,
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -345,7 +345,7 @@
             return
         self._era = era
         logging.warning("store is a copy", extra={"era": era, "was": before})
-        self._world.figures.era_began()
+        self._world.figures.count_store_copy()
         since = self._clock.monotonic() - _COPY_AGE_MOST
         self._registration.again(since)
         if not self.reads_after():
--- a/src/lugcross/edge/figures.py
+++ b/src/lugcross/edge/metrics.py
@@ -15,18 +15,18 @@
 
 #: Bounds of the latency histograms, in seconds: around the times within
 #: which answers count as prompt, and up to the longest deadlines.
-_BOUNDS = (0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
+_LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
 #: Workspaces of a service that are told by name, so that figures stay small
 #: however many there are; all others are told as one.
-_NAMED = 20
+_MAX_NAMED_WORKSPACES = 20
 #: Where the list of suspect requests is.
-LISTING_PATH = b"/suspects"
+SUSPECTS_PATH = b"/suspects"
 #: Stands for all workspaces that are not told by name.
-_REST = "(others)"
+_OTHER_WORKSPACES = "(others)"
 
 
 @final
-class Figures:
+class EdgeMetrics:
     """What a process tells of itself in numbers."""
 
     def __init__(self) -> None:
@@ -43,49 +43,49 @@
             ("service", "event"),
             registry=self._registry,
         )
-        self._suspects = prometheus_client.Counter(
+        self._suspects_refused = prometheus_client.Counter(
             "lugcross_suspects_refused",
             "Requests refused since servers have ended under them.",
             ("service",),
             registry=self._registry,
         )
-        self._eras = prometheus_client.Counter(
+        self._store_copies = prometheus_client.Counter(
             "lugcross_store_copies",
             "Returns of the store from an older copy.",
             registry=self._registry,
         )
-        self._rests = prometheus_client.Counter(
+        self._rests_asked = prometheus_client.Counter(
             "lugcross_rests_asked",
             "Answers by which backend servers asked for rest.",
             ("service",),
             registry=self._registry,
         )
-        self._rest_refused = prometheus_client.Counter(
+        self._rests_refused = prometheus_client.Counter(
             "lugcross_rests_refused",
             "Requests refused since all backend servers have asked for rest.",
             ("service",),
             registry=self._registry,
         )
-        self._first = prometheus_client.Histogram(
+        self._first_byte = prometheus_client.Histogram(
             "lugcross_first_byte_seconds",
             "Time from a request's head to the first of its answer.",
             ("service",),
-            buckets=_BOUNDS,
+            buckets=_LATENCY_BUCKETS_S,
             registry=self._registry,
         )
-        self._refused = prometheus_client.Counter(
+        self._workspace_refused = prometheus_client.Counter(
             "lugcross_workspace_refused",
             "Requests that got no answer of a backend server.",
             ("service", "workspace"),
             registry=self._registry,
         )
-        self._running = prometheus_client.Gauge(
+        self._workspace_running = prometheus_client.Gauge(
             "lugcross_workspace_running",
             "Requests in progress at all processes, as far as known here.",
             ("service", "workspace"),
             registry=self._registry,
         )
-        self._refused_named: set[tuple[str, str]] = set()
+        self._named_workspaces: set[tuple[str, str]] = set()
         self._gauges = {
             name: prometheus_client.Gauge(
                 f"lugcross_{name}", text, registry=self._registry
@@ -101,62 +101,70 @@
             )
         }
 
-    def answered(
-        self, service: str, status: int, first: datetime.timedelta | None
+    def count_request(
+        self, service: str, status: int, first_byte: datetime.timedelta | None
     ) -> None:
-        """Count one request; ``first`` is none where nothing was given."""
+        """Count one request; ``first_byte`` is none if nothing was given."""
         self._requests.labels(service, str(status)).inc()
-        if first is not None:
-            self._first.labels(service).observe(first.total_seconds())
+        if first_byte is not None:
+            self._first_byte.labels(service).observe(
+                first_byte.total_seconds()
+            )
 
-    def attempt(self, service: str, event: str) -> None:
+    def count_attempt(self, service: str, event: str) -> None:
         """Count one attempt at a backend server."""
         self._attempts.labels(service, event).inc()
 
-    def rest_asked(self, service: str) -> None:
+    def count_rest_asked(self, service: str) -> None:
         """Count an answer by which a backend server asked for rest."""
-        self._rests.labels(service).inc()
+        self._rests_asked.labels(service).inc()
 
-    def era_began(self) -> None:
+    def count_store_copy(self) -> None:
         """Count a return of the store from an older copy."""
-        self._eras.inc()
+        self._store_copies.inc()
 
-    def rest_refused(self, service: str) -> None:
+    def count_rest_refused(self, service: str) -> None:
         """Count a request that is refused since all servers rest."""
-        self._rest_refused.labels(service).inc()
+        self._rests_refused.labels(service).inc()
 
-    def suspect_refused(self, service: str) -> None:
+    def count_suspect_refused(self, service: str) -> None:
         """Count a request that is refused since servers ended under it."""
-        self._suspects.labels(service).inc()
+        self._suspects_refused.labels(service).inc()
 
-    def refused(self, service: str, workspace: str) -> None:
+    def count_workspace_refused(self, service: str, workspace: str) -> None:
         """Count a request that ends without a backend server's answer.
 
         The first workspaces that are refused are told by name.
         """
-        named = self._refused_named
+        named = self._named_workspaces
         if (service, workspace) not in named:
-            if len(named) < _NAMED:
+            if len(named) < _MAX_NAMED_WORKSPACES:
                 named.add((service, workspace))
             else:
-                workspace = _REST
-        self._refused.labels(service, workspace).inc()
+                workspace = _OTHER_WORKSPACES
+        self._workspace_refused.labels(service, workspace).inc()
 
-    def running(
+    def set_workspace_running(
         self,
         uses: Mapping[ids.ServiceName, Mapping[ids.WorkspaceName, int]],
     ) -> None:
         """Set what each service's heaviest workspaces have in progress."""
-        self._running.clear()
+        self._workspace_running.clear()
         for service, counts in uses.items():
-            named = heapq.nlargest(_NAMED, counts, key=counts.__getitem__)
+            named = heapq.nlargest(
+                _MAX_NAMED_WORKSPACES, counts, key=counts.__getitem__
+            )
             for space in named:
-                self._running.labels(service, space).set(counts[space])
+                self._workspace_running.labels(service, space).set(
+                    counts[space]
+                )
             rest = sum(counts.values()) - sum(counts[one] for one in named)
             if rest:
-                self._running.labels(service, _REST).set(rest)
+                self._workspace_running.labels(service, _OTHER_WORKSPACES).set(
+                    rest
+                )
 
-    def now(self, **values: float) -> None:
+    def set_gauges(self, **values: float) -> None:
         """Set gauges to what holds now."""
         for name, value in values.items():
             self._gauges[name].set(value)
@@ -166,26 +174,26 @@
         return prometheus_client.generate_latest(self._registry)
 
 
-async def give(
-    figures: Figures,
+async def serve(
+    metrics: EdgeMetrics,
     exchange: http1.Exchange,
     req: http1.Request,
     *,
-    listing: Callable[[], bytes],
+    suspects_json: Callable[[], bytes],
 ) -> None:
     """Answer a collector, or an operator.
 
-    :param listing: tells which requests are suspect.
+    :param suspects_json: tells which requests are suspect.
     """
-    if req.target.partition(b"?")[0] == LISTING_PATH:
+    if req.target.partition(b"?")[0] == SUSPECTS_PATH:
         await exchange.head(
             http.HTTPStatus.OK,
             [(b"Content-Type", b"application/json")],
-            listing(),
+            suspects_json(),
             whole=True,
         )
         return
     headers = [(b"Content-Type", b"text/plain; version=0.0.4")]
     await exchange.head(
-        http.HTTPStatus.OK, headers, figures.text(), whole=True
+        http.HTTPStatus.OK, headers, metrics.text(), whole=True
     )
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -129,9 +129,9 @@
         exc: refusal.RefusedError,
     ) -> None:
         service = plan.service if plan else ""
-        self._world.figures.answered(service, exc.status, None)
+        self._world.figures.count_request(service, exc.status, None)
         if plan is not None and plan.space is not None:
-            self._world.figures.refused(service, plan.space)
+            self._world.figures.count_workspace_refused(service, plan.space)
         inputs: dict[str, object] = {}
         if plan is not None:
             picture = self._world.picture(plan.service)
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -94,7 +94,7 @@
         if endings.standing(self._plan) is not suspects.Standing.REFUSED:
             return
         ends = endings.against(self._plan)
-        self._world.figures.suspect_refused(self._plan.service)
+        self._world.figures.count_suspect_refused(self._plan.service)
         raise refusal.ends_servers(len(ends), endings.lapses(ends))
 
     def _verdict(
@@ -124,7 +124,7 @@
 
     def _resting(self, rest: datetime.timedelta) -> refusal.RefusedError:
         """Return the refusal while all servers rest or are on trial."""
-        self._world.figures.rest_refused(self._plan.service)
+        self._world.figures.count_rest_refused(self._plan.service)
         return refusal.resting(rest, self._rng)
 
     async def _send_all(self, first: desired.Backend) -> None:
@@ -135,7 +135,7 @@
             if event is None:
                 self._log_answer(backend)
                 return
-            self._world.figures.attempt(self._plan.service, event.value)
+            self._world.figures.count_attempt(self._plan.service, event.value)
             self._state = lifecycle.after(self._state, event)
             await self._look_if_ended(event, backend)
             found = self._choose()
@@ -236,7 +236,7 @@
         first = self._answer.first_at
         took = None if first is None else first - plan.req.at
         status = self._answer.status
-        self._world.figures.answered(plan.service, status, took)
+        self._world.figures.count_request(plan.service, status, took)
         whole = self._clock.monotonic() - plan.req.at
         logging.info(
             "answered",
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -17,9 +17,9 @@
 from lugcross.edge import backends as backends_lib
 from lugcross.edge import choice
 from lugcross.edge import endings as endings_lib
-from lugcross.edge import figures as figures_lib
 from lugcross.edge import lifecycle
 from lugcross.edge import loads as loads_lib
+from lugcross.edge import metrics as metrics_lib
 from lugcross.edge import outages as outages_lib
 from lugcross.edge import pace as pace_lib
 from lugcross.edge import plan as plan_lib
@@ -99,7 +99,7 @@
         self.slow = outages_lib.Outages(clock)
         self.rests = rests_lib.Rests(clock)
         self.pool = pool_lib.Pool(clock)
-        self.figures = figures_lib.Figures()
+        self.figures = metrics_lib.EdgeMetrics()
         self.endings = endings_lib.Endings(clock, software=self.software)
         self.endings.exempt = _exempt(settings.suspects)
         self._serving: dict[ids.ServiceName, _Cached] = {}
@@ -191,7 +191,7 @@
             self.backends.says_it_leaves(key)
         if head.rest is None:
             return
-        self.figures.rest_asked(backend.service)
+        self.figures.count_rest_asked(backend.service)
         logging.info(
             "backend server asks for rest",
             extra={
--- a/testing/cli/test_shares.py
+++ b/testing/cli/test_shares.py
@@ -9,18 +9,18 @@
 import pytest
 
 from lugcross.cli import shares
-from lugcross.edge import figures
+from lugcross.edge import metrics
 from lugcross import ids
 
 HOST = "127.0.0.1"
 
 
 def _figures(refused: int) -> bytes:
-    found = figures.Figures()
+    found = metrics.EdgeMetrics()
     counts = {ids.WorkspaceName("a"): 3, ids.WorkspaceName("b"): 40}
-    found.running({ids.ServiceName("llm"): counts})
+    found.set_workspace_running({ids.ServiceName("llm"): counts})
     for _ in range(refused):
-        found.refused("llm", "b")
+        found.count_workspace_refused("llm", "b")
     return found.text()
 
 
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -13,7 +13,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import figures
+from lugcross.edge import metrics
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import uses
 from lugcross import ids
@@ -239,11 +239,11 @@
 
 
 def test_figures_name_the_heaviest_workspaces_only():
-    found = figures.Figures()
+    found = metrics.EdgeMetrics()
     counts = {ids.WorkspaceName(f"w{num}"): 1 + num for num in range(25)}
-    found.running({SERVICE: counts})
+    found.set_workspace_running({SERVICE: counts})
     for num in range(25):
-        found.refused("s", f"w{num}")
+        found.count_workspace_refused("s", f"w{num}")
     text = found.text().decode()
     running = [
         line
