--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -28,8 +28,8 @@
 import virtual_time  # noqa: E402
 
 from lugcross import clock as clock_lib  # noqa: E402
-from lugcross.edge import casenews  # noqa: E402
 from lugcross.edge import messages  # noqa: E402
+from lugcross.edge import suspect_gossip  # noqa: E402
 from lugcross.edge import world as world_lib  # noqa: E402
 from lugcross import suspects  # noqa: E402
 from lugcross.suspects import ledger as ledger_lib  # noqa: E402
@@ -161,7 +161,7 @@
     name = suspects.Fingerprint((0).to_bytes(suspects.SIZE, "big"))
     us = _microseconds(lambda: ledger.standing(name, software, now), 200)
     print(f"standing of one with two ends, full ledger: {us:.0f} us")
-    told = casenews.CaseNews(ledger, clock).tell()
+    told = suspect_gossip.SuspectGossip(ledger, clock).outgoing()
     size = len(messages.encode(messages.PassedOn("", _beat(told))))
     size -= len(messages.encode(messages.PassedOn("", _beat([]))))
     print(f"a datagram carries {len(told)} cases in {size} bytes")
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -14,8 +14,6 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import answers as answers_lib
-from lugcross.edge import casenews
-from lugcross.edge import casestore
 from lugcross.edge import follow
 from lugcross.edge import lag as lag_lib
 from lugcross.edge import messages
@@ -25,6 +23,8 @@
 from lugcross.edge import readers
 from lugcross.edge import registration as registration_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import suspect_gossip
+from lugcross.edge import suspect_store
 from lugcross.edge import world as world_lib
 from lugcross import errors
 from lugcross import experts
@@ -95,9 +95,9 @@
         #: Backend servers that this process knows to hold their groups back.
         self.seen_slow: Callable[[], list[desired.BackendKey]] = list
         ledger = world.endings.ledger
-        self._cases = casenews.CaseNews(ledger, clock)
-        self._case_store = casestore.CaseStore(ledger, store, clock)
-        world.endings.found = self._case_store.keep
+        self._suspect_gossip = suspect_gossip.SuspectGossip(ledger, clock)
+        self._suspect_store = suspect_store.SuspectStore(ledger, store, clock)
+        world.endings.found = self._suspect_store.save
         store.began = self._era_began
         #: The desired state that the store told first, until it is sure that
         #: no peer has a newer one.
@@ -154,7 +154,7 @@
             tasks.create_task(self._registration.run())
             tasks.create_task(self._begin_with_newest())
             tasks.create_task(self.news.run())
-            tasks.create_task(self._case_store.run())
+            tasks.create_task(self._suspect_store.run())
 
     def leave(self) -> None:
         """Tell the peers that this process is being stopped."""
@@ -293,7 +293,7 @@
             desired_ms=self._answered_ms(platform.OPERATOR_TOPIC),
             backends_ms=self._answered_ms(platform.BACKENDS_TOPIC),
             slow=[str(key) for key in self.seen_slow()],
-            suspects=self._cases.tell(),
+            suspects=self._suspect_gossip.outgoing(),
             leaving_servers=[
                 str(key) for key in self._world.backends.said_only()
             ],
@@ -322,7 +322,7 @@
         self._world.outages.told(beat.node, broken)
         slow = [desired.BackendKey(key) for key in beat.slow]
         self._world.slow.told(beat.node, slow)
-        self._cases.hear(beat.suspects)
+        self._suspect_gossip.merge(beat.suspects)
         for name in beat.leaving_servers:
             self._world.backends.says_it_leaves(desired.BackendKey(name))
         self.heard_generation(experts.Generation(beat.generation))
@@ -349,7 +349,7 @@
         since = self._clock.monotonic() - _COPY_AGE_MOST
         self._registration.again(since)
         if not self.reads_after():
-            self._case_store.keep_again(since)
+            self._suspect_store.save_again(since)
 
     def _heard_era(self, end: positions.Position) -> None:
         """Note the era of a peer's news; few processes ask the store."""
--- a/src/lugcross/edge/casenews.py
+++ b/src/lugcross/edge/suspect_gossip.py
@@ -16,18 +16,18 @@
 
 #: How long a case is told with each datagram after it has changed: several
 #: heartbeats, well within the time in which it must be known everywhere.
-_NEW = datetime.timedelta(seconds=2)
+_NEW_CASE_PERIOD = datetime.timedelta(seconds=2)
 #: New cases that one datagram tells: a server runs six at once as a rule, and
 #: each takes about 60 bytes.
-_NEW_MOST = 8
+_MAX_NEW_CASES = 8
 #: Others that one datagram tells: of twenty that are refused, each is told
 #: anew within five seconds at rest, and sooner under load.
-_OLD_MOST = 2
+_MAX_OLD_CASES = 2
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
-class CaseNews:
+class SuspectGossip:
     """Tells and hears cases by a process's datagrams."""
 
     def __init__(
@@ -35,42 +35,50 @@
     ) -> None:
         self._ledger = ledger
         self._clock = clock
-        self._turn = 0
+        self._next_old = 0
 
-    def tell(self) -> list[messages.Suspect]:
+    def outgoing(self) -> list[messages.Suspect]:
         """Return what the next datagram should tell."""
         if not len(self._ledger):
             return []
         now = self._clock.monotonic()
         cases = self._ledger.cases()
-        new = [one for one in cases if now - one.newest < _NEW][:_NEW_MOST]
+        new = [one for one in cases if now - one.newest < _NEW_CASE_PERIOD][
+            :_MAX_NEW_CASES
+        ]
         old = [
             one
             for one in cases
             if one not in new and len(one.against) >= suspects.SURE
         ]
-        turn = self._turn % len(old) if old else 0
-        self._turn = turn + _OLD_MOST
-        some = itertools.islice(itertools.cycle(old), turn, turn + _OLD_MOST)
-        told = {one.request: one for one in [*new, *some]}
-        return [message(one, now) for one in told.values()]
+        start = self._next_old % len(old) if old else 0
+        self._next_old = start + _MAX_OLD_CASES
+        rotated = itertools.islice(
+            itertools.cycle(old), start, start + _MAX_OLD_CASES
+        )
+        told = {one.request: one for one in [*new, *rotated]}
+        return [to_message(one, now) for one in told.values()]
 
-    def hear(self, told: list[messages.Suspect]) -> None:
+    def merge(self, told: list[messages.Suspect]) -> None:
         """Take over what a peer tells."""
         now = self._clock.monotonic()
         for one in told:
-            self._ledger.merge(case(one, now), now)
+            self._ledger.merge(from_message(one, now), now)
 
 
-def message(case: suspects.Case, now: clock_lib.Instant) -> messages.Suspect:
+def to_message(
+    case: suspects.Case, now: clock_lib.Instant
+) -> messages.Suspect:
     return messages.Suspect(
         case.request,
-        [_server_end(one, now) for one in case.ends],
-        -1 if case.cleared is None else _ago(case.cleared, now),
+        [_to_server_end(one, now) for one in case.ends],
+        -1 if case.cleared is None else _age_ms(case.cleared, now),
     )
 
 
-def case(told: messages.Suspect, now: clock_lib.Instant) -> suspects.Case:
+def from_message(
+    told: messages.Suspect, now: clock_lib.Instant
+) -> suspects.Case:
     """Return the case that was told at ``now``."""
     ends = tuple(
         suspects.End(
@@ -85,16 +93,16 @@
     return suspects.Case(suspects.Fingerprint(told.request), ends, cleared)
 
 
-def _server_end(
+def _to_server_end(
     end: suspects.End, now: clock_lib.Instant
 ) -> messages.ServerEnd:
     return messages.ServerEnd(
         end.server,
         end.software,
-        ago_ms=_ago(end.at, now),
+        ago_ms=_age_ms(end.at, now),
         ran_ms=min(int(end.ran / _MS), messages.LAPSE_MS),
     )
 
 
-def _ago(at: clock_lib.Instant, now: clock_lib.Instant) -> int:
+def _age_ms(at: clock_lib.Instant, now: clock_lib.Instant) -> int:
     return min(int((now - at) / _MS), messages.LAPSE_MS)
--- a/src/lugcross/edge/casestore.py
+++ b/src/lugcross/edge/suspect_store.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from lugcross import clock as clock_lib
-from lugcross.edge import casenews
 from lugcross.edge import messages
+from lugcross.edge import suspect_gossip
 from lugcross import errors
 from lugcross import platform
 from lugcross import suspects
@@ -25,12 +25,12 @@
 #: Time between two tries while the store does not answer, in seconds: what
 #: is to be written down is known to all processes meanwhile, and each call
 #: has its price.
-_AGAIN_S = 2.0
+_RETRY_INTERVAL_S = 2.0
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
-class _Kept(msgspec.Struct, frozen=True, array_like=True):
+class _StoredSuspect(msgspec.Struct, frozen=True, array_like=True):
     """One record.
 
     :param written_ms: when, by the writer's time of day, in milliseconds
@@ -42,7 +42,7 @@
 
 
 @final
-class CaseStore:
+class SuspectStore:
     """Writes cases down, and reads them at the start."""
 
     def __init__(
@@ -54,27 +54,27 @@
         self._ledger = ledger
         self._store = store
         self._clock = clock
-        self._due: asyncio.Queue[suspects.Fingerprint] = asyncio.Queue()
+        self._unsaved: asyncio.Queue[suspects.Fingerprint] = asyncio.Queue()
 
-    def keep(self, request: suspects.Fingerprint) -> None:
+    def save(self, request: suspects.Fingerprint) -> None:
         """Have what is known of a request written down soon."""
-        self._due.put_nowait(request)
+        self._unsaved.put_nowait(request)
 
-    def keep_again(self, since: clock_lib.Instant) -> None:
+    def save_again(self, since: clock_lib.Instant) -> None:
         """Have written down again what was found lately; the store lost it."""
         for case in self._ledger.cases():
             certain = len(case.against) >= suspects.SURE
             if certain and case.newest >= since:
-                self.keep(case.request)
+                self.save(case.request)
 
     async def run(self) -> None:
         """Read what others have written, then write until cancelled."""
         while not await self._read():
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_INTERVAL_S)
         while True:
-            request = await self._due.get()
+            request = await self._unsaved.get()
             while not await self._write(request):
-                await asyncio.sleep(_AGAIN_S)
+                await asyncio.sleep(_RETRY_INTERVAL_S)
 
     async def _read(self) -> bool:
         try:
@@ -83,30 +83,34 @@
             logging.warning("suspects not read", extra={"why": str(exc)})
             return False
         for record in tail.records:
-            await self._take(record)
+            await self._merge_record(record)
         return True
 
-    async def _take(self, record: platform.KeyedRecord) -> None:
+    async def _merge_record(self, record: platform.KeyedRecord) -> None:
         now = self._clock.monotonic()
         try:
             raw = cbor2.loads(record.value)
-            kept = msgspec.convert(raw, _Kept, builtin_types=(bytes,))
+            stored = msgspec.convert(
+                raw, _StoredSuspect, builtin_types=(bytes,)
+            )
         except (cbor2.CBORDecodeError, msgspec.ValidationError) as exc:
             logging.warning("bad suspect kept", extra={"why": str(exc)})
             return
-        ago = max(self._now_ms() - kept.written_ms, 0) * _MS
+        ago = max(self._now_ms() - stored.written_ms, 0) * _MS
         if ago >= suspects.LAPSE:
             # Nobody needs it any more; others may drop it as well.
             await self._put(record.key, b"")
             return
-        self._ledger.merge(casenews.case(kept.suspect, now - ago), now)
+        self._ledger.merge(
+            suspect_gossip.from_message(stored.suspect, now - ago), now
+        )
 
     async def _write(self, request: suspects.Fingerprint) -> bool:
         case = self._ledger.find(request)
         if case is None:
             return True
-        told = casenews.message(case, self._clock.monotonic())
-        value = messages.encode(_Kept(told, self._now_ms()))
+        told = suspect_gossip.to_message(case, self._clock.monotonic())
+        value = messages.encode(_StoredSuspect(told, self._now_ms()))
         return await self._put(request.hex(), value)
 
     async def _put(self, key: str, value: bytes) -> bool:
--- a/testing/edge/test_foreign_bytes.py
+++ b/testing/edge/test_foreign_bytes.py
@@ -10,8 +10,8 @@
 import pytest
 
 from lugcross import clock as clock_lib
-from lugcross.edge import casenews
 from lugcross.edge import messages
+from lugcross.edge import suspect_gossip
 from lugcross import suspects
 
 VALUES = strategies.recursive(
@@ -95,7 +95,7 @@
         return
     ledger = suspects.Ledger()
     clock = clock_lib.ManualClock()
-    casenews.CaseNews(ledger, clock).hear(beat.suspects)
+    suspect_gossip.SuspectGossip(ledger, clock).merge(beat.suspects)
     sound = suspects.Fingerprint(b"y" * suspects.SIZE)
     now = clock.monotonic()
     standing = ledger.standing(sound, frozenset(["v1"]), now)
@@ -106,16 +106,16 @@
     """A peer tells that servers ended which answer: nobody is refused."""
     clock = clock_lib.ManualClock()
     ledger = suspects.Ledger()
-    news = casenews.CaseNews(ledger, clock)
+    gossip = suspect_gossip.SuspectGossip(ledger, clock)
     request = suspects.Fingerprint(b"y" * suspects.SIZE)
     ends = [messages.ServerEnd(f"i-{num}", "v1", 0, 5) for num in range(4)]
     told = messages.Suspect(request, ends)
-    news.hear([told])
+    gossip.merge([told])
     clock.advance(clock_lib.seconds(1))
     for num in range(4):
         ledger.answered(f"i-{num}", clock.monotonic())
     clock.advance(clock_lib.seconds(1))
-    news.hear(
+    gossip.merge(
         [
             messages.Suspect(
                 request,
