--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -24,7 +24,7 @@
 from lugcross.edge import ready as ready_lib
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import sources
+from lugcross.edge import store_followers
 from lugcross.edge import world as world_lib
 from lugcross import errors
 from lugcross import experts
@@ -185,7 +185,7 @@
 
     def _loops(self) -> list[Coroutine[Any, Any, None]]:
         known = self.knowledge
-        followers = sources.followers(self._store, self.world, known)
+        followers = store_followers.followers(self._store, self.world, known)
         return [
             *(follower.run() for follower in followers),
             known.run(),
@@ -227,7 +227,7 @@
             desired_version=state.version if state else 0,
             backends=len(self.world.backends.all()),
             backends_age_seconds=min(age.total_seconds(), _AGE_MOST_S),
-            store_lost=float(self.knowledge.trouble.now),
+            store_lost=float(self.knowledge.store_health.failing),
             peers=len(self.knowledge.peers.live()),
             connections=len(self._conns),
             suspects=len(self.world.endings.ledger),
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -14,7 +14,6 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import answers as answers_lib
-from lugcross.edge import follow
 from lugcross.edge import lag as lag_lib
 from lugcross.edge import messages
 from lugcross.edge import news as news_lib
@@ -25,6 +24,7 @@
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import suspect_gossip
 from lugcross.edge import suspect_store
+from lugcross.edge import topic_follower
 from lugcross.edge import world as world_lib
 from lugcross import errors
 from lugcross import experts
@@ -104,7 +104,7 @@
         self._first_state: bytes = b""
         #: Newest era of the store that this process has acted on.
         self._era: positions.Era | None = None
-        self.trouble = follow.Trouble(clock)
+        self.store_health = topic_follower.StoreHealth(clock)
         self.answers = answers_lib.Answers(clock)
         self._lags = {
             topic: lag_lib.Lag(clock)
@@ -129,7 +129,7 @@
             world,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
-            unread=lambda: self.trouble.now or self.rests(),
+            unread=lambda: self.store_health.failing or self.rests(),
             clock=clock,
             rng=rng,
         )
@@ -209,7 +209,9 @@
 
     def _reader(self) -> readers.Reader:
         return readers.Reader(
-            self._incarnation, not self.trouble.now, self._settings.domain
+            self._incarnation,
+            not self.store_health.failing,
+            self._settings.domain,
         )
 
     def _other_readers(self) -> list[readers.Reader]:
@@ -240,7 +242,7 @@
     def take_backends(self, tail: platform.Tail, newest: bool) -> None:
         """Take over records of backend servers."""
         contact = self._world.bounds.contact
-        away = self.trouble.within(contact)
+        away = self.store_health.failed_within(contact)
         if newest:
             self._world.backends.replace(tail, store_was_away=away)
         else:
@@ -288,7 +290,7 @@
             since_ms=0 if self.unfit() else self._since_ms,
             broken=[str(key) for key in self.seen_broken()],
             generation=self.generation() or 0,
-            reads=not self.trouble.now and self.can_claim(),
+            reads=not self.store_health.failing and self.can_claim(),
             uses=self._world.uses.own(),
             desired_ms=self._answered_ms(platform.OPERATOR_TOPIC),
             backends_ms=self._answered_ms(platform.BACKENDS_TOPIC),
--- a/src/lugcross/edge/sources.py
+++ b/src/lugcross/edge/store_followers.py
@@ -5,26 +5,26 @@
 import datetime
 import functools
 
-from lugcross.edge import follow
 from lugcross.edge import knowledge as knowledge_lib
+from lugcross.edge import topic_follower
 from lugcross.edge import waiting
 from lugcross.edge import world as world_lib
 from lugcross import platform
 
 #: Shortest time between two reads of the desired state, for storms.
-_DESIRED_GAP = datetime.timedelta(milliseconds=100)
+_DESIRED_MIN_INTERVAL = datetime.timedelta(milliseconds=100)
 #: Shortest time between two reads of the backend servers, as a part of the
 #: bound within which a leaving one must get nothing new. Many of them change
 #: one after the other when a service is released: at a bound of 4 s a read
 #: that waits was woken 2.5 times a second with 0.4 s, and 1.25 with this.
-_BACKENDS_GAP_PART = 0.2
+_BACKENDS_MIN_INTERVAL_RATIO = 0.2
 
 
 def followers(
     store: platform.StoreClient,
     world: world_lib.World,
     known: knowledge_lib.Knowledge,
-) -> list[follow.Follower]:
+) -> list[topic_follower.TopicFollower]:
     """Return the followers of the desired state and the backend servers.
 
     Bounds are asked for at each read: settings may be read anew.
@@ -32,40 +32,42 @@
 
     def follower(
         topic: str,
-        take: follow.Taker,
+        on_tail: topic_follower.TailHandler,
         bound: Callable[[], datetime.timedelta],
-        gap: Callable[[], datetime.timedelta],
-    ) -> follow.Follower:
-        def unit() -> datetime.timedelta:
+        min_interval: Callable[[], datetime.timedelta],
+    ) -> topic_follower.TopicFollower:
+        def first_reader_wait() -> datetime.timedelta:
             return waiting.news(
                 peers=len(known.peers.live()),
                 bound=bound(),
                 contact=world.bounds.contact,
-                gap=gap(),
+                gap=min_interval(),
             )
 
-        def wait() -> datetime.timedelta:
-            return waiting.STANDBY if known.reads_after() else unit()
+        def poll_wait() -> datetime.timedelta:
+            return (
+                waiting.STANDBY if known.reads_after() else first_reader_wait()
+            )
 
         def is_late() -> bool:
             return waiting.is_late(known.lag(topic), bound())
 
-        def is_due() -> bool:
+        def is_restart_due() -> bool:
             age = known.answers.age(topic)
             return is_late() or waiting.is_due(
-                age, unit(), known.reads_after()
+                age, first_reader_wait(), known.reads_after()
             )
 
-        return follow.Follower(
+        return topic_follower.TopicFollower(
             store,
             topic,
-            take,
-            known.trouble,
-            gap=gap,
-            wait=wait,
-            is_due=is_due,
-            answered=functools.partial(known.answered, topic),
-            rests=lambda: known.rests() and not is_late(),
+            on_tail,
+            known.store_health,
+            min_interval=min_interval,
+            poll_wait=poll_wait,
+            is_restart_due=is_restart_due,
+            on_answer=functools.partial(known.answered, topic),
+            is_idle=lambda: known.rests() and not is_late(),
         )
 
     return [
@@ -73,12 +75,12 @@
             platform.OPERATOR_TOPIC,
             known.take_desired,
             lambda: world.bounds.change,
-            lambda: _DESIRED_GAP,
+            lambda: _DESIRED_MIN_INTERVAL,
         ),
         follower(
             platform.BACKENDS_TOPIC,
             known.take_backends,
             lambda: world.bounds.drain,
-            lambda: world.bounds.drain * _BACKENDS_GAP_PART,
+            lambda: world.bounds.drain * _BACKENDS_MIN_INTERVAL_RATIO,
         ),
     ]
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -14,12 +14,12 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import follow
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import loads as loads_lib
 from lugcross.edge import messages
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import topic_follower
 from lugcross.edge import world as world_lib
 from lugcross import ids
 from lugcross import platform
@@ -172,16 +172,16 @@
             address, timeout=datetime.timedelta(seconds=30)
         )
         taken = []
-        trouble = follow.Trouble(clock_lib.SystemClock())
-        follower = follow.Follower(
+        health = topic_follower.StoreHealth(clock_lib.SystemClock())
+        follower = topic_follower.TopicFollower(
             client,
             "keyed.t",
             lambda tail, newest: taken.append(
                 (newest, [record.value for record in tail.records])
             ),
-            trouble,
-            gap=datetime.timedelta,
-            wait=datetime.timedelta,
+            health,
+            min_interval=datetime.timedelta,
+            poll_wait=datetime.timedelta,
         )
         store.append("keyed.t", "a", b"1")
         task = asyncio.create_task(follower.run())
--- a/testing/edge/test_silence.py
+++ b/testing/edge/test_silence.py
@@ -111,11 +111,13 @@
             fleet.store.silence_connections(node.way)
         # As long as a read of those that stand by may hang.
         await asyncio.sleep(waiting.STANDBY.total_seconds() + 3.0)
-        assert all(node.knowledge.trouble.now for node in some)
+        assert all(node.knowledge.store_health.failing for node in some)
         fleet.store.unreachable.clear()
         # One call that still hangs, the longest rest and the next call.
         await asyncio.sleep(app.STORE_TIMEOUT.total_seconds() + 1.1)
-        late = [node.name for node in some if node.knowledge.trouble.now]
+        late = [
+            node.name for node in some if node.knowledge.store_health.failing
+        ]
         await fleet.stop()
         return late
 
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -18,7 +18,7 @@
 from lugcross.edge import messages
 from lugcross.edge import questions
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import sources
+from lugcross.edge import store_followers
 from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import ids
@@ -120,7 +120,9 @@
 
     async def run(self) -> None:
         """Follow the store and the peers until cancelled."""
-        followers = sources.followers(self.store, self.world, self.knowledge)
+        followers = store_followers.followers(
+            self.store, self.world, self.knowledge
+        )
         await asyncio.gather(
             self.knowledge.run(), *(one.run() for one in followers)
         )
