--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -16,12 +16,12 @@
 from lugcross.edge import answers as answers_lib
 from lugcross.edge import lag as lag_lib
 from lugcross.edge import messages
-from lugcross.edge import news as news_lib
+from lugcross.edge import peer_sync as peer_sync_lib
 from lugcross.edge import peers as peers_lib
-from lugcross.edge import questions
 from lugcross.edge import readers
 from lugcross.edge import registration as registration_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_transfer
 from lugcross.edge import suspect_gossip
 from lugcross.edge import suspect_store
 from lugcross.edge import topic_follower
@@ -124,16 +124,16 @@
         world.endings.changed = functools.partial(
             self.peers.changed, urgent=True
         )
-        self.news = news_lib.News(
+        self.peer_sync = peer_sync_lib.PeerSync(
             settings,
             world,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
-            unread=lambda: self.store_health.failing or self.rests(),
+            without_store=lambda: self.store_health.failing or self.rests(),
             clock=clock,
             rng=rng,
         )
-        self._server = questions.StateServer(self.news.answer)
+        self._server = state_transfer.StateServer(self.peer_sync.respond)
 
     async def start(self) -> None:
         """Listen for peers."""
@@ -153,7 +153,7 @@
             tasks.create_task(self.peers.run())
             tasks.create_task(self._registration.run())
             tasks.create_task(self._begin_with_newest())
-            tasks.create_task(self.news.run())
+            tasks.create_task(self.peer_sync.run())
             tasks.create_task(self._suspect_store.run())
 
     def leave(self) -> None:
--- a/src/lugcross/edge/news.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -11,32 +11,32 @@
 
 from lugcross import address
 from lugcross import clock as clock_lib
-from lugcross.edge import catchup
 from lugcross.edge import messages
 from lugcross.edge import patches
+from lugcross.edge import peer_selection
 from lugcross.edge import peers as peers_lib
-from lugcross.edge import questions
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_transfer
 from lugcross.edge import world as world_lib
 from lugcross import platform
 from lugcross import positions
 
 #: Time between two looks whether a peer knows more, in seconds.
-_LOOK_S = 0.25
+_CHECK_INTERVAL_S = 0.25
 #: Age of the list of backend servers past which a peer that knows more is
 #: asked at once; a read that waits for news ends sooner.
-_OLD = datetime.timedelta(seconds=5)
+_STALE_BACKENDS_AGE = datetime.timedelta(seconds=5)
 #: How long a process that knows nothing yet leaves the seeds alone: the
 #: store usually answers at once.
-_SEEDS_AFTER_S = 0.5
+_SEEDS_DELAY_S = 0.5
 
 
 @final
-class News:
+class PeerSync:
     """What peers tell each other of what the store holds.
 
     :param adopt: takes over a record of the desired state.
-    :param unread: whether there is no use in waiting for the store.
+    :param without_store: whether there is no use in waiting for the store.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         peers: peers_lib.Peers,
         *,
         adopt: Callable[[bytes], None],
-        unread: Callable[[], bool],
+        without_store: Callable[[], bool],
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
@@ -54,24 +54,24 @@
         self._world = world
         self._peers = peers
         self._adopt = adopt
-        self._unread = unread
-        self.questions = catchup.Questions(clock, rng)
+        self._is_without_store = without_store
+        self.selector = peer_selection.PeerSelector(clock, rng)
 
-    def answer(self, ask: messages.Ask) -> messages.State:
-        """Return what this process knows beyond ``ask``."""
+    def respond(self, req: messages.Ask) -> messages.State:
+        """Return what this process knows beyond ``req``."""
         state = self._world.desired
-        newer = state is not None and state.version > ask.version
+        newer = state is not None and state.version > req.version
         records = self._world.records
-        whole = newer and ask.digest is None
-        patch = records.patch(ask.digest) if newer and ask.digest else None
-        packs = newer and ask.digest is not None and patch is None
+        whole = newer and req.digest is None
+        patch = records.patch(req.digest) if newer and req.digest else None
+        packs = newer and req.digest is not None and patch is None
         return messages.State(
             desired=records.newest if whole else b"",
             end=self._world.backends.end,
             rows=[
                 messages.Row(row.key, row.offset, row.value)
                 for row in self._world.backends.records.values()
-                if row.offset >= ask.end
+                if row.offset >= req.end
             ],
             packed=records.packed() if packs else b"",
             patch=patch,
@@ -83,66 +83,68 @@
         The store may not answer, or may leave a read waiting past the
         news; peers that were told cost nothing to listen to.
         """
-        await asyncio.sleep(_SEEDS_AFTER_S)
+        await asyncio.sleep(_SEEDS_DELAY_S)
         if self._world.desired is None:
-            await self._ask_seeds()
+            await self._request_from_seeds()
         behind = False
         async with asyncio.TaskGroup() as tasks:
             while True:
-                await asyncio.sleep(_LOOK_S)
-                ahead = self.ahead()
-                was_behind, behind = behind, bool(ahead)
+                await asyncio.sleep(_CHECK_INTERVAL_S)
+                newer = self.newer_peers()
+                was_behind, behind = behind, bool(newer)
                 # A peer nearby will know as much as one far away in a moment.
-                near = self._lost() and any(one.near for one in ahead)
-                peer = self.questions.pick(ahead)
+                near = self._should_ask_at_once() and any(
+                    one.same_domain for one in newer
+                )
+                peer = self.selector.pick(newer)
                 if peer is not None and (was_behind or near):
-                    self.questions.asked(peer)
-                    tasks.create_task(self._ask_peer(peer))
+                    self.selector.request_started(peer)
+                    tasks.create_task(self._request_from_peer(peer))
 
-    def _is_near(self, beat: messages.Beat) -> bool:
+    def _is_same_domain(self, beat: messages.Beat) -> bool:
         return beat.domain == self._settings.domain
 
-    def _lost(self) -> bool:
+    def _should_ask_at_once(self) -> bool:
         """Tell whether there is no use in waiting for the store."""
-        old = self._world.backends.age() > _OLD
-        return old or self._unread()
+        old = self._world.backends.age() > _STALE_BACKENDS_AGE
+        return old or self._is_without_store()
 
-    def ahead(self) -> list[catchup.Ahead]:
+    def newer_peers(self) -> list[peer_selection.NewerPeer]:
         """Return the live peers that know more."""
         version, end = self._world.version, self._world.backends.end
         return [
-            catchup.Ahead(
+            peer_selection.NewerPeer(
                 host=peer.host,
                 port=peer.beat.state_port,
                 newness=(peer.beat.version, peer.beat.end),
-                near=self._is_near(peer.beat),
+                same_domain=self._is_same_domain(peer.beat),
             )
             for peer in self._peers.live()
             if peer.beat
             and (peer.beat.version > version or peer.beat.end > end)
         ]
 
-    async def _ask_seeds(self) -> None:
+    async def _request_from_seeds(self) -> None:
         for seed in self._settings.seeds:
             if seed != self._settings.listen.state:
-                await self._ask(*address.split(seed))
+                await self._request(*address.split(seed))
 
-    async def _ask_peer(self, peer: catchup.Ahead) -> None:
-        answered = await self._ask(peer.host, peer.port)
-        self.questions.ended(peer, answered=answered)
+    async def _request_from_peer(self, peer: peer_selection.NewerPeer) -> None:
+        answered = await self._request(peer.host, peer.port)
+        self.selector.request_ended(peer, answered=answered)
 
-    async def _ask(self, host: str, port: int) -> bool:
+    async def _request(self, host: str, port: int) -> bool:
         """Ask a peer and take over what it tells; tell whether it did."""
         records = self._world.records
         base = records.newest
-        question = messages.Ask(
+        req = messages.Ask(
             self._world.version, self._world.backends.end, records.digest
         )
-        answer = await questions.ask(host, port, question)
-        if answer is None:
+        response = await state_transfer.request_state(host, port, req)
+        if response is None:
             return False
         try:
-            record = _record(answer, base)
+            record = _record(response, base)
         except patches.PatchError as exc:
             logging.warning("bad answer", extra={"why": str(exc)})
             return False
@@ -151,9 +153,9 @@
             extra={
                 "peer": host,
                 "desired": bool(record),
-                "patched": answer.patch is not None,
-                "rows": len(answer.rows),
-                "end": answer.end,
+                "patched": response.patch is not None,
+                "rows": len(response.rows),
+                "end": response.end,
             },
         )
         if record:
@@ -162,20 +164,22 @@
             platform.KeyedRecord(
                 positions.Position(row.offset), row.key, row.value
             )
-            for row in answer.rows
+            for row in response.rows
+        )
+        tail = platform.Tail(
+            end=positions.Position(response.end), records=rows
         )
-        tail = platform.Tail(end=positions.Position(answer.end), records=rows)
         self._world.backends.apply(tail, store_was_away=True)
         return True
 
 
-def _record(answer: messages.State, base: bytes) -> bytes:
+def _record(response: messages.State, base: bytes) -> bytes:
     """Return the desired state's record in an answer, if it has one.
 
     :param base: record that the question named: another may be in force by
         now.
     :raises patches.PatchError: when it cannot be put together.
     """
-    if answer.patch is not None:
-        return patches.apply(base, answer.patch)
-    return answer.desired or patches.unpack(answer.packed)
+    if response.patch is not None:
+        return patches.apply(base, response.patch)
+    return response.desired or patches.unpack(response.packed)
--- a/src/lugcross/edge/peers.py
+++ b/src/lugcross/edge/peers.py
@@ -5,7 +5,7 @@
 each process's knowledge is. A lost one is replaced by the next, and a
 peer that is cut off holds nobody up. Whoever finds that a peer knows
 more, while the store does not answer, asks that peer
-(:mod:`lugcross.edge.questions`).
+(:mod:`lugcross.edge.state_transfer`).
 """
 
 import asyncio
--- a/src/lugcross/edge/questions.py
+++ b/src/lugcross/edge/state_transfer.py
@@ -15,22 +15,22 @@
 from lugcross.edge import messages
 
 #: Longest wait for a peer's answer, in seconds.
-ASK_S = 1.0
+REQUEST_TIMEOUT_S = 1.0
 #: Largest answer of a peer, in bytes: a large desired state.
-_MAX_ANSWER = 16 * 1_048_576
+_MAX_RESPONSE_BYTES = 16 * 1_048_576
 
 
 @final
 class StateServer:
     """Answers peers that ask for newer state.
 
-    :param answer: what is newer than a question names.
+    :param respond: what is newer than a question names.
     """
 
     def __init__(
-        self, answer: Callable[[messages.Ask], messages.State]
+        self, respond: Callable[[messages.Ask], messages.State]
     ) -> None:
-        self._answer = answer
+        self._respond = respond
         self._server: ws_server.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
@@ -47,7 +47,7 @@
     async def _serve(self, conn: ws_server.ServerConnection) -> None:
         try:
             async for frame in conn:
-                state = self._answer(messages.decode_ask(frame))
+                state = self._respond(messages.decode_ask(frame))
                 await conn.send(messages.encode(state))
         except (
             cbor2.CBORDecodeError,
@@ -57,19 +57,19 @@
             logging.warning("bad question", extra={"why": str(exc)})
 
 
-async def ask(
-    host: str, port: int, question: messages.Ask
+async def request_state(
+    host: str, port: int, req: messages.Ask
 ) -> messages.State | None:
-    """Return what a peer knows beyond ``question``; none if it is away."""
+    """Return what a peer knows beyond ``req``; none if it is away."""
     try:
-        async with asyncio.timeout(ASK_S):
+        async with asyncio.timeout(REQUEST_TIMEOUT_S):
             async with ws_client.connect(
                 f"ws://{host}:{port}/",
-                max_size=_MAX_ANSWER,
+                max_size=_MAX_RESPONSE_BYTES,
                 compression=None,
                 proxy=None,
             ) as conn:
-                await conn.send(messages.encode(question))
+                await conn.send(messages.encode(req))
                 return messages.decode_state(await conn.recv())
     except (
         OSError,
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -204,8 +204,10 @@
     _hear_version(node, "near1", "d1", near)
     _hear_version(node, "near2", "d1", near)
     _hear_version(node, "far", "d2", far)
-    news = node.known.news
-    found = [news.questions.pick(news.ahead()) for _ in range(40)]
+    peer_sync = node.known.peer_sync
+    found = [
+        peer_sync.selector.pick(peer_sync.newer_peers()) for _ in range(40)
+    ]
     assert {one.host for one in found if one is not None} == asked
 
 
--- a/testing/edge/test_catchup.py
+++ b/testing/edge/test_peer_selection.py
@@ -5,8 +5,8 @@
 import random
 
 from lugcross import clock as clock_lib
-from lugcross.edge import catchup
 from lugcross.edge import lag as lag_lib
+from lugcross.edge import peer_selection
 from lugcross.edge import waiting
 
 BOUND = datetime.timedelta(seconds=3)
@@ -16,29 +16,35 @@
     return datetime.timedelta(seconds=count)
 
 
-def _ahead(host: str, version: int = 2, *, near: bool = True) -> catchup.Ahead:
-    return catchup.Ahead(host=host, port=1, newness=(version, 0), near=near)
+def _newer(
+    host: str, version: int = 2, *, same_domain: bool = True
+) -> peer_selection.NewerPeer:
+    return peer_selection.NewerPeer(
+        host=host, port=1, newness=(version, 0), same_domain=same_domain
+    )
 
 
 class _Rig:
     def __init__(self) -> None:
         self.clock = clock_lib.ManualClock()
-        self.questions = catchup.Questions(self.clock, random.Random(1))
-        self.peers = [_ahead("a"), _ahead("b"), _ahead("c", near=False)]
+        self.selector = peer_selection.PeerSelector(
+            self.clock, random.Random(1)
+        )
+        self.peers = [_newer("a"), _newer("b"), _newer("c", same_domain=False)]
 
     def ask(self) -> str | None:
         """Ask whoever is to be asked now; return its host."""
-        peer = self.questions.pick(self.peers)
+        peer = self.selector.pick(self.peers)
         if peer is None:
             return None
-        self.questions.asked(peer)
+        self.selector.request_started(peer)
         return peer.host
 
     def passes(self, seconds: float) -> None:
         self.clock.advance(_seconds(seconds))
 
     def ends(self, host: str, *, answered: bool) -> None:
-        self.questions.ended(_ahead(host), answered=answered)
+        self.selector.request_ended(_newer(host), answered=answered)
 
 
 def test_second_peer_is_asked_beside_a_silent_one_and_no_third():
@@ -68,7 +74,7 @@
 
 def test_peer_that_answered_is_asked_again_at_once():
     rig = _Rig()
-    rig.peers = [_ahead("a")]
+    rig.peers = [_newer("a")]
     assert rig.ask() == "a"
     rig.ends("a", answered=True)
     assert rig.ask() == "a"
@@ -77,9 +83,9 @@
 def test_of_peers_nearby_the_newest_is_asked():
     rig = _Rig()
     rig.peers = [
-        _ahead("old", 2),
-        _ahead("new", 3),
-        _ahead("far", 9, near=False),
+        _newer("old", 2),
+        _newer("new", 3),
+        _newer("far", 9, same_domain=False),
     ]
     assert rig.ask() == "new"
 
--- a/testing/edge/test_storms.py
+++ b/testing/edge/test_storms.py
@@ -22,7 +22,7 @@
 import fleet_rig
 import virtual_time
 
-from lugcross.edge import questions
+from lugcross.edge import state_transfer
 from lugcross import platform
 
 #: Processes of each failure domain, and routes of the desired state.
@@ -86,12 +86,12 @@
                 _adopt(node, version)
 
         async def ask(host, port, question):
-            answer = teller.knowledge.news.answer(question)
+            answer = teller.knowledge.peer_sync.respond(question)
             _adopt(asker, 2, routes=5)
             return answer
 
-        monkeypatch.setattr(questions, "ask", ask)
-        assert await asker.knowledge.news._ask(teller.name, 8)
+        monkeypatch.setattr(state_transfer, "request_state", ask)
+        assert await asker.knowledge.peer_sync._request(teller.name, 8)
         return asker.version
 
     assert virtual_time.run(main()) == 3
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -16,8 +16,8 @@
 from lugcross.edge import app
 from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
-from lugcross.edge import questions
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_transfer
 from lugcross.edge import store_followers
 from lugcross.edge import world as world_lib
 from lugcross import http1
@@ -164,7 +164,7 @@
         #: Until when the link of a process is taken, in seconds.
         self._link_until: dict[str, float] = {}
         monkeypatch.setattr(http1, "connect", self.store.connect)
-        monkeypatch.setattr(questions, "ask", self._ask)
+        monkeypatch.setattr(state_transfer, "request_state", self._ask)
 
     def change(self, version: int, *, routes: int = 0) -> None:
         """Let the store accept a desired state."""
@@ -224,12 +224,12 @@
         """Take the place of the question over a WebSocket."""
         assert port == _STATE_PORT
         try:
-            async with asyncio.timeout(questions.ASK_S):
+            async with asyncio.timeout(state_transfer.REQUEST_TIMEOUT_S):
                 await asyncio.sleep(2 * _WAY_S)
                 if host in self.cut:
                     await asyncio.Event().wait()
                 data = messages.encode(
-                    self.nodes[host].knowledge.news.answer(question)
+                    self.nodes[host].knowledge.peer_sync.respond(question)
                 )
                 await self._sent(host, len(data))
                 return messages.decode_state(data)
