--- a/bench/news.py
+++ b/bench/news.py
@@ -49,24 +49,24 @@
     return known
 
 
-def _beat(num: int, domains: int, turn: int, rng: random.Random) -> bytes:
+def _heartbeat(num: int, domains: int, turn: int, rng: random.Random) -> bytes:
     return messages.encode(
-        messages.Beat(
+        messages.Heartbeat(
             node=f"front-d{num % domains}-{num}",
             incarnation=f"{num:024x}",
             domain=f"d{num % domains}",
             state_port=8229,
             leaving=False,
             version=12,
-            end=500,
+            backends_end=500,
             running={f"i-{rng.getrandbits(40):x}": 1 for _ in range(RUNNING)},
-            known=[],
-            since_ms=1_780_208_640_546,
-            reads=True,
-            number=turn,
-            uses={rng.getrandbits(32): 1 for _ in range(RUNNING)},
-            desired_ms=400,
-            backends_ms=400,
+            known_addresses=[],
+            started_ms=1_780_208_640_546,
+            reads_store=True,
+            sequence=turn,
+            workspace_uses={rng.getrandbits(32): 1 for _ in range(RUNNING)},
+            desired_age_ms=400,
+            backends_age_ms=400,
         )
     )
 
@@ -75,7 +75,7 @@
     rng = random.Random(1)
     known = _knowledge(rng)
     data = [
-        (num, _beat(num, domains, turn, rng))
+        (num, _heartbeat(num, domains, turn, rng))
         for turn in range(1, ROUNDS + 1)
         for num in range(1, processes)
     ]
--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -162,13 +162,17 @@
     us = _microseconds(lambda: ledger.standing(name, software, now), 200)
     print(f"standing of one with two ends, full ledger: {us:.0f} us")
     told = suspect_gossip.SuspectGossip(ledger, clock).outgoing()
-    size = len(messages.encode(messages.PassedOn("", _beat(told))))
-    size -= len(messages.encode(messages.PassedOn("", _beat([]))))
+    size = len(
+        messages.encode(messages.RelayedHeartbeat("", _heartbeat(told)))
+    )
+    size -= len(messages.encode(messages.RelayedHeartbeat("", _heartbeat([]))))
     print(f"a datagram carries {len(told)} cases in {size} bytes")
 
 
-def _beat(told: list[messages.Suspect]) -> messages.Beat:
-    return messages.Beat("n", "i", "d", 1, False, 1, 1, {}, [], suspects=told)
+def _heartbeat(told: list[messages.Suspect]) -> messages.Heartbeat:
+    return messages.Heartbeat(
+        "n", "i", "d", 1, False, 1, 1, {}, [], suspects=told
+    )
 
 
 def main() -> None:
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -187,17 +187,17 @@
             return False
         silent = _LEASE_SILENT if leased else _DUTY_SILENT
         claims = [
-            experts.Claim(beat.since_ms, beat.incarnation)
-            for beat in self._live_beats(silent)
-            if beat.since_ms and (beat.reads or not leased)
+            experts.Claim(heartbeat.started_ms, heartbeat.incarnation)
+            for heartbeat in self._live_heartbeats(silent)
+            if heartbeat.started_ms and (heartbeat.reads_store or not leased)
         ]
         own = experts.Claim(self._since_ms, self._incarnation)
         return experts.holder([*claims, own]) == own
 
     def held_elsewhere(self) -> bool:
         """Tell whether a live peer has the lease of expert maps."""
-        beats = self._live_beats(_LEASE_SILENT)
-        return any(beat.generation for beat in beats)
+        heartbeats = self._live_heartbeats(_LEASE_SILENT)
+        return any(heartbeat.generation for heartbeat in heartbeats)
 
     def rests(self) -> bool:
         """Tell whether peers of this domain ask the store for this one."""
@@ -216,16 +216,20 @@
 
     def _other_readers(self) -> list[readers.Reader]:
         return [
-            readers.Reader(beat.incarnation, beat.reads, beat.domain)
-            for beat in self._live_beats(_DUTY_SILENT)
+            readers.Reader(
+                heartbeat.incarnation, heartbeat.reads_store, heartbeat.domain
+            )
+            for heartbeat in self._live_heartbeats(_DUTY_SILENT)
         ]
 
-    def _live_beats(self, silent: datetime.timedelta) -> list[messages.Beat]:
+    def _live_heartbeats(
+        self, silent: datetime.timedelta
+    ) -> list[messages.Heartbeat]:
         """Return the newest news of peers that may have the duty."""
         return [
-            peer.beat
+            peer.heartbeat
             for peer in self.peers.live(silent)
-            if peer.beat and not peer.beat.leaving
+            if peer.heartbeat and not peer.heartbeat.leaving
         ]
 
     def take_desired(self, tail: platform.Tail, newest: bool) -> None:
@@ -272,31 +276,31 @@
         if self._world.adopt(state, record):
             self.peers.changed(urgent=urgent)
 
-    def _tell(self, known: list[str]) -> messages.Beat:
+    def _tell(self, known: list[str]) -> messages.Heartbeat:
         _, port = address.split(self._settings.listen.state)
-        return messages.Beat(
+        return messages.Heartbeat(
             node=self._settings.node,
             incarnation=self._incarnation,
             domain=self._settings.domain,
             state_port=port,
             leaving=self._leaving,
             version=self._world.version,
-            end=self._world.backends.end,
+            backends_end=self._world.backends.end,
             running={
                 str(key): count
                 for key, count in self._world.loads.own().items()
             },
-            known=known,
-            since_ms=0 if self.unfit() else self._since_ms,
-            broken=[str(key) for key in self.seen_broken()],
+            known_addresses=known,
+            started_ms=0 if self.unfit() else self._since_ms,
+            broken_backends=[str(key) for key in self.seen_broken()],
             generation=self.generation() or 0,
-            reads=not self.store_health.failing and self.can_claim(),
-            uses=self._world.uses.own(),
-            desired_ms=self._answered_ms(platform.OPERATOR_TOPIC),
-            backends_ms=self._answered_ms(platform.BACKENDS_TOPIC),
-            slow=[str(key) for key in self.seen_slow()],
+            reads_store=not self.store_health.failing and self.can_claim(),
+            workspace_uses=self._world.uses.own(),
+            desired_age_ms=self._answered_ms(platform.OPERATOR_TOPIC),
+            backends_age_ms=self._answered_ms(platform.BACKENDS_TOPIC),
+            slow_backends=[str(key) for key in self.seen_slow()],
             suspects=self._suspect_gossip.outgoing(),
-            leaving_servers=[
+            leaving_backends=[
                 str(key) for key in self._world.backends.said_only()
             ],
         )
@@ -304,35 +308,35 @@
     def _answered_ms(self, topic: str) -> int:
         """Return how long ago the store answered; -1 if too long ago."""
         age = self.answers.own_age(topic)
-        if age is None or age > messages.AGE_MOST_MS * _MS:
+        if age is None or age > messages.MAX_AGE_MS * _MS:
             return -1
         return int(age / _MS)
 
     def _heard(self, peer: peers_lib.Peer) -> None:
-        beat = peer.beat
-        if beat is None:
+        heartbeat = peer.heartbeat
+        if heartbeat is None:
             return
         running = {
             desired.BackendKey(key): count
-            for key, count in beat.running.items()
+            for key, count in heartbeat.running.items()
         }
-        self._heard_era(positions.Position(beat.end))
-        near = beat.domain == self._settings.domain
-        self._world.loads.peer_told(beat.node, running, near=near)
-        self._world.uses.peer_told(beat.node, beat.uses)
-        broken = [desired.BackendKey(key) for key in beat.broken]
-        self._world.outages.told(beat.node, broken)
-        slow = [desired.BackendKey(key) for key in beat.slow]
-        self._world.slow.told(beat.node, slow)
-        self._suspect_gossip.merge(beat.suspects)
-        for name in beat.leaving_servers:
+        self._heard_era(positions.Position(heartbeat.backends_end))
+        near = heartbeat.domain == self._settings.domain
+        self._world.loads.peer_told(heartbeat.node, running, near=near)
+        self._world.uses.peer_told(heartbeat.node, heartbeat.workspace_uses)
+        broken = [desired.BackendKey(key) for key in heartbeat.broken_backends]
+        self._world.outages.told(heartbeat.node, broken)
+        slow = [desired.BackendKey(key) for key in heartbeat.slow_backends]
+        self._world.slow.told(heartbeat.node, slow)
+        self._suspect_gossip.merge(heartbeat.suspects)
+        for name in heartbeat.leaving_backends:
             self._world.backends.says_it_leaves(desired.BackendKey(name))
-        self.heard_generation(experts.Generation(beat.generation))
-        self._lags[platform.OPERATOR_TOPIC].heard(beat.version)
-        self._lags[platform.BACKENDS_TOPIC].heard(beat.end)
+        self.heard_generation(experts.Generation(heartbeat.generation))
+        self._lags[platform.OPERATOR_TOPIC].heard(heartbeat.version)
+        self._lags[platform.BACKENDS_TOPIC].heard(heartbeat.backends_end)
         for topic, age_ms in (
-            (platform.OPERATOR_TOPIC, beat.desired_ms),
-            (platform.BACKENDS_TOPIC, beat.backends_ms),
+            (platform.OPERATOR_TOPIC, heartbeat.desired_age_ms),
+            (platform.BACKENDS_TOPIC, heartbeat.backends_age_ms),
         ):
             if age_ms >= 0:
                 self.answers.told(topic, age_ms * _MS)
@@ -378,8 +382,12 @@
         alone = not self.peers.known()
         if alone or self._world.desired is not None or age >= _ASK_FIRST:
             return True
-        beats = [peer.beat for peer in self.peers.live() if peer.beat]
-        newest = max((beat.version for beat in beats), default=0)
+        heartbeats = [
+            peer.heartbeat for peer in self.peers.live() if peer.heartbeat
+        ]
+        newest = max(
+            (heartbeat.version for heartbeat in heartbeats), default=0
+        )
         if not newest:
             # Nobody that was heard knows one; others may be heard yet.
             return bool(self._first_state) and age >= _HEAR_FIRST
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -14,17 +14,17 @@
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
 #: Longest age of an answer that is told, in milliseconds: past a minute it
 #: tells no more than none does.
-AGE_MOST_MS = 60_000
-_AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=AGE_MOST_MS)]
+MAX_AGE_MS = 60_000
+_AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_AGE_MS)]
 #: The same of what speaks against a request; older has lapsed.
-LAPSE_MS = int(suspects.LAPSE.total_seconds() * 1000)
-_LapseMs = Annotated[int, msgspec.Meta(ge=-1, le=LAPSE_MS)]
-_Request = Annotated[
+MAX_EVIDENCE_AGE_MS = int(suspects.LAPSE.total_seconds() * 1000)
+_EvidenceAgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_EVIDENCE_AGE_MS)]
+_FingerprintBytes = Annotated[
     bytes, msgspec.Meta(min_length=suspects.SIZE, max_length=suspects.SIZE)
 ]
 #: Longest name of a server's life, and of its software, in characters.
-_NAME_MOST = 200
-_Name = Annotated[str, msgspec.Meta(max_length=_NAME_MOST)]
+_MAX_NAME_CHARS = 200
+_Name = Annotated[str, msgspec.Meta(max_length=_MAX_NAME_CHARS)]
 
 
 @final
@@ -37,8 +37,8 @@
 
     server: _Name
     software: _Name
-    ago_ms: Annotated[int, msgspec.Meta(ge=0, le=LAPSE_MS)]
-    ran_ms: Annotated[int, msgspec.Meta(ge=0, le=LAPSE_MS)]
+    ago_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_EVIDENCE_AGE_MS)]
+    ran_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_EVIDENCE_AGE_MS)]
 
 
 @final
@@ -49,40 +49,40 @@
         not.
     """
 
-    request: _Request
+    request: _FingerprintBytes
     ends: Annotated[
         list[ServerEnd], msgspec.Meta(max_length=suspects.ENDS_MOST)
     ]
-    cleared_ms: _LapseMs = -1
+    cleared_ms: _EvidenceAgeMs = -1
 
 
 @final
-class Beat(msgspec.Struct, frozen=True, array_like=True):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
     """One datagram.
 
     :param incarnation: drawn anew at each start.
     :param state_port: where the sender answers questions.
     :param version: version of its desired state; 0 if it has none.
-    :param end: how far it has read the list of backend servers.
+    :param backends_end: how far it has read the list of backend servers.
     :param running: its requests in progress, by backend server.
-    :param known: addresses of peers that it knows, ``HOST:PORT``.
-    :param since_ms: when it started, by its time of day, if it can look
+    :param known_addresses: addresses of peers that it knows, ``HOST:PORT``.
+    :param started_ms: when it started, by its time of day, if it can look
         after expert maps; 0 if it cannot now.
-    :param broken: backend servers that it has seen in broken groups.
+    :param broken_backends: backend servers that it has seen in broken groups.
     :param generation: number of its lease of expert maps; 0 without one.
-    :param reads: whether the store answered its last call.
-    :param pass_on: whether the receiver should pass it on to its domain.
-    :param number: rises with each datagram of an incarnation: one that was
+    :param reads_store: whether the store answered its last call.
+    :param relay: whether the receiver should pass it on to its domain.
+    :param sequence: rises with each datagram of an incarnation: one that was
         passed on may arrive after a later one.
-    :param uses: its requests in progress by workspace and service, which
-        stand as numbers (:mod:`lugcross.edge.uses`).
-    :param desired_ms: how long ago the store answered it about the desired
+    :param workspace_uses: its requests in progress by workspace and service,
+        which stand as numbers (:mod:`lugcross.edge.uses`).
+    :param desired_age_ms: how long ago the store answered it about the desired
         state; less than 0 if it has not for a minute.
-    :param backends_ms: the same about the list of backend servers.
-    :param slow: backend servers that hold their groups back.
+    :param backends_age_ms: the same about the list of backend servers.
+    :param slow_backends: backend servers that hold their groups back.
     :param suspects: requests under which servers have ended, as far as the
         sender knows; some of them in each datagram.
-    :param leaving_servers: backend servers that say in their answers that
+    :param leaving_backends: backend servers that say in their answers that
         they leave, as long as the list does not say so.
     """
 
@@ -92,40 +92,41 @@
     state_port: int
     leaving: bool
     version: int
-    end: int
+    backends_end: int
     running: dict[str, _Count]
-    known: list[str]
-    since_ms: int = 0
-    broken: list[str] = []
+    known_addresses: list[str]
+    started_ms: int = 0
+    broken_backends: list[str] = []
     generation: int = 0
-    reads: bool = False
-    pass_on: bool = False
-    number: int = 0
-    uses: dict[int, _Count] = {}
-    desired_ms: _AgeMs = -1
-    backends_ms: _AgeMs = -1
-    slow: list[str] = []
+    reads_store: bool = False
+    relay: bool = False
+    sequence: int = 0
+    workspace_uses: dict[int, _Count] = {}
+    desired_age_ms: _AgeMs = -1
+    backends_age_ms: _AgeMs = -1
+    slow_backends: list[str] = []
     suspects: list[Suspect] = []
-    leaving_servers: list[_Name] = []
+    leaving_backends: list[_Name] = []
 
 
 @final
-class PassedOn(msgspec.Struct, frozen=True, array_like=True):
+class RelayedHeartbeat(msgspec.Struct, frozen=True, array_like=True):
     """A datagram of another failure domain, passed on within this one.
 
     :param origin: who sent it, ``HOST:PORT``.
     """
 
     origin: str
-    beat: Beat
+    heartbeat: Heartbeat
 
 
-#: Fields of a :class:`PassedOn`, by which it is told from a :class:`Beat`.
-_PASSED_FIELDS = 2
+#: Fields of a :class:`RelayedHeartbeat`, by which it is told from a
+#: :class:`Heartbeat`.
+_RELAYED_FIELD_COUNT = 2
 
 
 @final
-class Ask(msgspec.Struct, frozen=True, array_like=True):
+class StateRequest(msgspec.Struct, frozen=True, array_like=True):
     """Question for what is newer than this.
 
     :param digest: of the desired state's record that the sender has; empty
@@ -134,12 +135,12 @@
     """
 
     version: int
-    end: int
+    backends_end: int
     digest: bytes | None = None
 
 
 @final
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class BackendRecord(msgspec.Struct, frozen=True, array_like=True):
     """Newest record of one backend server; no value if it is gone."""
 
     key: str
@@ -148,8 +149,8 @@
 
 
 @final
-class State(msgspec.Struct, frozen=True, array_like=True):
-    """Answer: the desired state's record, if newer, and newer rows.
+class StateResponse(msgspec.Struct, frozen=True, array_like=True):
+    """Answer: the desired state and backend servers' records, if newer.
 
     :param desired: the record as it is, for older releases.
     :param packed: the record packed (:func:`patches.unpack`).
@@ -157,8 +158,8 @@
     """
 
     desired: bytes
-    end: int
-    rows: list[Row]
+    backends_end: int
+    backends: list[BackendRecord]
     packed: bytes = b""
     patch: patches.Patch | None = None
 
@@ -168,28 +169,28 @@
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
-def decode_datagram(data: bytes) -> Beat | PassedOn:
+def decode_datagram(data: bytes) -> Heartbeat | RelayedHeartbeat:
     """Return the message in a datagram.
 
     :raises cbor2.CBORDecodeError: when it is not readable at all.
     :raises msgspec.ValidationError: when it is neither message.
     """
     raw = cbor2.loads(data)
-    if isinstance(raw, list) and len(raw) == _PASSED_FIELDS:
-        return msgspec.convert(raw, PassedOn, builtin_types=(bytes,))
-    return msgspec.convert(raw, Beat, builtin_types=(bytes,))
+    if isinstance(raw, list) and len(raw) == _RELAYED_FIELD_COUNT:
+        return msgspec.convert(raw, RelayedHeartbeat, builtin_types=(bytes,))
+    return msgspec.convert(raw, Heartbeat, builtin_types=(bytes,))
 
 
-def decode_ask(frame: str | bytes) -> Ask:
+def decode_state_request(frame: str | bytes) -> StateRequest:
     """Return the question in a frame; raises as for datagrams."""
     raw = cbor2.loads(_as_bytes(frame))
-    return msgspec.convert(raw, Ask, builtin_types=(bytes,))
+    return msgspec.convert(raw, StateRequest, builtin_types=(bytes,))
 
 
-def decode_state(frame: str | bytes) -> State:
+def decode_state_response(frame: str | bytes) -> StateResponse:
     """Return the answer in a frame; raises as for datagrams."""
     raw = cbor2.loads(_as_bytes(frame))
-    return msgspec.convert(raw, State, builtin_types=(bytes,))
+    return msgspec.convert(raw, StateResponse, builtin_types=(bytes,))
 
 
 def _as_bytes(frame: str | bytes) -> bytes:
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -57,7 +57,7 @@
         self._is_without_store = without_store
         self.selector = peer_selection.PeerSelector(clock, rng)
 
-    def respond(self, req: messages.Ask) -> messages.State:
+    def respond(self, req: messages.StateRequest) -> messages.StateResponse:
         """Return what this process knows beyond ``req``."""
         state = self._world.desired
         newer = state is not None and state.version > req.version
@@ -65,13 +65,13 @@
         whole = newer and req.digest is None
         patch = records.patch(req.digest) if newer and req.digest else None
         packs = newer and req.digest is not None and patch is None
-        return messages.State(
+        return messages.StateResponse(
             desired=records.newest if whole else b"",
-            end=self._world.backends.end,
-            rows=[
-                messages.Row(row.key, row.offset, row.value)
+            backends_end=self._world.backends.end,
+            backends=[
+                messages.BackendRecord(row.key, row.offset, row.value)
                 for row in self._world.backends.records.values()
-                if row.offset >= req.end
+                if row.offset >= req.backends_end
             ],
             packed=records.packed() if packs else b"",
             patch=patch,
@@ -101,8 +101,8 @@
                     self.selector.request_started(peer)
                     tasks.create_task(self._request_from_peer(peer))
 
-    def _is_same_domain(self, beat: messages.Beat) -> bool:
-        return beat.domain == self._settings.domain
+    def _is_same_domain(self, heartbeat: messages.Heartbeat) -> bool:
+        return heartbeat.domain == self._settings.domain
 
     def _should_ask_at_once(self) -> bool:
         """Tell whether there is no use in waiting for the store."""
@@ -115,13 +115,16 @@
         return [
             peer_selection.NewerPeer(
                 host=peer.host,
-                port=peer.beat.state_port,
-                newness=(peer.beat.version, peer.beat.end),
-                same_domain=self._is_same_domain(peer.beat),
+                port=peer.heartbeat.state_port,
+                newness=(peer.heartbeat.version, peer.heartbeat.backends_end),
+                same_domain=self._is_same_domain(peer.heartbeat),
             )
             for peer in self._peers.live()
-            if peer.beat
-            and (peer.beat.version > version or peer.beat.end > end)
+            if peer.heartbeat
+            and (
+                peer.heartbeat.version > version
+                or peer.heartbeat.backends_end > end
+            )
         ]
 
     async def _request_from_seeds(self) -> None:
@@ -137,7 +140,7 @@
         """Ask a peer and take over what it tells; tell whether it did."""
         records = self._world.records
         base = records.newest
-        req = messages.Ask(
+        req = messages.StateRequest(
             self._world.version, self._world.backends.end, records.digest
         )
         response = await state_transfer.request_state(host, port, req)
@@ -154,8 +157,8 @@
                 "peer": host,
                 "desired": bool(record),
                 "patched": response.patch is not None,
-                "rows": len(response.rows),
-                "end": response.end,
+                "rows": len(response.backends),
+                "end": response.backends_end,
             },
         )
         if record:
@@ -164,16 +167,16 @@
             platform.KeyedRecord(
                 positions.Position(row.offset), row.key, row.value
             )
-            for row in response.rows
+            for row in response.backends
         )
         tail = platform.Tail(
-            end=positions.Position(response.end), records=rows
+            end=positions.Position(response.backends_end), records=rows
         )
         self._world.backends.apply(tail, store_was_away=True)
         return True
 
 
-def _record(response: messages.State, base: bytes) -> bytes:
+def _record(response: messages.StateResponse, base: bytes) -> bytes:
     """Return the desired state's record in an answer, if it has one.
 
     :param base: record that the question named: another may be in force by
--- a/src/lugcross/edge/peers.py
+++ b/src/lugcross/edge/peers.py
@@ -50,18 +50,18 @@
 
     host: str
     port: int
-    beat: messages.Beat | None = None
+    heartbeat: messages.Heartbeat | None = None
     heard: clock_lib.Instant | None = None
     added: clock_lib.Instant = datetime.timedelta()
 
     @property
     def domain(self) -> str | None:
         """Its failure domain; none while it is not known."""
-        return None if self.beat is None else self.beat.domain
+        return None if self.heartbeat is None else self.heartbeat.domain
 
 
 #: Fills in the sender's own part of a datagram.
-Teller = Callable[[list[str]], messages.Beat]
+Teller = Callable[[list[str]], messages.Heartbeat]
 
 
 @final
@@ -110,35 +110,43 @@
                 "bad datagram", extra={"peer": addr[0], "why": str(exc)}
             )
             return
-        if isinstance(got, messages.PassedOn):
+        if isinstance(got, messages.RelayedHeartbeat):
             if got.origin != self._own:
-                self._take(got.origin, got.beat)
+                self._take(got.origin, got.heartbeat)
             return
         origin = f"{addr[0]}:{addr[1]}"
         self._take(origin, got)
-        if got.pass_on:
-            self._pass_on(messages.PassedOn(origin, got))
+        if got.relay:
+            self._pass_on(messages.RelayedHeartbeat(origin, got))
 
-    def _pass_on(self, passed: messages.PassedOn) -> None:
+    def _pass_on(self, passed: messages.RelayedHeartbeat) -> None:
         """Tell the peers of this domain what one of another has sent."""
         data = messages.encode(passed)
         for peer in self._peers.values():
             if peer.domain == self._domain:
                 self._send_to(peer, data)
 
-    def _take(self, origin: str, beat: messages.Beat) -> None:
+    def _take(self, origin: str, heartbeat: messages.Heartbeat) -> None:
         peer = self._note(origin)
-        same = peer.beat and peer.beat.incarnation == beat.incarnation
-        if same and peer.beat and beat.number < peer.beat.number:
+        same = (
+            peer.heartbeat
+            and peer.heartbeat.incarnation == heartbeat.incarnation
+        )
+        if (
+            same
+            and peer.heartbeat
+            and heartbeat.sequence < peer.heartbeat.sequence
+        ):
             return
         if not same:
             logging.info(
-                "peer", extra={"peer": beat.node, "domain": beat.domain}
+                "peer",
+                extra={"peer": heartbeat.node, "domain": heartbeat.domain},
             )
             self._news.set()
-        peer.beat = beat
+        peer.heartbeat = heartbeat
         peer.heard = self._clock.monotonic()
-        for address in beat.known:
+        for address in heartbeat.known_addresses:
             self._note(address)
         self._heard(peer)
 
@@ -198,15 +206,15 @@
         start = self._turn % max(1, len(names))
         known = (names[start:] + names[:start])[:_ADDRESSES]
         told = self._tell(known if self._turn % 8 == 0 else [])
-        beat = msgspec.structs.replace(told, number=self._turn)
-        data = messages.encode(beat)
+        heartbeat = msgspec.structs.replace(told, sequence=self._turn)
+        data = messages.encode(heartbeat)
         for peer in self._peers.values():
             if self._urgent or peer.domain in (None, self._domain):
                 self._send_to(peer, data)
         self._urgent = False
-        self._tell_far(msgspec.structs.replace(beat, pass_on=True))
+        self._tell_far(msgspec.structs.replace(heartbeat, relay=True))
 
-    def _tell_far(self, beat: messages.Beat) -> None:
+    def _tell_far(self, heartbeat: messages.Heartbeat) -> None:
         """Tell one peer of each other domain that is due, by turns."""
         now = self._clock.monotonic()
         # Without a live peer in a domain any is told: who waits to be told
@@ -216,7 +224,7 @@
         due = [domain for domain in far if self._is_due(domain, now)]
         if not due:
             return
-        data = messages.encode(beat)
+        data = messages.encode(heartbeat)
         for domain in due:
             self._far_told[domain] = now
             self._far_turn += 1
--- a/src/lugcross/edge/state_transfer.py
+++ b/src/lugcross/edge/state_transfer.py
@@ -28,7 +28,8 @@
     """
 
     def __init__(
-        self, respond: Callable[[messages.Ask], messages.State]
+        self,
+        respond: Callable[[messages.StateRequest], messages.StateResponse],
     ) -> None:
         self._respond = respond
         self._server: ws_server.Server | None = None
@@ -47,7 +48,7 @@
     async def _serve(self, conn: ws_server.ServerConnection) -> None:
         try:
             async for frame in conn:
-                state = self._respond(messages.decode_ask(frame))
+                state = self._respond(messages.decode_state_request(frame))
                 await conn.send(messages.encode(state))
         except (
             cbor2.CBORDecodeError,
@@ -58,8 +59,8 @@
 
 
 async def request_state(
-    host: str, port: int, req: messages.Ask
-) -> messages.State | None:
+    host: str, port: int, req: messages.StateRequest
+) -> messages.StateResponse | None:
     """Return what a peer knows beyond ``req``; none if it is away."""
     try:
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
@@ -70,7 +71,7 @@
                 proxy=None,
             ) as conn:
                 await conn.send(messages.encode(req))
-                return messages.decode_state(await conn.recv())
+                return messages.decode_state_response(await conn.recv())
     except (
         OSError,
         TimeoutError,
--- a/src/lugcross/edge/suspect_gossip.py
+++ b/src/lugcross/edge/suspect_gossip.py
@@ -100,9 +100,9 @@
         end.server,
         end.software,
         ago_ms=_age_ms(end.at, now),
-        ran_ms=min(int(end.ran / _MS), messages.LAPSE_MS),
+        ran_ms=min(int(end.ran / _MS), messages.MAX_EVIDENCE_AGE_MS),
     )
 
 
 def _age_ms(at: clock_lib.Instant, now: clock_lib.Instant) -> int:
-    return min(int((now - at) / _MS), messages.LAPSE_MS)
+    return min(int((now - at) / _MS), messages.MAX_EVIDENCE_AGE_MS)
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -38,27 +38,27 @@
     def hear(
         self,
         *,
-        since_ms: int = 1,
+        started_ms: int = 1,
         generation: int = 0,
         leaving: bool = False,
-        reads: bool = True,
+        reads_store: bool = True,
     ) -> None:
         """Take a datagram of a peer that started long ago."""
-        beat = messages.Beat(
+        heartbeat = messages.Heartbeat(
             node="n2",
             incarnation="i2",
             domain="d1",
             state_port=1,
             leaving=leaving,
             version=0,
-            end=0,
+            backends_end=0,
             running={},
-            known=[],
-            since_ms=since_ms,
+            known_addresses=[],
+            started_ms=started_ms,
             generation=generation,
-            reads=reads,
+            reads_store=reads_store,
         )
-        data = cbor2.dumps(msgspec.to_builtins(beat))
+        data = cbor2.dumps(msgspec.to_builtins(heartbeat))
         self.known.peers.datagram_received(data, ("10.0.0.2", 9))
 
 
@@ -86,7 +86,7 @@
     node.clock.advance(5000 * MS)
     node.hear()
     assert not node.known.first()
-    node.hear(since_ms=0)
+    node.hear(started_ms=0)
     assert node.known.first()
 
 
@@ -126,35 +126,37 @@
     assert heard == [3]
 
 
-def _hear_readers(node: Node, domain: str, *, reads: bool = True) -> None:
+def _hear_readers(
+    node: Node, domain: str, *, reads_store: bool = True
+) -> None:
     """Take datagrams of two processes that come first by their names."""
     for num in range(2):
-        beat = messages.Beat(
+        heartbeat = messages.Heartbeat(
             node=f"r{num}",
             incarnation=f"!{num}",
             domain=domain,
             state_port=1,
             leaving=False,
             version=0,
-            end=0,
+            backends_end=0,
             running={},
-            known=[],
-            reads=reads,
+            known_addresses=[],
+            reads_store=reads_store,
         )
-        data = cbor2.dumps(msgspec.to_builtins(beat))
+        data = cbor2.dumps(msgspec.to_builtins(heartbeat))
         node.known.peers.datagram_received(data, (f"10.0.1.{num}", 9))
 
 
 @pytest.mark.parametrize(
-    ("domain", "reads", "rests"),
+    ("domain", "reads_store", "rests"),
     [("d1", True, True), ("d2", True, False), ("d1", False, False)],
     ids=["near", "far", "store-away"],
 )
 def test_store_is_left_to_two_readers_of_the_same_domain(
-    domain: str, reads: bool, rests: bool
+    domain: str, reads_store: bool, rests: bool
 ) -> None:
     node = Node(fenced=False)
-    _hear_readers(node, domain, reads=reads)
+    _hear_readers(node, domain, reads_store=reads_store)
     assert node.known.rests() == rests
 
 
@@ -182,8 +184,10 @@
 
 
 def _hear_version(node: Node, name: str, domain: str, version: int) -> None:
-    beat = messages.Beat(name, name, domain, 1, False, version, 0, {}, [])
-    data = cbor2.dumps(msgspec.to_builtins(beat))
+    heartbeat = messages.Heartbeat(
+        name, name, domain, 1, False, version, 0, {}, []
+    )
+    data = cbor2.dumps(msgspec.to_builtins(heartbeat))
     node.known.peers.datagram_received(data, (name, 9))
 
 
@@ -217,7 +221,7 @@
 ) -> None:
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
-    node.hear(reads=False)
+    node.hear(reads_store=False)
     # Without a lease the store does not matter.
     assert node.known.first() == fenced
 
@@ -226,6 +230,6 @@
     node = Node(fenced=True)
     tell = node.known._tell
     node.known.can_claim = lambda: False
-    assert not tell([]).reads
+    assert not tell([]).reads_store
     node.known.can_claim = lambda: True
-    assert tell([]).reads
+    assert tell([]).reads_store
--- a/testing/edge/test_foreign_bytes.py
+++ b/testing/edge/test_foreign_bytes.py
@@ -31,10 +31,12 @@
 )
 DECODERS = [
     messages.decode_datagram,
-    messages.decode_ask,
-    messages.decode_state,
+    messages.decode_state_request,
+    messages.decode_state_response,
 ]
-BEAT = messages.Beat("n", "i", "d", 1, False, 1, 1, {"a": 1}, ["h:1"])
+HEARTBEAT = messages.Heartbeat(
+    "n", "i", "d", 1, False, 1, 1, {"a": 1}, ["h:1"]
+)
 #: Nested deeper than any decoder goes, and lengths that no bytes follow.
 EXTREMES = [
     b"",
@@ -87,15 +89,15 @@
 def test_bad_suspects_are_refused_and_change_nothing(value, end, field):
     suspect = [b"x" * 16, [["i-1", "v1", 5, 5]], -1]
     suspect[field] = end if field == 1 else value
-    fields = cbor2.loads(messages.encode(BEAT))
+    fields = cbor2.loads(messages.encode(HEARTBEAT))
     fields[-1] = [suspect]
     try:
-        beat = messages.decode_datagram(cbor2.dumps(fields))
+        heartbeat = messages.decode_datagram(cbor2.dumps(fields))
     except msgspec.ValidationError:
         return
     ledger = suspects.Ledger()
     clock = clock_lib.ManualClock()
-    suspect_gossip.SuspectGossip(ledger, clock).merge(beat.suspects)
+    suspect_gossip.SuspectGossip(ledger, clock).merge(heartbeat.suspects)
     sound = suspects.Fingerprint(b"y" * suspects.SIZE)
     now = clock.monotonic()
     standing = ledger.standing(sound, frozenset(["v1"]), now)
@@ -132,13 +134,13 @@
 
 @given(
     place=strategies.integers(
-        min_value=0, max_value=len(BEAT.__struct_fields__) - 1
+        min_value=0, max_value=len(HEARTBEAT.__struct_fields__) - 1
     ),
     value=VALUES,
 )
-def test_beat_with_any_field_replaced_is_a_message_or_refused(
+def test_heartbeat_with_any_field_replaced_is_a_message_or_refused(
     place: int, value: object
 ):
-    fields = cbor2.loads(messages.encode(BEAT))
+    fields = cbor2.loads(messages.encode(HEARTBEAT))
     fields[place] = value
     _read(messages.decode_datagram, cbor2.dumps(fields))
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -214,10 +214,10 @@
 @pytest.mark.parametrize(
     "fields",
     [
-        {"uses": {1: -1}},
-        {"uses": {1: 10**12}},
-        {"desired_ms": 2**63},
-        {"backends_ms": -2},
+        {"workspace_uses": {1: -1}},
+        {"workspace_uses": {1: 10**12}},
+        {"desired_age_ms": 2**63},
+        {"backends_age_ms": -2},
     ],
     ids=str,
 )
@@ -230,9 +230,11 @@
         domain="d1",
         clock=clock_lib.ManualClock(),
     )
-    peers.datagram_received(_encoded(_beat("n2", "d1", **fields)), (HOST, 9))
+    peers.datagram_received(
+        _encoded(_heartbeat("n2", "d1", **fields)), (HOST, 9)
+    )
     assert heard == []
-    peers.datagram_received(_encoded(_beat("n2", "d1")), (HOST, 9))
+    peers.datagram_received(_encoded(_heartbeat("n2", "d1")), (HOST, 9))
     assert len(heard) == 1
 
 
@@ -259,8 +261,10 @@
         return sum(1 for host, _ in self.sent if host in hosts)
 
 
-def _beat(node: str, domain: str, **fields: object) -> messages.Beat:
-    return messages.Beat(node, node, domain, 1, False, 0, 0, {}, [], **fields)
+def _heartbeat(node: str, domain: str, **fields: object) -> messages.Heartbeat:
+    return messages.Heartbeat(
+        node, node, domain, 1, False, 0, 0, {}, [], **fields
+    )
 
 
 def _encoded(message: msgspec.Struct) -> bytes:
@@ -274,7 +278,7 @@
         self.clock = clock_lib.ManualClock()
         self.wire = _Wire()
         self.peers = peers_lib.Peers(
-            lambda known: _beat("own", "d1"),
+            lambda known: _heartbeat("own", "d1"),
             lambda peer: None,
             own="own:9",
             domain="d1",
@@ -287,7 +291,7 @@
             ("far1", "d2"),
             ("far2", "d2"),
         ):
-            self.hear(host, _beat(host, domain))
+            self.hear(host, _heartbeat(host, domain))
 
     def hear(self, host: str, message: msgspec.Struct) -> None:
         self.peers.datagram_received(_encoded(message), (host, 9))
@@ -323,19 +327,19 @@
 
 def test_news_of_another_domain_are_passed_on_within_this_one():
     gossip = _Gossip()
-    beat = _beat("far1", "d2", pass_on=True, number=3)
-    gossip.hear("far1", beat)
-    passed = _encoded(messages.PassedOn("far1:9", beat))
+    heartbeat = _heartbeat("far1", "d2", relay=True, sequence=3)
+    gossip.hear("far1", heartbeat)
+    passed = _encoded(messages.RelayedHeartbeat("far1:9", heartbeat))
     assert gossip.wire.sent == [("near1", passed), ("near2", passed)]
 
 
 def test_news_that_were_passed_on_count_as_their_senders():
     gossip = _Gossip()
     gossip.clock.advance(datetime.timedelta(seconds=30))
-    beat = _beat("far3", "d2", generation=7, pass_on=True)
-    gossip.hear("near1", messages.PassedOn("far3:9", beat))
+    heartbeat = _heartbeat("far3", "d2", generation=7, relay=True)
+    gossip.hear("near1", messages.RelayedHeartbeat("far3:9", heartbeat))
     live = gossip.peers.live()
-    assert [(peer.host, peer.beat.generation) for peer in live] == [
+    assert [(peer.host, peer.heartbeat.generation) for peer in live] == [
         ("far3", 7)
     ]
     # Passed on once only.
@@ -345,15 +349,15 @@
 def test_own_news_that_come_back_are_dropped():
     gossip = _Gossip()
     before = gossip.peers.known()
-    beat = _beat("own", "d1")
-    gossip.hear("near1", messages.PassedOn("own:9", beat))
+    heartbeat = _heartbeat("own", "d1")
+    gossip.hear("near1", messages.RelayedHeartbeat("own:9", heartbeat))
     assert gossip.peers.known() == before
 
 
 def test_older_news_never_replace_newer_ones():
     gossip = _Gossip()
-    gossip.hear("far1", _beat("far1", "d2", number=5, generation=2))
-    old = _beat("far1", "d2", number=4, generation=1)
-    gossip.hear("near1", messages.PassedOn("far1:9", old))
-    numbers = {p.host: p.beat.generation for p in gossip.peers.live()}
+    gossip.hear("far1", _heartbeat("far1", "d2", sequence=5, generation=2))
+    old = _heartbeat("far1", "d2", sequence=4, generation=1)
+    gossip.hear("near1", messages.RelayedHeartbeat("far1:9", old))
+    numbers = {p.host: p.heartbeat.generation for p in gossip.peers.live()}
     assert numbers["far1"] == 2
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -219,8 +219,8 @@
         ]
 
     async def _ask(
-        self, host: str, port: int, question: messages.Ask
-    ) -> messages.State | None:
+        self, host: str, port: int, question: messages.StateRequest
+    ) -> messages.StateResponse | None:
         """Take the place of the question over a WebSocket."""
         assert port == _STATE_PORT
         try:
@@ -232,7 +232,7 @@
                     self.nodes[host].knowledge.peer_sync.respond(question)
                 )
                 await self._sent(host, len(data))
-                return messages.decode_state(data)
+                return messages.decode_state_response(data)
         except TimeoutError:
             return None
 
