--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -85,7 +85,7 @@
         self._runner = runner_lib.Runner(
             self.world,
             closed=self._closed,
-            changed=self.knowledge.peers.changed,
+            changed=self.knowledge.peers.schedule_send,
             clock=clock,
             rng=rng,
         )
@@ -102,7 +102,9 @@
             heard=self.world.heard,
             may_send=self.world.rests.may_disturb,
         )
-        urgent = functools.partial(self.knowledge.peers.changed, urgent=True)
+        urgent = functools.partial(
+            self.knowledge.peers.schedule_send, urgent=True
+        )
         self._duty = duty_lib.Duty(
             experts.Lease(self.knowledge.incarnation, clock),
             self._store,
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -111,18 +111,18 @@
             for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC)
         }
         self.peers = peers_lib.Peers(
-            self._tell,
-            self._heard,
-            own=settings.listen.peers,
+            self._make_heartbeat,
+            self._on_heartbeat,
+            own_address=settings.listen.peers,
             domain=settings.domain,
             clock=clock,
         )
         self._registration = registration_lib.Registration(
             settings, store, self.peers, clock=clock, rng=rng
         )
-        world.known_peers = self.peers.known
+        world.known_peers = self.peers.count
         world.endings.changed = functools.partial(
-            self.peers.changed, urgent=True
+            self.peers.schedule_send, urgent=True
         )
         self.peer_sync = peer_sync_lib.PeerSync(
             settings,
@@ -159,11 +159,11 @@
     def leave(self) -> None:
         """Tell the peers that this process is being stopped."""
         self._leaving = True
-        self.peers.changed(urgent=True)
+        self.peers.schedule_send(urgent=True)
 
     def close(self) -> None:
         """Stop listening."""
-        self.peers.tell_now()
+        self.peers.send_now()
         self._server.close()
 
     @property
@@ -252,7 +252,7 @@
         else:
             self._world.backends.apply(tail, store_was_away=away)
         if tail.records:
-            self.peers.changed()
+            self.peers.schedule_send()
 
     def _readable(self, record: bytes) -> bytes:
         """Return a record of the desired state if it can be read."""
@@ -274,9 +274,9 @@
             logging.error("desired state kept out", extra={"why": str(exc)})
             return
         if self._world.adopt(state, record):
-            self.peers.changed(urgent=urgent)
+            self.peers.schedule_send(urgent=urgent)
 
-    def _tell(self, known: list[str]) -> messages.Heartbeat:
+    def _make_heartbeat(self, known: list[str]) -> messages.Heartbeat:
         _, port = address.split(self._settings.listen.state)
         return messages.Heartbeat(
             node=self._settings.node,
@@ -312,7 +312,7 @@
             return -1
         return int(age / _MS)
 
-    def _heard(self, peer: peers_lib.Peer) -> None:
+    def _on_heartbeat(self, peer: peers_lib.Peer) -> None:
         heartbeat = peer.heartbeat
         if heartbeat is None:
             return
@@ -379,7 +379,7 @@
 
     def _may_begin(self) -> bool:
         age = self._clock.monotonic() - self._begun
-        alone = not self.peers.known()
+        alone = not self.peers.count()
         if alone or self._world.desired is not None or age >= _ASK_FIRST:
             return True
         heartbeats = [
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -66,5 +66,5 @@
         values = [record.value for record in tail.records]
         for found in peers_lib.node_addresses(values):
             self._peers.add(found)
-        self._peers.changed(urgent=True)
+        self._peers.schedule_send(urgent=True)
         return True
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -170,7 +170,7 @@
 def test_news_of_the_list_are_told_without_waiting_for_a_heartbeat() -> None:
     node = Node(fenced=False)
     told: list[None] = []
-    node.known.peers.changed = lambda: told.append(None)
+    node.known.peers.schedule_send = lambda: told.append(None)
     row = platform.KeyedRecord(
         ids.Offset(0), "i-1", edge_rig.entry("s", "10.0.0.1:80")
     )
@@ -228,8 +228,8 @@
 
 def test_peers_hear_that_the_store_turns_this_process_away() -> None:
     node = Node(fenced=True)
-    tell = node.known._tell
+    make_heartbeat = node.known._make_heartbeat
     node.known.can_claim = lambda: False
-    assert not tell([]).reads_store
+    assert not make_heartbeat([]).reads_store
     node.known.can_claim = lambda: True
-    assert tell([]).reads_store
+    assert make_heartbeat([]).reads_store
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -154,7 +154,7 @@
         one.world.adopt(
             platform.read_desired(fleet_rig.state(8)), fleet_rig.state(8)
         )
-        one.knowledge.peers.changed()
+        one.knowledge.peers.schedule_send()
         await _until(lambda: two.world.desired is not None)
         for task in tasks:
             task.cancel()
@@ -202,7 +202,7 @@
     peers = peers_lib.Peers(
         lambda known: None,
         lambda peer: None,
-        own="127.0.0.1:1",
+        own_address="127.0.0.1:1",
         domain="d1",
         clock=clock_lib.ManualClock(),
     )
@@ -226,7 +226,7 @@
     peers = peers_lib.Peers(
         lambda known: None,
         heard.append,
-        own="own:9",
+        own_address="own:9",
         domain="d1",
         clock=clock_lib.ManualClock(),
     )
@@ -280,7 +280,7 @@
         self.peers = peers_lib.Peers(
             lambda known: _heartbeat("own", "d1"),
             lambda peer: None,
-            own="own:9",
+            own_address="own:9",
             domain="d1",
             clock=self.clock,
         )
@@ -298,7 +298,7 @@
 
     def tell(self, count: int, *, urgent: bool = False) -> None:
         for _ in range(count):
-            self.peers.changed(urgent=urgent)
+            self.peers.schedule_send(urgent=urgent)
             self.peers.send_due()
             self.clock.advance(datetime.timedelta(milliseconds=50))
 
@@ -348,10 +348,10 @@
 
 def test_own_news_that_come_back_are_dropped():
     gossip = _Gossip()
-    before = gossip.peers.known()
+    before = gossip.peers.count()
     heartbeat = _heartbeat("own", "d1")
     gossip.hear("near1", messages.RelayedHeartbeat("own:9", heartbeat))
-    assert gossip.peers.known() == before
+    assert gossip.peers.count() == before
 
 
 def test_older_news_never_replace_newer_ones():
