--- a/Makefile
+++ b/Makefile
@@ -22,7 +22,7 @@
 TEST_JOBS ?= 4
 DECISIONS := $(addprefix testing/,agent cfg edge entry experts membership \
     placement routing shares suspects)
-ALONE := $(addprefix testing/edge/,test_process.py test_knowledge.py)
+ALONE := $(addprefix testing/edge/,test_process.py test_state_sync.py)
 
 test: venv
 	$(BIN)/pytest -n $(TEST_JOBS) $(addprefix --ignore=,$(ALONE)) $(DECISIONS)
--- a/bench/news.py
+++ b/bench/news.py
@@ -16,8 +16,8 @@
 import edge_cfg
 
 from lugcross import clock as clock_lib
-from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
+from lugcross.edge import state_sync as state_sync_lib
 from lugcross.edge import world as world_lib
 
 #: Processes and failure domains: the users' small, large and target fleets.
@@ -37,16 +37,16 @@
         del data, to
 
 
-def _knowledge(rng: random.Random) -> knowledge_lib.Knowledge:
+def _new_state_sync(rng: random.Random) -> state_sync_lib.StateSync:
     cfg = edge_cfg.settings()
     clock = clock_lib.ManualClock()
     clock.advance(datetime.timedelta(seconds=60))
     world = world_lib.World(cfg, clock=clock, rng=rng)
-    known = knowledge_lib.Knowledge(
+    state_sync = state_sync_lib.StateSync(
         cfg, world, _Nowhere(), clock=clock, rng=random.Random(1)
     )
-    known.peers.connection_made(_Nowhere())
-    return known
+    state_sync.peers.connection_made(_Nowhere())
+    return state_sync
 
 
 def _heartbeat(num: int, domains: int, turn: int, rng: random.Random) -> bytes:
@@ -73,7 +73,7 @@
 
 def _measure(processes: int, domains: int) -> str:
     rng = random.Random(1)
-    known = _knowledge(rng)
+    state_sync = _new_state_sync(rng)
     data = [
         (num, _heartbeat(num, domains, turn, rng))
         for turn in range(1, ROUNDS + 1)
@@ -81,11 +81,13 @@
     ]
     begun = time.perf_counter()
     for num, one in data:
-        known.peers.datagram_received(one, (f"10.0.{num // 250}.{num}", 7))
+        state_sync.peers.datagram_received(
+            one, (f"10.0.{num // 250}.{num}", 7)
+        )
     take_us = (time.perf_counter() - begun) / len(data) * 1e6
     begun = time.perf_counter()
     for _ in range(ROUNDS):
-        known.peers.send_due()
+        state_sync.peers.send_due()
     send_us = (time.perf_counter() - begun) / ROUNDS * 1e6
     near = processes // domains
     taken = (near - 1) / NEAR_S + (processes - near) / FAR_S
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -18,12 +18,12 @@
 from lugcross import desired
 from lugcross.edge import duty as duty_lib
 from lugcross.edge import engines as engines_lib
-from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import maps as maps_lib
 from lugcross.edge import metrics as metrics_lib
 from lugcross.edge import ready as ready_lib
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_sync as state_sync_lib
 from lugcross.edge import store_followers
 from lugcross.edge import world as world_lib
 from lugcross import errors
@@ -79,13 +79,13 @@
         self._store = platform.StoreClient(
             settings.store.address, timeout=STORE_TIMEOUT
         )
-        self.knowledge = knowledge_lib.Knowledge(
+        self.state_sync = state_sync_lib.StateSync(
             settings, self.world, self._store, clock=clock, rng=rng
         )
         self._runner = runner_lib.Runner(
             self.world,
             closed=self._closed,
-            changed=self.knowledge.peers.schedule_send,
+            changed=self.state_sync.peers.schedule_send,
             clock=clock,
             rng=rng,
         )
@@ -103,12 +103,12 @@
             may_send=self.world.rests.may_disturb,
         )
         urgent = functools.partial(
-            self.knowledge.peers.schedule_send, urgent=True
+            self.state_sync.peers.schedule_send, urgent=True
         )
         self._duty = duty_lib.Duty(
-            experts.Lease(self.knowledge.incarnation, clock),
+            experts.Lease(self.state_sync.incarnation, clock),
             self._store,
-            self.knowledge,
+            self.state_sync,
             fenced=lambda: self.world.bounds.fenced,
             changed=urgent,
         )
@@ -124,12 +124,12 @@
             cfg=settings.maps,
         )
         self._duty.busy = self._maps.switches.is_busy
-        self.knowledge.unfit = self._maps.switches.is_stuck
-        self.knowledge.generation = self._duty.generation
-        self.knowledge.heard_generation = self._duty.heard
-        self.knowledge.can_claim = self._duty.can_claim
-        self.knowledge.seen_broken = self._maps.seen_broken
-        self.knowledge.seen_slow = self._maps.seen_slow
+        self.state_sync.is_unfit = self._maps.switches.is_stuck
+        self.state_sync.lease_generation = self._duty.generation
+        self.state_sync.on_peer_generation = self._duty.heard
+        self.state_sync.can_claim_lease = self._duty.can_claim
+        self.state_sync.seen_broken_backends = self._maps.seen_broken
+        self.state_sync.seen_slow_backends = self._maps.seen_slow
         self._conns: set[http1.ServerConn] = set()
         self._leaving_since: clock_lib.Instant | None = None
         self._stop = asyncio.Event()
@@ -145,7 +145,7 @@
             loop.add_signal_handler(num, self._ask_stop)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         listen = self._settings.listen
-        await self.knowledge.start()
+        await self.state_sync.start()
         servers = [
             await asyncio.start_server(
                 self._serve, *address.split(listen.callers), backlog=_BACKLOG
@@ -170,7 +170,7 @@
                 server.close()
             for task in tasks:
                 task.cancel()
-            self.knowledge.close()
+            self.state_sync.close()
             self._store.close()
             self.world.pool.close()
             logging.info("stopped")
@@ -186,11 +186,13 @@
         return ""
 
     def _loops(self) -> list[Coroutine[Any, Any, None]]:
-        known = self.knowledge
-        followers = store_followers.followers(self._store, self.world, known)
+        state_sync = self.state_sync
+        followers = store_followers.followers(
+            self._store, self.world, state_sync
+        )
         return [
             *(follower.run() for follower in followers),
-            known.run(),
+            state_sync.run(),
             self._duty.run(),
             self._maps.run(),
             self._sweep(),
@@ -229,8 +231,8 @@
             desired_version=state.version if state else 0,
             backends=len(self.world.backends.all()),
             backends_age_seconds=min(age.total_seconds(), _AGE_MOST_S),
-            store_lost=float(self.knowledge.store_health.failing),
-            peers=len(self.knowledge.peers.live()),
+            store_lost=float(self.state_sync.store_health.failing),
+            peers=len(self.state_sync.peers.live()),
             connections=len(self._conns),
             suspects=len(self.world.endings.ledger),
         )
@@ -278,7 +280,7 @@
         """Let the balancer notice, then finish what is held."""
         begun = self._clock.monotonic()
         self._leaving_since = begun
-        self.knowledge.leave()
+        self.state_sync.leave()
         end = begun + self.world.bounds.grace * _GRACE_PART
         while self._clock.monotonic() < end:
             if self._closed():
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/state_sync.py
@@ -34,32 +34,32 @@
 
 #: Silence after which a process that looked after expert maps is taken as
 #: gone; two of its heartbeats, so that a dead one's pass is not held long.
-_DUTY_SILENT = datetime.timedelta(seconds=1.1)
+_DUTY_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
 #: Silence after which a holder of the lease is taken as gone: under load
 #: processes tell each other every 50 ms, and at least every half second.
 #: Who is wrong calls the store for nothing, and leaves a renewed lease.
-_LEASE_SILENT = datetime.timedelta(milliseconds=600)
+_LEASE_HOLDER_TIMEOUT = datetime.timedelta(milliseconds=600)
 #: Time after a start in which a process leaves the duty to others: it has
 #: not heard of all of them yet. A lease needs no such time: one process
 #: gets it, whoever else tries.
-_DUTY_AFTER = datetime.timedelta(seconds=2)
+_DUTY_START_DELAY = datetime.timedelta(seconds=2)
 #: Age of the oldest copy that the store is expected to come back from; what
 #: was written before stands in it.
-_COPY_AGE_MOST = datetime.timedelta(seconds=60)
+_MAX_STORE_COPY_AGE = datetime.timedelta(seconds=60)
 #: Time after a start in which peers are listened to before the desired state
 #: that the store tells counts: many round trips, well within what a start
 #: takes.
-_HEAR_FIRST = datetime.timedelta(milliseconds=250)
+_INITIAL_LISTEN_TIME = datetime.timedelta(milliseconds=250)
 #: Time after a start for which a newer one is waited for that a peer has:
 #: two of them are asked within it.
-_ASK_FIRST = datetime.timedelta(seconds=1.5)
+_INITIAL_WAIT_FOR_NEWER = datetime.timedelta(seconds=1.5)
 #: Time between two looks meanwhile, in seconds.
-_LOOK_FIRST_S = 0.02
+_INITIAL_CHECK_INTERVAL_S = 0.02
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
-class Knowledge:
+class StateSync:
     """Puts what the store and the peers tell into the world."""
 
     def __init__(
@@ -78,30 +78,34 @@
         self._incarnation = ids.new_token()
         self._leaving = False
         self._clock = clock
-        self._begun = clock.monotonic()
-        self._since_ms = int(clock.now().timestamp() * 1000)
+        self._started_at = clock.monotonic()
+        self._started_ms = int(clock.now().timestamp() * 1000)
         #: Whether this process cannot look after expert maps for now.
-        self.unfit: Callable[[], bool] = lambda: False
+        self.is_unfit: Callable[[], bool] = lambda: False
         #: Number of this process's lease of expert maps, if it has one.
-        self.generation: Callable[[], experts.Generation | None] = lambda: None
+        self.lease_generation: Callable[[], experts.Generation | None] = (
+            lambda: None
+        )
         #: Whether the store answers this process about the lease.
-        self.can_claim: Callable[[], bool] = lambda: True
+        self.can_claim_lease: Callable[[], bool] = lambda: True
         #: Called with the number of a peer's lease.
-        self.heard_generation: Callable[[experts.Generation], None] = (
+        self.on_peer_generation: Callable[[experts.Generation], None] = (
             lambda number: None
         )
         #: Backend servers that this process has seen in broken groups.
-        self.seen_broken: Callable[[], list[desired.BackendKey]] = list
+        self.seen_broken_backends: Callable[[], list[desired.BackendKey]] = (
+            list
+        )
         #: Backend servers that this process knows to hold their groups back.
-        self.seen_slow: Callable[[], list[desired.BackendKey]] = list
+        self.seen_slow_backends: Callable[[], list[desired.BackendKey]] = list
         ledger = world.endings.ledger
         self._suspect_gossip = suspect_gossip.SuspectGossip(ledger, clock)
         self._suspect_store = suspect_store.SuspectStore(ledger, store, clock)
         world.endings.found = self._suspect_store.save
-        store.began = self._era_began
+        store.began = self._on_new_era
         #: The desired state that the store told first, until it is sure that
         #: no peer has a newer one.
-        self._first_state: bytes = b""
+        self._initial_desired: bytes = b""
         #: Newest era of the store that this process has acted on.
         self._era: positions.Era | None = None
         self.store_health = topic_follower.StoreHealth(clock)
@@ -129,7 +133,9 @@
             world,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
-            without_store=lambda: self.store_health.failing or self.rests(),
+            without_store=lambda: (
+                self.store_health.failing or self.leaves_store_to_peers()
+            ),
             clock=clock,
             rng=rng,
         )
@@ -152,7 +158,7 @@
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.peers.run())
             tasks.create_task(self._registration.run())
-            tasks.create_task(self._begin_with_newest())
+            tasks.create_task(self._adopt_initial_desired())
             tasks.create_task(self.peer_sync.run())
             tasks.create_task(self._suspect_store.run())
 
@@ -173,7 +179,7 @@
 
     def fit(self) -> bool:
         """Tell whether this process may look after expert maps."""
-        return not self._leaving and not self.unfit()
+        return not self._leaving and not self.is_unfit()
 
     def first(self) -> bool:
         """Tell whether it runs longest of those that may.
@@ -182,28 +188,28 @@
         it, and nobody waits for it.
         """
         leased = self._world.bounds.fenced
-        age = self._clock.monotonic() - self._begun
-        if age < _DUTY_AFTER and not leased:
+        age = self._clock.monotonic() - self._started_at
+        if age < _DUTY_START_DELAY and not leased:
             return False
-        silent = _LEASE_SILENT if leased else _DUTY_SILENT
+        timeout = _LEASE_HOLDER_TIMEOUT if leased else _DUTY_PEER_TIMEOUT
         claims = [
             experts.Claim(heartbeat.started_ms, heartbeat.incarnation)
-            for heartbeat in self._live_heartbeats(silent)
+            for heartbeat in self._live_heartbeats(timeout)
             if heartbeat.started_ms and (heartbeat.reads_store or not leased)
         ]
-        own = experts.Claim(self._since_ms, self._incarnation)
+        own = experts.Claim(self._started_ms, self._incarnation)
         return experts.holder([*claims, own]) == own
 
     def held_elsewhere(self) -> bool:
         """Tell whether a live peer has the lease of expert maps."""
-        heartbeats = self._live_heartbeats(_LEASE_SILENT)
+        heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
         return any(heartbeat.generation for heartbeat in heartbeats)
 
-    def rests(self) -> bool:
+    def leaves_store_to_peers(self) -> bool:
         """Tell whether peers of this domain ask the store for this one."""
         return not readers.asks(self._reader(), self._other_readers())
 
-    def reads_after(self) -> int:
+    def reader_rank(self) -> int:
         """Return how many processes ask the store before this one."""
         return readers.rank(self._reader(), self._other_readers())
 
@@ -219,31 +225,31 @@
             readers.Reader(
                 heartbeat.incarnation, heartbeat.reads_store, heartbeat.domain
             )
-            for heartbeat in self._live_heartbeats(_DUTY_SILENT)
+            for heartbeat in self._live_heartbeats(_DUTY_PEER_TIMEOUT)
         ]
 
     def _live_heartbeats(
-        self, silent: datetime.timedelta
+        self, timeout: datetime.timedelta
     ) -> list[messages.Heartbeat]:
         """Return the newest news of peers that may have the duty."""
         return [
             peer.heartbeat
-            for peer in self.peers.live(silent)
+            for peer in self.peers.live(timeout)
             if peer.heartbeat and not peer.heartbeat.leaving
         ]
 
-    def take_desired(self, tail: platform.Tail, newest: bool) -> None:
+    def apply_desired(self, tail: platform.Tail, newest: bool) -> None:
         """Take over records of the operator."""
         del newest
         for record in tail.records:
             if record.key != platform.DESIRED_KEY or not record.value:
                 continue
-            if self._world.desired is None and not self._may_begin():
-                self._first_state = self._readable(record.value)
+            if self._world.desired is None and not self._may_adopt_initial():
+                self._initial_desired = self._checked(record.value)
             else:
                 self._adopt(record.value, urgent=True)
 
-    def take_backends(self, tail: platform.Tail, newest: bool) -> None:
+    def apply_backends(self, tail: platform.Tail, newest: bool) -> None:
         """Take over records of backend servers."""
         contact = self._world.bounds.contact
         away = self.store_health.failed_within(contact)
@@ -254,13 +260,13 @@
         if tail.records:
             self.peers.schedule_send()
 
-    def _readable(self, record: bytes) -> bytes:
+    def _checked(self, record: bytes) -> bytes:
         """Return a record of the desired state if it can be read."""
         try:
             platform.read_desired(record)
         except errors.ChangeError as exc:
             logging.error("desired state kept out", extra={"why": str(exc)})
-            return self._first_state
+            return self._initial_desired
         return record
 
     def _adopt(self, record: bytes, *, urgent: bool) -> None:
@@ -291,21 +297,22 @@
                 for key, count in self._world.loads.own().items()
             },
             known_addresses=known,
-            started_ms=0 if self.unfit() else self._since_ms,
-            broken_backends=[str(key) for key in self.seen_broken()],
-            generation=self.generation() or 0,
-            reads_store=not self.store_health.failing and self.can_claim(),
+            started_ms=0 if self.is_unfit() else self._started_ms,
+            broken_backends=[str(key) for key in self.seen_broken_backends()],
+            generation=self.lease_generation() or 0,
+            reads_store=not self.store_health.failing
+            and self.can_claim_lease(),
             workspace_uses=self._world.uses.own(),
-            desired_age_ms=self._answered_ms(platform.OPERATOR_TOPIC),
-            backends_age_ms=self._answered_ms(platform.BACKENDS_TOPIC),
-            slow_backends=[str(key) for key in self.seen_slow()],
+            desired_age_ms=self._store_answer_age_ms(platform.OPERATOR_TOPIC),
+            backends_age_ms=self._store_answer_age_ms(platform.BACKENDS_TOPIC),
+            slow_backends=[str(key) for key in self.seen_slow_backends()],
             suspects=self._suspect_gossip.outgoing(),
             leaving_backends=[
                 str(key) for key in self._world.backends.said_only()
             ],
         )
 
-    def _answered_ms(self, topic: str) -> int:
+    def _store_answer_age_ms(self, topic: str) -> int:
         """Return how long ago the store answered; -1 if too long ago."""
         age = self.answers.own_age(topic)
         if age is None or age > messages.MAX_AGE_MS * _MS:
@@ -320,7 +327,7 @@
             desired.BackendKey(key): count
             for key, count in heartbeat.running.items()
         }
-        self._heard_era(positions.Position(heartbeat.backends_end))
+        self._on_peer_era(positions.Position(heartbeat.backends_end))
         near = heartbeat.domain == self._settings.domain
         self._world.loads.peer_told(heartbeat.node, running, near=near)
         self._world.uses.peer_told(heartbeat.node, heartbeat.workspace_uses)
@@ -331,7 +338,7 @@
         self._suspect_gossip.merge(heartbeat.suspects)
         for name in heartbeat.leaving_backends:
             self._world.backends.says_it_leaves(desired.BackendKey(name))
-        self.heard_generation(experts.Generation(heartbeat.generation))
+        self.on_peer_generation(experts.Generation(heartbeat.generation))
         self._lags[platform.OPERATOR_TOPIC].heard(heartbeat.version)
         self._lags[platform.BACKENDS_TOPIC].heard(heartbeat.backends_end)
         for topic, age_ms in (
@@ -341,7 +348,7 @@
             if age_ms >= 0:
                 self.answers.told(topic, age_ms * _MS)
 
-    def _era_began(self, era: positions.Era, before: positions.Era) -> None:
+    def _on_new_era(self, era: positions.Era, before: positions.Era) -> None:
         """Have written again what the store may have lost of ours.
 
         It comes back from a copy some seconds old: what stood there for long
@@ -352,35 +359,39 @@
         self._era = era
         logging.warning("store is a copy", extra={"era": era, "was": before})
         self._world.figures.count_store_copy()
-        since = self._clock.monotonic() - _COPY_AGE_MOST
+        since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
         self._registration.again(since)
-        if not self.reads_after():
+        if not self.reader_rank():
             self._suspect_store.save_again(since)
 
-    def _heard_era(self, end: positions.Position) -> None:
+    def _on_peer_era(self, end: positions.Position) -> None:
         """Note the era of a peer's news; few processes ask the store."""
         era = positions.era(end)
         known = max(self._era or 0, self._store.era)
         if self._era is None:
             self._era = max(era, self._store.era)
         elif era > known:
-            self._era_began(era, positions.Era(known))
+            self._on_new_era(era, positions.Era(known))
 
-    async def _begin_with_newest(self) -> None:
+    async def _adopt_initial_desired(self) -> None:
         """Adopt what the store told first, unless a peer has a newer one.
 
         The store may have come back from a copy a moment ago; who has heard
         of a later version must not serve by an earlier one.
         """
-        while not self._may_begin():
-            await asyncio.sleep(_LOOK_FIRST_S)
-        if self._first_state and self._world.desired is None:
-            self._adopt(self._first_state, urgent=True)
+        while not self._may_adopt_initial():
+            await asyncio.sleep(_INITIAL_CHECK_INTERVAL_S)
+        if self._initial_desired and self._world.desired is None:
+            self._adopt(self._initial_desired, urgent=True)
 
-    def _may_begin(self) -> bool:
-        age = self._clock.monotonic() - self._begun
+    def _may_adopt_initial(self) -> bool:
+        age = self._clock.monotonic() - self._started_at
         alone = not self.peers.count()
-        if alone or self._world.desired is not None or age >= _ASK_FIRST:
+        if (
+            alone
+            or self._world.desired is not None
+            or age >= _INITIAL_WAIT_FOR_NEWER
+        ):
             return True
         heartbeats = [
             peer.heartbeat for peer in self.peers.live() if peer.heartbeat
@@ -390,10 +401,10 @@
         )
         if not newest:
             # Nobody that was heard knows one; others may be heard yet.
-            return bool(self._first_state) and age >= _HEAR_FIRST
-        if not self._first_state:
+            return bool(self._initial_desired) and age >= _INITIAL_LISTEN_TIME
+        if not self._initial_desired:
             return False
-        return newest <= platform.read_desired(self._first_state).version
+        return newest <= platform.read_desired(self._initial_desired).version
 
     def lag(self, topic: str) -> datetime.timedelta:
         """Return since when this process knows of news that it lacks."""
@@ -403,7 +414,7 @@
         }
         return self._lags[topic].age(own[topic])
 
-    def answered(self, topic: str) -> None:
+    def on_store_answer(self, topic: str) -> None:
         """Note that the store has told all that it has of a topic."""
         self.answers.answered(topic)
         self._lags[topic].restart()
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -5,7 +5,7 @@
 import datetime
 import functools
 
-from lugcross.edge import knowledge as knowledge_lib
+from lugcross.edge import state_sync as state_sync_lib
 from lugcross.edge import topic_follower
 from lugcross.edge import waiting
 from lugcross.edge import world as world_lib
@@ -23,7 +23,7 @@
 def followers(
     store: platform.StoreClient,
     world: world_lib.World,
-    known: knowledge_lib.Knowledge,
+    state_sync: state_sync_lib.StateSync,
 ) -> list[topic_follower.TopicFollower]:
     """Return the followers of the desired state and the backend servers.
 
@@ -38,7 +38,7 @@
     ) -> topic_follower.TopicFollower:
         def first_reader_wait() -> datetime.timedelta:
             return waiting.news(
-                peers=len(known.peers.live()),
+                peers=len(state_sync.peers.live()),
                 bound=bound(),
                 contact=world.bounds.contact,
                 gap=min_interval(),
@@ -46,40 +46,44 @@
 
         def poll_wait() -> datetime.timedelta:
             return (
-                waiting.STANDBY if known.reads_after() else first_reader_wait()
+                waiting.STANDBY
+                if state_sync.reader_rank()
+                else first_reader_wait()
             )
 
         def is_late() -> bool:
-            return waiting.is_late(known.lag(topic), bound())
+            return waiting.is_late(state_sync.lag(topic), bound())
 
         def is_restart_due() -> bool:
-            age = known.answers.age(topic)
+            age = state_sync.answers.age(topic)
             return is_late() or waiting.is_due(
-                age, first_reader_wait(), known.reads_after()
+                age, first_reader_wait(), state_sync.reader_rank()
             )
 
         return topic_follower.TopicFollower(
             store,
             topic,
             on_tail,
-            known.store_health,
+            state_sync.store_health,
             min_interval=min_interval,
             poll_wait=poll_wait,
             is_restart_due=is_restart_due,
-            on_answer=functools.partial(known.answered, topic),
-            is_idle=lambda: known.rests() and not is_late(),
+            on_answer=functools.partial(state_sync.on_store_answer, topic),
+            is_idle=lambda: (
+                state_sync.leaves_store_to_peers() and not is_late()
+            ),
         )
 
     return [
         follower(
             platform.OPERATOR_TOPIC,
-            known.take_desired,
+            state_sync.apply_desired,
             lambda: world.bounds.change,
             lambda: _DESIRED_MIN_INTERVAL,
         ),
         follower(
             platform.BACKENDS_TOPIC,
-            known.take_backends,
+            state_sync.apply_backends,
             lambda: world.bounds.drain,
             lambda: world.bounds.drain * _BACKENDS_MIN_INTERVAL_RATIO,
         ),
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -9,8 +9,8 @@
 import pytest
 
 from lugcross import clock as clock_lib
-from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
+from lugcross.edge import state_sync as state_sync_lib
 from lugcross.edge import world as world_lib
 from lugcross import experts
 from lugcross import ids
@@ -31,7 +31,7 @@
             settings, clock=self.clock, rng=edge_rig.new_rng()
         )
         store = platform.StoreClient("h:1", timeout=1000 * MS)
-        self.known = knowledge_lib.Knowledge(
+        self.state_sync = state_sync_lib.StateSync(
             settings, world, store, clock=self.clock, rng=edge_rig.new_rng()
         )
 
@@ -59,7 +59,7 @@
             reads_store=reads_store,
         )
         data = cbor2.dumps(msgspec.to_builtins(heartbeat))
-        self.known.peers.datagram_received(data, ("10.0.0.2", 9))
+        self.state_sync.peers.datagram_received(data, ("10.0.0.2", 9))
 
 
 FENCES = pytest.mark.parametrize(
@@ -71,13 +71,13 @@
     None
 ):
     node = Node(fenced=False)
-    assert not node.known.first()
+    assert not node.state_sync.first()
     node.clock.advance(2000 * MS)
-    assert node.known.first()
+    assert node.state_sync.first()
 
 
 def test_a_process_that_has_just_started_may_claim_a_lease() -> None:
-    assert Node(fenced=True).known.first()
+    assert Node(fenced=True).state_sync.first()
 
 
 @FENCES
@@ -85,9 +85,9 @@
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear()
-    assert not node.known.first()
+    assert not node.state_sync.first()
     node.hear(started_ms=0)
-    assert node.known.first()
+    assert node.state_sync.first()
 
 
 @FENCES
@@ -95,7 +95,7 @@
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear(leaving=True)
-    assert node.known.first()
+    assert node.state_sync.first()
 
 
 @pytest.mark.parametrize(("fenced", "silent_ms"), [(False, 1100), (True, 600)])
@@ -104,24 +104,24 @@
     node.clock.advance(5000 * MS)
     node.hear()
     node.clock.advance((silent_ms - 1) * MS)
-    assert not node.known.first()
+    assert not node.state_sync.first()
     node.clock.advance(MS)
-    assert node.known.first()
+    assert node.state_sync.first()
 
 
 def test_lease_is_held_elsewhere_while_its_holder_is_heard() -> None:
     node = Node(fenced=True)
-    assert not node.known.held_elsewhere()
+    assert not node.state_sync.held_elsewhere()
     node.hear(generation=3)
-    assert node.known.held_elsewhere()
+    assert node.state_sync.held_elsewhere()
     node.clock.advance(600 * MS)
-    assert not node.known.held_elsewhere()
+    assert not node.state_sync.held_elsewhere()
 
 
 def test_number_of_a_peers_lease_is_passed_on() -> None:
     node = Node(fenced=True)
     heard: list[experts.Generation] = []
-    node.known.heard_generation = heard.append
+    node.state_sync.on_peer_generation = heard.append
     node.hear(generation=3)
     assert heard == [3]
 
@@ -144,7 +144,7 @@
             reads_store=reads_store,
         )
         data = cbor2.dumps(msgspec.to_builtins(heartbeat))
-        node.known.peers.datagram_received(data, (f"10.0.1.{num}", 9))
+        node.state_sync.peers.datagram_received(data, (f"10.0.1.{num}", 9))
 
 
 @pytest.mark.parametrize(
@@ -157,27 +157,27 @@
 ) -> None:
     node = Node(fenced=False)
     _hear_readers(node, domain, reads_store=reads_store)
-    assert node.known.rests() == rests
+    assert node.state_sync.leaves_store_to_peers() == rests
 
 
 def test_store_is_asked_again_once_the_readers_are_silent() -> None:
     node = Node(fenced=False)
     _hear_readers(node, "d1")
     node.clock.advance(1100 * MS)
-    assert not node.known.rests()
+    assert not node.state_sync.leaves_store_to_peers()
 
 
 def test_news_of_the_list_are_told_without_waiting_for_a_heartbeat() -> None:
     node = Node(fenced=False)
     told: list[None] = []
-    node.known.peers.schedule_send = lambda: told.append(None)
+    node.state_sync.peers.schedule_send = lambda: told.append(None)
     row = platform.KeyedRecord(
         ids.Offset(0), "i-1", edge_rig.entry("s", "10.0.0.1:80")
     )
     empty = platform.Tail(end=ids.Offset(0), records=())
-    node.known.take_backends(empty, newest=False)
+    node.state_sync.apply_backends(empty, newest=False)
     assert not told
-    node.known.take_backends(
+    node.state_sync.apply_backends(
         platform.Tail(end=ids.Offset(1), records=(row,)), newest=False
     )
     assert told
@@ -188,7 +188,7 @@
         name, name, domain, 1, False, version, 0, {}, []
     )
     data = cbor2.dumps(msgspec.to_builtins(heartbeat))
-    node.known.peers.datagram_received(data, (name, 9))
+    node.state_sync.peers.datagram_received(data, (name, 9))
 
 
 @pytest.mark.parametrize(
@@ -208,7 +208,7 @@
     _hear_version(node, "near1", "d1", near)
     _hear_version(node, "near2", "d1", near)
     _hear_version(node, "far", "d2", far)
-    peer_sync = node.known.peer_sync
+    peer_sync = node.state_sync.peer_sync
     found = [
         peer_sync.selector.pick(peer_sync.newer_peers()) for _ in range(40)
     ]
@@ -223,13 +223,13 @@
     node.clock.advance(5000 * MS)
     node.hear(reads_store=False)
     # Without a lease the store does not matter.
-    assert node.known.first() == fenced
+    assert node.state_sync.first() == fenced
 
 
 def test_peers_hear_that_the_store_turns_this_process_away() -> None:
     node = Node(fenced=True)
-    make_heartbeat = node.known._make_heartbeat
-    node.known.can_claim = lambda: False
+    make_heartbeat = node.state_sync._make_heartbeat
+    node.state_sync.can_claim_lease = lambda: False
     assert not make_heartbeat([]).reads_store
-    node.known.can_claim = lambda: True
+    node.state_sync.can_claim_lease = lambda: True
     assert make_heartbeat([]).reads_store
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -348,7 +348,7 @@
         fleet.store.standin.come_back(copy)
         await fleet.restart("n0-0")
         # As its settings name it.
-        fleet.nodes["n0-0"].knowledge.peers.add("n0-1:9")
+        fleet.nodes["n0-0"].state_sync.peers.add("n0-1:9")
         versions = set()
         for _ in range(100):
             await asyncio.sleep(0.02)
--- a/testing/edge/test_news_model.py
+++ b/testing/edge/test_news_model.py
@@ -62,7 +62,7 @@
     """Return the process that is ``turn`` th to read for its domain."""
     domain, turn = place
     here = [one for one in fleet.nodes.values() if one.domain == f"d{domain}"]
-    here.sort(key=lambda one: one.knowledge.incarnation)
+    here.sort(key=lambda one: one.state_sync.incarnation)
     return here[turn].name
 
 
--- a/testing/edge/test_silence.py
+++ b/testing/edge/test_silence.py
@@ -105,18 +105,22 @@
         fleet.change(1)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        some = [n for n in fleet.nodes.values() if not n.knowledge.rests()][1:]
+        some = [
+            n
+            for n in fleet.nodes.values()
+            if not n.state_sync.leaves_store_to_peers()
+        ][1:]
         for node in some:
             fleet.store.unreachable.add(node.way)
             fleet.store.silence_connections(node.way)
         # As long as a read of those that stand by may hang.
         await asyncio.sleep(waiting.STANDBY.total_seconds() + 3.0)
-        assert all(node.knowledge.store_health.failing for node in some)
+        assert all(node.state_sync.store_health.failing for node in some)
         fleet.store.unreachable.clear()
         # One call that still hangs, the longest rest and the next call.
         await asyncio.sleep(app.STORE_TIMEOUT.total_seconds() + 1.1)
         late = [
-            node.name for node in some if node.knowledge.store_health.failing
+            node.name for node in some if node.state_sync.store_health.failing
         ]
         await fleet.stop()
         return late
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_state_sync.py
@@ -14,11 +14,11 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import loads as loads_lib
 from lugcross.edge import messages
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_sync as state_sync_lib
 from lugcross.edge import topic_follower
 from lugcross.edge import world as world_lib
 from lugcross import ids
@@ -57,7 +57,7 @@
         self.client = platform.StoreClient(
             store, timeout=datetime.timedelta(seconds=30)
         )
-        self.knowledge = knowledge_lib.Knowledge(
+        self.state_sync = state_sync_lib.StateSync(
             settings,
             self.world,
             self.client,
@@ -94,7 +94,7 @@
                 fleet_rig.state(version),
             )
             tail = platform.Tail(end=ids.Offset(9), records=(record,))
-            node.knowledge.take_desired(tail, newest=True)
+            node.state_sync.apply_desired(tail, newest=True)
         return node.world.desired.version
 
     assert _play(act) == 5
@@ -108,7 +108,7 @@
                 ids.Offset(0), platform.DESIRED_KEY, value
             )
             tail = platform.Tail(end=ids.Offset(9), records=(record,))
-            node.knowledge.take_desired(tail, newest=False)
+            node.state_sync.apply_desired(tail, newest=False)
         return node.world.desired.version
 
     assert _play(act) == 3
@@ -117,7 +117,7 @@
 def test_process_that_starts_while_the_store_is_away_asks_a_seed():
     async def act(store, address):
         one = _Node("n1", address, ())
-        await one.knowledge.start()
+        await one.state_sync.start()
         one.world.adopt(
             platform.read_desired(fleet_rig.state(7)), fleet_rig.state(7)
         )
@@ -128,13 +128,13 @@
         )
         store.busy = True
         two = _Node("n2", address, (one.state,))
-        await two.knowledge.start()
-        task = asyncio.create_task(two.knowledge.run())
+        await two.state_sync.start()
+        task = asyncio.create_task(two.state_sync.run())
         await _until(lambda: two.world.desired is not None)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        one.knowledge.close()
-        two.knowledge.close()
+        one.state_sync.close()
+        two.state_sync.close()
         known = [backend.key for backend in two.world.backends.all()]
         return two.world.desired.version, known, two.world.backends.end
 
@@ -147,20 +147,20 @@
         two = _Node("n2", address, ())
         tasks = []
         for node in (one, two):
-            await node.knowledge.start()
-            tasks.append(asyncio.create_task(node.knowledge.run()))
-        await _until(lambda: bool(one.knowledge.peers.live()))
+            await node.state_sync.start()
+            tasks.append(asyncio.create_task(node.state_sync.run()))
+        await _until(lambda: bool(one.state_sync.peers.live()))
         # Only one of them is told, as if the other's read hung.
         one.world.adopt(
             platform.read_desired(fleet_rig.state(8)), fleet_rig.state(8)
         )
-        one.knowledge.peers.schedule_send()
+        one.state_sync.peers.schedule_send()
         await _until(lambda: two.world.desired is not None)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        one.knowledge.close()
-        two.knowledge.close()
+        one.state_sync.close()
+        two.state_sync.close()
         return two.world.desired.version
 
     assert _play(act) == 8
--- a/testing/edge/test_store_calls.py
+++ b/testing/edge/test_store_calls.py
@@ -77,7 +77,7 @@
     async def main() -> None:
         fleet = await _settled_fleet(monkeypatch)
         first = min(
-            fleet.nodes.values(), key=lambda node: node.knowledge.incarnation
+            fleet.nodes.values(), key=lambda node: node.state_sync.incarnation
         )
         fleet.store.silence_connections()
         fleet.cut_off(first.name)
--- a/testing/edge/test_storms.py
+++ b/testing/edge/test_storms.py
@@ -86,12 +86,12 @@
                 _adopt(node, version)
 
         async def ask(host, port, question):
-            answer = teller.knowledge.peer_sync.respond(question)
+            answer = teller.state_sync.peer_sync.respond(question)
             _adopt(asker, 2, routes=5)
             return answer
 
         monkeypatch.setattr(state_transfer, "request_state", ask)
-        assert await asker.knowledge.peer_sync._request(teller.name, 8)
+        assert await asker.state_sync.peer_sync._request(teller.name, 8)
         return asker.version
 
     assert virtual_time.run(main()) == 3
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -335,7 +335,7 @@
         runner = runner_lib.Runner(
             node.world,
             closed=lambda: False,
-            changed=node.knowledge.peers.schedule_send,
+            changed=node.state_sync.peers.schedule_send,
             clock=clock,
             rng=self.rng,
         )
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
 """What the processes of a fleet know, in virtual time and without sockets.
 
-Each process is its :class:`~lugcross.edge.knowledge.Knowledge` with the
+Each process is its :class:`~lugcross.edge.state_sync.StateSync` with the
 followers of the store; datagrams and questions go straight to the peer.
 """
 
@@ -14,9 +14,9 @@
 import virtual_time
 
 from lugcross.edge import app
-from lugcross.edge import knowledge as knowledge_lib
 from lugcross.edge import messages
 from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_sync as state_sync_lib
 from lugcross.edge import state_transfer
 from lugcross.edge import store_followers
 from lugcross.edge import world as world_lib
@@ -104,10 +104,10 @@
         self.store = platform.StoreClient(
             f"{self.way}:1", timeout=app.STORE_TIMEOUT
         )
-        self.knowledge = knowledge_lib.Knowledge(
+        self.state_sync = state_sync_lib.StateSync(
             settings, self.world, self.store, clock=clock, rng=rng
         )
-        self.knowledge.peers.connection_made(self)
+        self.state_sync.peers.connection_made(self)
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
         """Take the place of the socket for datagrams."""
@@ -115,16 +115,16 @@
         if peer is not None and not {self.name, to[0]} & self.fleet.cut:
             origin = (self.name, _PEERS_PORT)
             asyncio.get_running_loop().call_later(
-                _WAY_S, peer.knowledge.peers.datagram_received, data, origin
+                _WAY_S, peer.state_sync.peers.datagram_received, data, origin
             )
 
     async def run(self) -> None:
         """Follow the store and the peers until cancelled."""
         followers = store_followers.followers(
-            self.store, self.world, self.knowledge
+            self.store, self.world, self.state_sync
         )
         await asyncio.gather(
-            self.knowledge.run(), *(one.run() for one in followers)
+            self.state_sync.run(), *(one.run() for one in followers)
         )
 
     def start(self) -> None:
@@ -229,7 +229,7 @@
                 if host in self.cut:
                     await asyncio.Event().wait()
                 data = messages.encode(
-                    self.nodes[host].knowledge.peer_sync.respond(question)
+                    self.nodes[host].state_sync.peer_sync.respond(question)
                 )
                 await self._sent(host, len(data))
                 return messages.decode_state_response(data)
