--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -20,7 +20,7 @@
 from lugcross.edge import engines as engines_lib
 from lugcross.edge import maps as maps_lib
 from lugcross.edge import metrics as metrics_lib
-from lugcross.edge import ready as ready_lib
+from lugcross.edge import readiness
 from lugcross.edge import runner as runner_lib
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import state_sync as state_sync_lib
@@ -175,7 +175,7 @@
             self.world.pool.close()
             logging.info("stopped")
 
-    def unready(self) -> str:
+    def unready_reason(self) -> str:
         """Return why no new connections should come here, or nothing."""
         if self._leaving_since is not None:
             return "this process is being stopped"
@@ -219,7 +219,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await self._serve_inner(
-            reader, writer, ready_lib.handler(self.unready)
+            reader, writer, readiness.handler(self.unready_reason)
         )
 
     async def _serve_metrics(
--- a/src/lugcross/edge/records.py
+++ b/src/lugcross/edge/desired_history.py
@@ -7,14 +7,14 @@
 from lugcross.edge import patches
 
 #: Versions kept: a peer that is further behind gets the whole.
-_KEPT = 8
+_MAX_VERSIONS = 8
 #: Bytes of all that are kept, but for the newest: a small part of the
 #: memory of a small host.
-_MOST_BYTES = 4 * 1_048_576
+_MAX_OLD_BYTES = 4 * 1_048_576
 
 
 @final
-class Records:
+class DesiredHistory:
     """The newest records of the desired state, and what leads to the last."""
 
     def __init__(self) -> None:
@@ -22,7 +22,7 @@
             collections.OrderedDict()
         )
         self._patches: dict[bytes, patches.Patch] = {}
-        self._packed = b""
+        self._compressed = b""
         self.newest = b""
 
     @property
@@ -34,20 +34,20 @@
         """Take over the record that is in force from now on."""
         self.newest = record
         self._records[patches.digest(record)] = record
-        self._packed = b""
+        self._compressed = b""
         self._patches.clear()
-        while len(self._records) > 1 and self._too_many():
+        while len(self._records) > 1 and self._is_over_limit():
             self._records.popitem(last=False)
 
-    def _too_many(self) -> bool:
+    def _is_over_limit(self) -> bool:
         size = sum(map(len, self._records.values())) - len(self.newest)
-        return len(self._records) > _KEPT or size > _MOST_BYTES
+        return len(self._records) > _MAX_VERSIONS or size > _MAX_OLD_BYTES
 
-    def packed(self) -> bytes:
+    def compressed(self) -> bytes:
         """Return the newest record in fewer bytes; made once."""
-        if not self._packed:
-            self._packed = patches.pack(self.newest)
-        return self._packed
+        if not self._compressed:
+            self._compressed = patches.compress(self.newest)
+        return self._compressed
 
     def patch(self, digest: bytes) -> patches.Patch | None:
         """Return what leads to the newest record; made once for each base.
@@ -60,6 +60,6 @@
             return None
         found = self._patches.get(digest)
         if found is None:
-            found = patches.between(base, self.newest)
+            found = patches.make(base, self.newest)
             self._patches[digest] = found
         return found
--- a/src/lugcross/edge/tally.py
+++ b/src/lugcross/edge/fleet_counts.py
@@ -24,29 +24,29 @@
 
 @final
 @dataclasses.dataclass
-class _Told(Generic[_Key]):
+class _PeerCounts(Generic[_Key]):
     """What one peer told last, and when it was heard."""
 
     counts: Mapping[_Key, int]
-    at: clock_lib.Instant
+    heard_at: clock_lib.Instant
 
 
 @final
-class Tally(Generic[_Key]):
+class FleetCounts(Generic[_Key]):
     """Counts by key: own ones, and those that live peers have told.
 
-    :param stale: age at which what a peer told counts no more.
+    :param max_age: age at which what a peer told counts no more.
     """
 
     def __init__(
-        self, clock: clock_lib.Clock, *, stale: datetime.timedelta
+        self, clock: clock_lib.Clock, *, max_age: datetime.timedelta
     ) -> None:
         self._clock = clock
-        self._stale = stale
+        self._max_age = max_age
         self._own: collections.Counter[_Key] = collections.Counter()
         self._sums: dict[_Key, int] = {}
         #: By peer; whoever was heard longest ago comes first.
-        self._told: collections.OrderedDict[str, _Told[_Key]] = (
+        self._by_peer: collections.OrderedDict[str, _PeerCounts[_Key]] = (
             collections.OrderedDict()
         )
 
@@ -55,9 +55,9 @@
         self._own[key] += count
         if not self._own[key]:
             del self._own[key]
-        self._add(key, count)
+        self._add_to_sum(key, count)
 
-    def told(
+    def set_peer_counts(
         self, peer: str, counts: Mapping[_Key, int]
     ) -> Mapping[_Key, int] | None:
         """Take over all counts of a peer in place of what it told before.
@@ -65,24 +65,24 @@
         :returns: what it told before; none if that was too old or nothing.
         """
         self._drop_stale()
-        before = self._told.pop(peer, None)
+        before = self._by_peer.pop(peer, None)
         if before is None or before.counts != counts:
-            self._take_back(before)
+            self._subtract(before)
             for key, count in counts.items():
-                self._add(key, count)
-        self._told[peer] = _Told(counts, self._clock.monotonic())
+                self._add_to_sum(key, count)
+        self._by_peer[peer] = _PeerCounts(counts, self._clock.monotonic())
         return None if before is None else before.counts
 
     def own(self) -> dict[_Key, int]:
         """Return this process's own counts."""
         return dict(self._own)
 
-    def of(self, key: _Key) -> int:
+    def sum_of(self, key: _Key) -> int:
         """Return the sum of one key."""
         self._drop_stale()
         return self._sums.get(key, 0)
 
-    def total(self, keys: Iterable[_Key]) -> int:
+    def sum_of_all(self, keys: Iterable[_Key]) -> int:
         """Return the sum of several keys."""
         self._drop_stale()
         return sum(map(self._sums.get, keys, itertools.repeat(0)))
@@ -92,24 +92,24 @@
         self._drop_stale()
         return self._sums
 
-    def _add(self, key: _Key, count: int) -> None:
+    def _add_to_sum(self, key: _Key, count: int) -> None:
         total = self._sums.get(key, 0) + count
         if total:
             self._sums[key] = total
         else:
             self._sums.pop(key, None)
 
-    def _take_back(self, told: _Told[_Key] | None) -> None:
-        if told is None:
+    def _subtract(self, peer_counts: _PeerCounts[_Key] | None) -> None:
+        if peer_counts is None:
             return
-        for key, count in told.counts.items():
-            self._add(key, -count)
+        for key, count in peer_counts.counts.items():
+            self._add_to_sum(key, -count)
 
     def _drop_stale(self) -> None:
         """Forget what peers told that were not heard for too long."""
-        limit = self._clock.monotonic() - self._stale
-        while self._told:
-            peer = next(iter(self._told))
-            if self._told[peer].at > limit:
+        limit = self._clock.monotonic() - self._max_age
+        while self._by_peer:
+            peer = next(iter(self._by_peer))
+            if self._by_peer[peer].heard_at > limit:
                 return
-            self._take_back(self._told.pop(peer))
+            self._subtract(self._by_peer.pop(peer))
--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -8,9 +8,9 @@
 from lugcross import clock as clock_lib
 
 #: News that are told apart; more come to the same.
-_MOST = 64
+_MAX_MISSING = 64
 #: Age of news that nothing is missing of.
-_NONE = datetime.timedelta()
+_NO_LAG = datetime.timedelta()
 
 
 @final
@@ -26,10 +26,10 @@
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
         self._missing: collections.deque[tuple[int, clock_lib.Instant]] = (
-            collections.deque(maxlen=_MOST)
+            collections.deque(maxlen=_MAX_MISSING)
         )
 
-    def heard(self, number: int) -> None:
+    def note_known(self, number: int) -> None:
         """Note that someone has the news ``number``; they rise."""
         if not self._missing or number > self._missing[-1][0]:
             self._missing.append((number, self._clock.monotonic()))
@@ -42,7 +42,7 @@
         while self._missing and self._missing[0][0] <= own:
             self._missing.popleft()
         if not self._missing:
-            return _NONE
+            return _NO_LAG
         return self._clock.monotonic() - self._missing[0][1]
 
     def restart(self) -> None:
--- a/src/lugcross/edge/loads.py
+++ b/src/lugcross/edge/loads.py
@@ -12,7 +12,7 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import tally as tally_lib
+from lugcross.edge import fleet_counts as fleet_counts_lib
 from lugcross.edge import unseen as unseen_lib
 from lugcross import ids
 from lugcross import platform
@@ -57,8 +57,8 @@
     ) -> None:
         self._clock = clock
         self._service_of = service_of
-        self._running: tally_lib.Tally[desired.BackendKey] = tally_lib.Tally(
-            clock, stale=_PEER_STALE
+        self._running: fleet_counts_lib.FleetCounts[desired.BackendKey] = (
+            fleet_counts_lib.FleetCounts(clock, max_age=_PEER_STALE)
         )
         self._unseen = unseen_lib.Unseen(near=_NEAR_AGE, far=_FAR_AGE)
         #: By backend server; whoever told longest ago comes first.
@@ -94,7 +94,7 @@
 
         :param near: whether it is of this process's failure domain.
         """
-        before = self._running.told(node, running)
+        before = self._running.set_peer_counts(node, running)
         if before is None:
             # What it has had in progress for long is no burst.
             return
@@ -131,7 +131,7 @@
     def busy_all(self, keys: Set[desired.BackendKey]) -> int:
         """Return how many requests several servers probably have."""
         running = self._running.sums()
-        total = self._running.total(keys)
+        total = self._running.sum_of_all(keys)
         for key, told in self._fresh_told().items():
             if key in keys:
                 total += max(0, told.requests - running.get(key, 0))
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -153,14 +153,14 @@
     """Answer: the desired state and backend servers' records, if newer.
 
     :param desired: the record as it is, for older releases.
-    :param packed: the record packed (:func:`patches.unpack`).
+    :param compressed: the record compressed (:func:`patches.decompress`).
     :param patch: what leads to the record from the one that was named.
     """
 
     desired: bytes
     backends_end: int
     backends: list[BackendRecord]
-    packed: bytes = b""
+    compressed: bytes = b""
     patch: patches.Patch | None = None
 
 
--- a/src/lugcross/edge/patches.py
+++ b/src/lugcross/edge/patches.py
@@ -15,27 +15,27 @@
 from lugcross import errors
 
 #: Ends of the parts that a record is cut into: those of its objects.
-_END = b"}"
+_PART_END = b"}"
 #: Bytes of a digest: two records of a few thousand never have the same.
 _DIGEST_BYTES = 8
 #: Of zlib: the fastest; the others save a tenth more for thrice the time.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 #: Largest record that is taken from a peer, in bytes.
-MAX_RECORD = 16 * 1_048_576
+MAX_RECORD_BYTES = 16 * 1_048_576
 
 
 @final
-class Run(msgspec.Struct, frozen=True, array_like=True):
+class Splice(msgspec.Struct, frozen=True, array_like=True):
     """Parts of the base that follow each other, then parts of their own.
 
     :param start: first part of the base.
     :param count: how many of them.
-    :param own: bytes that follow them.
+    :param inserted: bytes that follow them.
     """
 
     start: int
     count: int
-    own: bytes = b""
+    inserted: bytes = b""
 
 
 @final
@@ -46,7 +46,7 @@
     """
 
     digest: bytes
-    runs: list[Run]
+    splices: list[Splice]
 
 
 class PatchError(errors.LugcrossError):
@@ -58,28 +58,28 @@
     return hashlib.blake2b(record, digest_size=_DIGEST_BYTES).digest()
 
 
-def between(base: bytes, record: bytes) -> Patch:
+def make(base: bytes, record: bytes) -> Patch:
     """Return the patch that makes ``record`` of ``base``."""
     old, new = _parts(base), _parts(record)
-    places: dict[bytes, int] = {}
+    part_positions: dict[bytes, int] = {}
     for num, part in enumerate(old):
-        places.setdefault(part, num)
-    runs: list[Run] = []
+        part_positions.setdefault(part, num)
+    splices: list[Splice] = []
     start = count = 0
-    own: list[bytes] = []
+    inserted: list[bytes] = []
     for part in new:
         follows = start + count
-        if not own and follows < len(old) and old[follows] == part:
+        if not inserted and follows < len(old) and old[follows] == part:
             count += 1
             continue
-        found = places.get(part)
+        found = part_positions.get(part)
         if found is None:
-            own.append(part)
+            inserted.append(part)
             continue
-        runs.append(Run(start, count, b"".join(own)))
-        start, count, own = found, 1, []
-    runs.append(Run(start, count, b"".join(own)))
-    return Patch(digest(record), runs)
+        splices.append(Splice(start, count, b"".join(inserted)))
+        start, count, inserted = found, 1, []
+    splices.append(Splice(start, count, b"".join(inserted)))
+    return Patch(digest(record), splices)
 
 
 def apply(base: bytes, patch: Patch) -> bytes:
@@ -89,46 +89,46 @@
     """
     old = _parts(base)
     found: list[bytes] = []
-    for run in patch.runs:
-        if run.start < 0 or run.count < 0:
-            raise _bad("a part before the first")
-        found.extend(old[run.start : run.start + run.count])
-        found.append(run.own)
+    for splice in patch.splices:
+        if splice.start < 0 or splice.count < 0:
+            raise _patch_error("a part before the first")
+        found.extend(old[splice.start : splice.start + splice.count])
+        found.append(splice.inserted)
     record = b"".join(found)
     if digest(record) != patch.digest:
-        raise _bad("another record comes out")
+        raise _patch_error("another record comes out")
     return record
 
 
-def pack(record: bytes) -> bytes:
+def compress(record: bytes) -> bytes:
     """Return a record in fewer bytes; nothing stays nothing."""
-    return zlib.compress(record, _LEVEL) if record else b""
+    return zlib.compress(record, _COMPRESSION_LEVEL) if record else b""
 
 
-def unpack(data: bytes) -> bytes:
+def decompress(data: bytes) -> bytes:
     """Return a record that was packed.
 
     :raises PatchError: when it is none, or larger than any may be.
     """
     if not data:
         return b""
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        record = unpacker.decompress(data, MAX_RECORD)
+        record = decompressor.decompress(data, MAX_RECORD_BYTES)
     except zlib.error as exc:
-        raise _bad(str(exc)) from exc
-    if not unpacker.eof:
-        raise _bad("cut short, or too large")
+        raise _patch_error(str(exc)) from exc
+    if not decompressor.eof:
+        raise _patch_error("cut short, or too large")
     return record
 
 
 def _parts(record: bytes) -> Sequence[bytes]:
     """Cut a record after each object."""
-    *whole, rest = record.split(_END)
-    return [*(part + _END for part in whole), rest]
+    *whole, rest = record.split(_PART_END)
+    return [*(part + _PART_END for part in whole), rest]
 
 
-def _bad(why: str) -> PatchError:
+def _patch_error(why: str) -> PatchError:
     return PatchError(
         f"a peer's record cannot be put together ({why})",
         remedy="nothing to do: the next question asks for the whole",
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -62,18 +62,18 @@
         state = self._world.desired
         newer = state is not None and state.version > req.version
         records = self._world.records
-        whole = newer and req.digest is None
+        needs_plain = newer and req.digest is None
         patch = records.patch(req.digest) if newer and req.digest else None
-        packs = newer and req.digest is not None and patch is None
+        needs_whole = newer and req.digest is not None and patch is None
         return messages.StateResponse(
-            desired=records.newest if whole else b"",
+            desired=records.newest if needs_plain else b"",
             backends_end=self._world.backends.end,
             backends=[
                 messages.BackendRecord(row.key, row.offset, row.value)
                 for row in self._world.backends.records.values()
                 if row.offset >= req.backends_end
             ],
-            packed=records.packed() if packs else b"",
+            compressed=records.compressed() if needs_whole else b"",
             patch=patch,
         )
 
@@ -185,4 +185,4 @@
     """
     if response.patch is not None:
         return patches.apply(base, response.patch)
-    return response.desired or patches.unpack(response.packed)
+    return response.desired or patches.decompress(response.compressed)
--- a/src/lugcross/edge/ready.py
+++ b/src/lugcross/edge/readiness.py
@@ -10,16 +10,16 @@
 
 
 def handler(
-    unready: Callable[[], str],
+    unready_reason: Callable[[], str],
 ) -> Callable[[http1.Exchange, http1.Request], Coroutine[Any, Any, None]]:
     """Return a handler that answers 200, or 503 with the reason.
 
-    :param unready: reason why none should come; empty if they may.
+    :param unready_reason: reason why none should come; empty if they may.
     """
 
     async def answer(exchange: http1.Exchange, req: http1.Request) -> None:
         del req
-        why = unready()
+        why = unready_reason()
         status = (
             http.HTTPStatus.SERVICE_UNAVAILABLE if why else http.HTTPStatus.OK
         )
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -14,7 +14,7 @@
 from lugcross import platform
 
 #: Time between two tries to register while the store is away, in seconds.
-_AGAIN_S = 2.0
+_RETRY_INTERVAL_S = 2.0
 
 
 @final
@@ -35,22 +35,24 @@
         self._peers = peers
         self._clock = clock
         self._rng = rng
-        self._done_at: clock_lib.Instant | None = None
-        self._lost = asyncio.Event()
+        self._registered_at: clock_lib.Instant | None = None
+        self._is_repeat_needed = asyncio.Event()
 
-    def again(self, since: clock_lib.Instant) -> None:
+    def repeat_if_done_since(self, since: clock_lib.Instant) -> None:
         """Register once more if that was done later than ``since``."""
-        if self._done_at is not None and self._done_at >= since:
-            self._lost.set()
+        if self._registered_at is not None and self._registered_at >= since:
+            self._is_repeat_needed.set()
 
     async def run(self) -> None:
         """Register now, and whenever the store has lost it."""
         while True:
             while not await self._register():
-                await asyncio.sleep(_AGAIN_S * self._rng.uniform(0.5, 1.0))
-            self._done_at = self._clock.monotonic()
-            await self._lost.wait()
-            self._lost.clear()
+                await asyncio.sleep(
+                    _RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.0)
+                )
+            self._registered_at = self._clock.monotonic()
+            await self._is_repeat_needed.wait()
+            self._is_repeat_needed.clear()
             logging.info("registered anew")
 
     async def _register(self) -> bool:
--- a/src/lugcross/edge/settings.py
+++ b/src/lugcross/edge/settings.py
@@ -11,14 +11,14 @@
 from lugcross import yamlfile
 
 
-class _Strict(
+class _StrictStruct(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
     """Settings that refuse fields they do not know."""
 
 
 @final
-class Listen(_Strict, frozen=True, kw_only=True):
+class Listen(_StrictStruct, frozen=True, kw_only=True):
     """Where the process listens, each as ``HOST:PORT``.
 
     :param callers: for callers' requests.
@@ -36,7 +36,7 @@
 
 
 @final
-class Store(_Strict, frozen=True, kw_only=True):
+class Store(_StrictStruct, frozen=True, kw_only=True):
     """The platform's log.
 
     :param form: how it is spoken to; only ``log`` is known.
@@ -51,7 +51,7 @@
 
 
 @final
-class Bounds(_Strict, frozen=True, kw_only=True):
+class Bounds(_StrictStruct, frozen=True, kw_only=True):
     """Times and shares that the operators allow.
 
     :param grace_s: from SIGTERM until the process is killed, seconds.
@@ -97,7 +97,7 @@
 
 
 @final
-class Maps(_Strict, frozen=True, kw_only=True):
+class Maps(_StrictStruct, frozen=True, kw_only=True):
     """When the expert map of a group changes.
 
     Lower both for steps that are as even as can be, raise the first where
@@ -127,7 +127,7 @@
 
 
 @final
-class Shares(_Strict, frozen=True, kw_only=True):
+class Shares(_StrictStruct, frozen=True, kw_only=True):
     """How rival workspaces share a full service.
 
     :param weights: weight by the name of a workspace; all others have 1. One
@@ -143,7 +143,7 @@
 
 
 @final
-class Suspects(_Strict, frozen=True, kw_only=True):
+class Suspects(_StrictStruct, frozen=True, kw_only=True):
     """Requests that end the servers that run them.
 
     :param cleared: fingerprints, as logs show them, of requests that are
@@ -159,7 +159,7 @@
 
 
 @final
-class Settings(_Strict, frozen=True, kw_only=True):
+class Settings(_StrictStruct, frozen=True, kw_only=True):
     """Settings of one process.
 
     :param node: name of the process's machine.
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -339,8 +339,8 @@
         for name in heartbeat.leaving_backends:
             self._world.backends.says_it_leaves(desired.BackendKey(name))
         self.on_peer_generation(experts.Generation(heartbeat.generation))
-        self._lags[platform.OPERATOR_TOPIC].heard(heartbeat.version)
-        self._lags[platform.BACKENDS_TOPIC].heard(heartbeat.backends_end)
+        self._lags[platform.OPERATOR_TOPIC].note_known(heartbeat.version)
+        self._lags[platform.BACKENDS_TOPIC].note_known(heartbeat.backends_end)
         for topic, age_ms in (
             (platform.OPERATOR_TOPIC, heartbeat.desired_age_ms),
             (platform.BACKENDS_TOPIC, heartbeat.backends_age_ms),
@@ -360,7 +360,7 @@
         logging.warning("store is a copy", extra={"era": era, "was": before})
         self._world.figures.count_store_copy()
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
-        self._registration.again(since)
+        self._registration.repeat_if_done_since(since)
         if not self.reader_rank():
             self._suspect_store.save_again(since)
 
--- a/src/lugcross/edge/uses.py
+++ b/src/lugcross/edge/uses.py
@@ -9,7 +9,7 @@
 import zlib
 
 from lugcross import clock as clock_lib
-from lugcross.edge import tally as tally_lib
+from lugcross.edge import fleet_counts as fleet_counts_lib
 from lugcross import ids
 from lugcross import shares
 
@@ -32,7 +32,7 @@
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
         self._tallies: dict[
-            ids.ServiceName, tally_lib.Tally[ids.WorkspaceName]
+            ids.ServiceName, fleet_counts_lib.FleetCounts[ids.WorkspaceName]
         ] = {}
         self._names: dict[int, tuple[ids.ServiceName, ids.WorkspaceName]] = {}
         #: Weights other than 1, by workspace.
@@ -89,7 +89,7 @@
                 service, space = named
                 told.setdefault(service, {})[space] = count
         for service, counts in told.items():
-            self._of(service).told(node, counts)
+            self._of(service).set_peer_counts(node, counts)
 
     def claim(
         self, service: ids.ServiceName, space: ids.WorkspaceName
@@ -116,10 +116,10 @@
 
     def _of(
         self, service: ids.ServiceName
-    ) -> tally_lib.Tally[ids.WorkspaceName]:
+    ) -> fleet_counts_lib.FleetCounts[ids.WorkspaceName]:
         found = self._tallies.get(service)
         if found is None:
-            found = tally_lib.Tally(self._clock, stale=_STALE)
+            found = fleet_counts_lib.FleetCounts(self._clock, max_age=_STALE)
             self._tallies[service] = found
         return found
 
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -16,6 +16,7 @@
 from lugcross.edge import admission
 from lugcross.edge import backends as backends_lib
 from lugcross.edge import choice
+from lugcross.edge import desired_history as desired_history_lib
 from lugcross.edge import endings as endings_lib
 from lugcross.edge import lifecycle
 from lugcross.edge import loads as loads_lib
@@ -24,7 +25,6 @@
 from lugcross.edge import pace as pace_lib
 from lugcross.edge import plan as plan_lib
 from lugcross.edge import pool as pool_lib
-from lugcross.edge import records as records_lib
 from lugcross.edge import rests as rests_lib
 from lugcross.edge import serving as serving_lib
 from lugcross.edge import settings as settings_lib
@@ -86,7 +86,7 @@
         #: How many peers may exist, set by whoever listens to them.
         self.known_peers: Callable[[], int] = lambda: 0
         self.desired: desired.Desired | None = None
-        self.records = records_lib.Records()
+        self.records = desired_history_lib.DesiredHistory()
         self.backends = backends_lib.Backends(
             clock, drain=lambda: self.bounds.drain
         )
--- a/testing/edge/test_tally.py
+++ b/testing/edge/test_fleet_counts.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from lugcross import clock as clock_lib
-from lugcross.edge import tally
+from lugcross.edge import fleet_counts
 
-STALE = datetime.timedelta(seconds=1.5)
+MAX_AGE = datetime.timedelta(seconds=1.5)
 KEYS = st.sampled_from("abc")
 COUNTS = st.dictionaries(KEYS, st.integers(1, 5))
 #: A peer tells, this process adds, or time passes.
@@ -34,18 +34,20 @@
 
     def of(self, key: str) -> int:
         now = self.clock.monotonic()
-        fresh = [c for c, at in self.told.values() if now - at < STALE]
+        fresh = [c for c, at in self.told.values() if now - at < MAX_AGE]
         return self.own[key] + sum(c.get(key, 0) for c in fresh)
 
 
 @given(STEPS)
 def test_kept_sums_equal_those_made_anew(steps):
     clock = clock_lib.ManualClock()
-    kept: tally.Tally[str] = tally.Tally(clock, stale=STALE)
+    kept: fleet_counts.FleetCounts[str] = fleet_counts.FleetCounts(
+        clock, max_age=MAX_AGE
+    )
     plain = _Plain(clock)
     for what, one, other in steps:
         if what == "told":
-            kept.told(one, other)
+            kept.set_peer_counts(one, other)
             plain.told[one] = other, clock.monotonic()
         elif what == "add":
             kept.add(one, other)
@@ -53,15 +55,17 @@
         else:
             clock.advance(datetime.timedelta(milliseconds=one))
         for key in "abc":
-            assert kept.of(key) == plain.of(key)
-        assert kept.total("ab") == plain.of("a") + plain.of("b")
+            assert kept.sum_of(key) == plain.of(key)
+        assert kept.sum_of_all("ab") == plain.of("a") + plain.of("b")
         assert all(kept.sums().values())
 
 
 def test_what_a_peer_told_too_long_ago_is_not_told_as_before():
     clock = clock_lib.ManualClock()
-    kept: tally.Tally[str] = tally.Tally(clock, stale=STALE)
-    assert kept.told("x", {"a": 1}) is None
-    assert kept.told("x", {"a": 2}) == {"a": 1}
-    clock.advance(2 * STALE)
-    assert kept.told("x", {"a": 3}) is None
+    kept: fleet_counts.FleetCounts[str] = fleet_counts.FleetCounts(
+        clock, max_age=MAX_AGE
+    )
+    assert kept.set_peer_counts("x", {"a": 1}) is None
+    assert kept.set_peer_counts("x", {"a": 2}) == {"a": 1}
+    clock.advance(2 * MAX_AGE)
+    assert kept.set_peer_counts("x", {"a": 3}) is None
--- a/testing/edge/test_patches.py
+++ b/testing/edge/test_patches.py
@@ -15,7 +15,7 @@
 
 @given(base=RECORD, record=RECORD)
 def test_patch_makes_the_record_of_any_base(base: bytes, record: bytes):
-    patch = patches.between(base, record)
+    patch = patches.make(base, record)
     assert patches.apply(base, patch) == record
 
 
@@ -23,7 +23,7 @@
 def test_patch_for_another_base_is_never_believed(
     base: bytes, record: bytes, other: bytes
 ):
-    patch = patches.between(base, record)
+    patch = patches.make(base, record)
     try:
         made = patches.apply(other, patch)
     except patches.PatchError:
@@ -33,31 +33,36 @@
 
 def test_change_of_a_tenth_of_a_large_state_takes_an_eighth_of_its_bytes():
     base, record = (fleet_rig.state(num, routes=1640) for num in (1, 2))
-    data = messages.encode(patches.between(base, record))
+    data = messages.encode(patches.make(base, record))
     assert len(data) < len(record) / 8
 
 
 @pytest.mark.parametrize(
-    "runs",
-    [[patches.Run(-1, 1)], [patches.Run(0, -1)], [patches.Run(7, 1)], []],
+    "splices",
+    [
+        [patches.Splice(-1, 1)],
+        [patches.Splice(0, -1)],
+        [patches.Splice(7, 1)],
+        [],
+    ],
     ids=["start", "count", "beyond", "nothing"],
 )
-def test_patch_out_of_range_is_refused(runs: list[patches.Run]):
-    patch = patches.Patch(patches.digest(b"{1}{2}"), runs)
+def test_patch_out_of_range_is_refused(splices: list[patches.Splice]):
+    patch = patches.Patch(patches.digest(b"{1}{2}"), splices)
     with pytest.raises(patches.PatchError):
         patches.apply(b"{1}", patch)
 
 
 @given(record=RECORD)
-def test_packed_record_is_unpacked(record: bytes):
-    assert patches.unpack(patches.pack(record)) == record
+def test_compressed_record_is_decompressed(record: bytes):
+    assert patches.decompress(patches.compress(record)) == record
 
 
 @pytest.mark.parametrize(
     "data",
-    [b"x", patches.pack(b"{1}")[:-1], patches.pack(bytes(2**24 + 1))],
+    [b"x", patches.compress(b"{1}")[:-1], patches.compress(bytes(2**24 + 1))],
     ids=["no-record", "cut-short", "too-large"],
 )
-def test_what_was_not_packed_is_refused(data: bytes):
+def test_what_was_not_compressed_is_refused(data: bytes):
     with pytest.raises(patches.PatchError):
-        patches.unpack(data)
+        patches.decompress(data)
