--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -18,37 +18,37 @@
 #: Part of the drain bound for which entries that lapsed with the store are
 #: still used. Live servers write theirs anew within about two seconds of
 #: its return; past the bound, one that has really left must get nothing.
-_LAPSE_PART = 0.85
+_LAPSED_USE_RATIO = 0.85
 #: Part of the drain bound for which a leaving server may still be used
 #: where no other is left; the rest covers a request's own way.
-_DRAIN_PART = 0.5
+_LEAVING_USE_RATIO = 0.5
 #: Time in which servers have written again what a copy of the store lacks,
 #: about two seconds by the platform's word, and the way of that news to here.
-_WRITTEN_AGAIN = datetime.timedelta(seconds=2.2)
+_REWRITE_TIME = datetime.timedelta(seconds=2.2)
 #: Characters of what another writer wrote that a log line shows.
-_SHOWN = 200
+_MAX_LOGGED_CHARS = 200
 #: Lives of which is kept that they said that they leave: more than end within
 #: the minutes for which the list may still name one that has.
-_SAID_MOST = 2_000
+_MAX_LEAVING_ANSWERS = 2_000
 #: Of these, how many one datagram tells of, the newest.
-_SAID_TOLD_MOST = 16
+_MAX_LEAVING_ANSWERS_SENT = 16
 #: How long a list with leaving servers is used before it is looked through
 #: anew: a small part of what is left of the drain bound.
-_LOOK_AGAIN = datetime.timedelta(milliseconds=50)
+_USABLE_TTL = datetime.timedelta(milliseconds=50)
 
 
 @final
 @dataclasses.dataclass
-class _Known:
+class _Entry:
     """One backend server and the offset of its newest record.
 
     :param leaving_at: when it was learned that it leaves or is gone.
     :param lapsed: whether its entry may have gone only because the
         store was away.
-    :param copied: whether it may have gone only because the store came back
-        from a copy that is older than the entry.
-    :param doubted_at: since when an entry stands that may only be older than
-        the end of this life.
+    :param missing_in_copy: whether it may have gone only because the store
+        came back from a copy that is older than the entry.
+    :param possibly_outdated_since: since when an entry stands that may only
+        be older than the end of this life.
     """
 
     backend: desired.Backend
@@ -56,17 +56,17 @@
     leaving_at: clock_lib.Instant | None = None
     removed: bool = False
     lapsed: bool = False
-    copied: bool = False
-    doubted_at: clock_lib.Instant | None = None
+    missing_in_copy: bool = False
+    possibly_outdated_since: clock_lib.Instant | None = None
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class _List:
+class _UsableServers:
     """Servers that new requests of a service may go to, until then."""
 
     servers: tuple[desired.Backend, ...]
-    until: clock_lib.Instant
+    expires_at: clock_lib.Instant
 
 
 @final
@@ -84,16 +84,18 @@
     ) -> None:
         self._clock = clock
         self._drain = drain
-        self._known: dict[desired.BackendKey, _Known] = {}
+        self._entries: dict[desired.BackendKey, _Entry] = {}
         #: Newest life of each server, and the offset of its last entry
         #: once that is forgotten.
-        self._lives: dict[desired.BackendId, desired.Backend] = {}
-        self._removed: dict[desired.BackendId, positions.Position] = {}
+        self._newest_lives: dict[desired.BackendId, desired.Backend] = {}
+        self._removed_offsets: dict[desired.BackendId, positions.Position] = {}
         #: When lives said that they leave; oldest first.
-        self._said: dict[desired.BackendKey, clock_lib.Instant] = {}
-        self._lists: dict[ids.ServiceName, _List] = {}
+        self._leaving_answer_at: dict[
+            desired.BackendKey, clock_lib.Instant
+        ] = {}
+        self._usable: dict[ids.ServiceName, _UsableServers] = {}
         self.end = positions.START
-        self.heard: clock_lib.Instant | None = None
+        self.updated_at: clock_lib.Instant | None = None
         self.records: dict[str, platform.KeyedRecord] = {}
 
     def replace(self, tail: platform.Tail, *, store_was_away: bool) -> None:
@@ -105,174 +107,195 @@
         listed = {record.key for record in tail.records}
         # The next record has the end's own place, and may be of such a key.
         last = positions.before(tail.end)
-        for known in list(self._known.values()):
-            name = known.backend.id
-            if name not in listed and known.offset < tail.end:
+        for entry in list(self._entries.values()):
+            name = entry.backend.id
+            if name not in listed and entry.offset < tail.end:
                 gone = platform.KeyedRecord(last, name, b"")
-                self._take(gone, store_was_away)
+                self._apply_record(gone, store_was_away)
         self.apply(tail, store_was_away=store_was_away)
 
     def apply(self, tail: platform.Tail, *, store_was_away: bool) -> None:
         """Take over records that follow those known."""
         for record in sorted(tail.records, key=lambda one: one.offset):
-            self._take(record, store_was_away)
+            self._apply_record(record, store_was_away)
         self.end = max(self.end, tail.end)
-        self.heard = self._clock.monotonic()
-        self._forget()
+        self.updated_at = self._clock.monotonic()
+        self._forget_removed()
 
-    def of(self, service: ids.ServiceName) -> tuple[desired.Backend, ...]:
+    def usable(self, service: ids.ServiceName) -> tuple[desired.Backend, ...]:
         """Return the servers that may get new requests of ``service``.
 
         Leaving ones only where there is no other, and not for long. The
         same object is returned as long as nothing has changed.
         """
         now = self._clock.monotonic()
-        held = self._lists.get(service)
-        if held is None or now >= held.until:
-            held = self._look_through(service, now)
-            self._lists[service] = held
+        held = self._usable.get(service)
+        if held is None or now >= held.expires_at:
+            held = self._find_usable(service, now)
+            self._usable[service] = held
         return held.servers
 
-    def _look_through(
+    def _find_usable(
         self, service: ids.ServiceName, now: clock_lib.Instant
-    ) -> _List:
+    ) -> _UsableServers:
         here = [
-            known
-            for known in self._known.values()
-            if known.backend.service == service
+            entry
+            for entry in self._entries.values()
+            if entry.backend.service == service
         ]
-        ready = [known.backend for known in here if self._is_ready(known, now)]
+        ready = [entry.backend for entry in here if self._is_ready(entry, now)]
         if len(ready) == len(here):
-            return _List(tuple(ready), datetime.timedelta.max)
-        held = [known for known in here if self._held(known, now)]
+            return _UsableServers(tuple(ready), datetime.timedelta.max)
+        held = [entry for entry in here if self._is_retained(entry, now)]
         # Servers write again what a copy of the store lacks.
-        ready += [known.backend for known in held if known.copied]
-        lapsed = [known.backend for known in held if not known.copied]
+        ready += [entry.backend for entry in held if entry.missing_in_copy]
+        lapsed = [entry.backend for entry in held if not entry.missing_in_copy]
         # Entries lapse all together; a few that go have left, even if the
         # store was away from here a moment before.
         if len(lapsed) > len(ready):
-            usable = ready + lapsed
+            servers = ready + lapsed
         else:
-            usable = ready or self._still_leaving(here, now)
-        if not usable:
-            doubted = [known for known in here if known.doubted_at is not None]
-            usable = [known.backend for known in doubted]
-        return _List(tuple(usable), now + _LOOK_AGAIN)
-
-    def _is_ready(self, known: _Known, now: clock_lib.Instant) -> bool:
-        if known.leaving_at is not None:
+            servers = ready or self._still_leaving(here, now)
+        if not servers:
+            doubted = [
+                entry
+                for entry in here
+                if entry.possibly_outdated_since is not None
+            ]
+            servers = [entry.backend for entry in doubted]
+        return _UsableServers(tuple(servers), now + _USABLE_TTL)
+
+    def _is_ready(self, entry: _Entry, now: clock_lib.Instant) -> bool:
+        if entry.leaving_at is not None:
             return False
-        since = known.doubted_at
+        since = entry.possibly_outdated_since
         # By then, news of what was written again are here.
-        return since is None or now - since >= _WRITTEN_AGAIN + self._drain()
+        return since is None or now - since >= _REWRITE_TIME + self._drain()
 
     def _still_leaving(
-        self, here: list[_Known], now: clock_lib.Instant
+        self, here: list[_Entry], now: clock_lib.Instant
     ) -> list[desired.Backend]:
         """Return leaving servers that may be used for a while."""
         return [
-            known.backend
-            for known in here
-            if known.leaving_at is not None
-            and now - known.leaving_at < self._drain() * _DRAIN_PART
+            entry.backend
+            for entry in here
+            if entry.leaving_at is not None
+            and now - entry.leaving_at < self._drain() * _LEAVING_USE_RATIO
         ]
 
     def service_of(self, key: desired.BackendKey) -> ids.ServiceName | None:
         """Return the service of a server; none if it is not known."""
-        known = self._known.get(key)
-        return None if known is None else known.backend.service
+        entry = self._entries.get(key)
+        return None if entry is None else entry.backend.service
 
     def age(self) -> datetime.timedelta:
         """Return how long ago the list was last told."""
-        if self.heard is None:
+        if self.updated_at is None:
             return datetime.timedelta.max
-        return self._clock.monotonic() - self.heard
+        return self._clock.monotonic() - self.updated_at
 
     def all(self) -> list[desired.Backend]:
         """Return every server that is known."""
-        return [known.backend for known in self._known.values()]
+        return [entry.backend for entry in self._entries.values()]
 
     def forget(self, key: desired.BackendKey, why: str) -> None:
         """Drop a server that is proved to be gone."""
-        known = self._known.pop(key, None)
-        if known is None:
+        entry = self._entries.pop(key, None)
+        if entry is None:
             return
-        self._lists.pop(known.backend.service, None)
-        self._removed[known.backend.id] = known.offset
+        self._usable.pop(entry.backend.service, None)
+        self._removed_offsets[entry.backend.id] = entry.offset
         logging.info("backend server gone", extra={"backend": key, "why": why})
 
-    def says_it_leaves(self, key: desired.BackendKey) -> None:
+    def note_leaving_answer(self, key: desired.BackendKey) -> None:
         """Note that a server's own answer says that it is leaving.
 
         Whatever the list says of this life, now or later, does not undo it:
         the list may be old, and most servers leave before it says so. One that
         stays all the same gets nothing until its next life.
         """
-        if key in self._said:
+        if key in self._leaving_answer_at:
             return
         now = self._clock.monotonic()
-        self._said[key] = now
-        if len(self._said) > _SAID_MOST:
-            del self._said[next(iter(self._said))]
-        known = self._known.get(key)
-        if known is None:
+        self._leaving_answer_at[key] = now
+        if len(self._leaving_answer_at) > _MAX_LEAVING_ANSWERS:
+            del self._leaving_answer_at[next(iter(self._leaving_answer_at))]
+        entry = self._entries.get(key)
+        if entry is None:
             return
         logging.info("backend server says it leaves", extra={"backend": key})
-        known.lapsed = False
-        if known.leaving_at is None:
-            known.leaving_at = now
-        self._lists.pop(known.backend.service, None)
+        entry.lapsed = False
+        if entry.leaving_at is None:
+            entry.leaving_at = now
+        self._usable.pop(entry.backend.service, None)
 
-    def said_only(self) -> list[desired.BackendKey]:
+    def leaving_by_answer_only(self) -> list[desired.BackendKey]:
         """Return servers that say they leave, while the list does not."""
-        here = [self._known[key] for key in self._said if key in self._known]
+        here = [
+            self._entries[key]
+            for key in self._leaving_answer_at
+            if key in self._entries
+        ]
         return [
             one.backend.key
             for one in here
             if not one.removed
             and one.backend.state is desired.BackendState.READY
-        ][-_SAID_TOLD_MOST:]
+        ][-_MAX_LEAVING_ANSWERS_SENT:]
 
-    def _held(self, known: _Known, now: clock_lib.Instant) -> bool:
-        if not known.lapsed or known.leaving_at is None:
+    def _is_retained(self, entry: _Entry, now: clock_lib.Instant) -> bool:
+        if not entry.lapsed or entry.leaving_at is None:
             return False
-        most = self._drain() * _LAPSE_PART
-        if known.copied:
-            most = _WRITTEN_AGAIN
-        return now - known.leaving_at < most
+        most = self._drain() * _LAPSED_USE_RATIO
+        if entry.missing_in_copy:
+            most = _REWRITE_TIME
+        return now - entry.leaving_at < most
 
-    def _take(self, record: platform.KeyedRecord, away: bool) -> None:
+    def _apply_record(
+        self, record: platform.KeyedRecord, store_was_away: bool
+    ) -> None:
         name = desired.BackendId(record.key)
-        life = self._lives.get(name)
-        known = self._known.get(life.key) if life else None
-        newest = known.offset if known else self._removed.get(name)
+        life = self._newest_lives.get(name)
+        entry = self._entries.get(life.key) if life else None
+        newest = entry.offset if entry else self._removed_offsets.get(name)
         if newest is not None and record.offset <= newest:
             return
-        copied = newest is not None and _is_later(record.offset, newest)
+        is_new_era = newest is not None and _is_later_era(
+            record.offset, newest
+        )
         self.records[record.key] = record
         if not record.value:
-            self._remove(name, known, record.offset, away, copied=copied)
+            self._remove(
+                name,
+                entry,
+                record.offset,
+                store_was_away,
+                is_new_era=is_new_era,
+            )
             return
         try:
-            backend = self._life(record, life)
+            backend = self._read_life(record, life)
         except errors.ChangeError as exc:
             # Whoever wrote it, it names no server, nor the one before.
             logging.warning(
                 "entry kept out",
-                extra={"backend": name[:_SHOWN], "why": exc.what[:_SHOWN]},
+                extra={
+                    "backend": name[:_MAX_LOGGED_CHARS],
+                    "why": exc.what[:_MAX_LOGGED_CHARS],
+                },
             )
-            self._remove(name, known, record.offset, False)
+            self._remove(name, entry, record.offset, False)
             return
         if backend is None:
-            self._pass_over(record, known)
+            self._skip_earlier_life(record, entry)
             return
         if life is not None and backend.key != life.key:
             self.forget(life.key, "it has started again")
-            known = None
-            copied = False
-        self._note(backend, known, record.offset, copied=copied)
+            entry = None
+            is_new_era = False
+        self._put_entry(backend, entry, record.offset, is_new_era=is_new_era)
 
-    def _life(
+    def _read_life(
         self, record: platform.KeyedRecord, life: desired.Backend | None
     ) -> desired.Backend | None:
         """Return the life of a server that an entry tells of.
@@ -291,49 +314,53 @@
             return dataclasses.replace(backend, born=life.born)
         return None if backend.born < life.born else backend
 
-    def _pass_over(
-        self, record: platform.KeyedRecord, known: _Known | None
+    def _skip_earlier_life(
+        self, record: platform.KeyedRecord, entry: _Entry | None
     ) -> None:
         """Leave an entry of an earlier life alone; the later one stands."""
         logging.info("entry of an earlier life", extra={"backend": record.key})
-        if known is not None:
-            known.offset = record.offset
+        if entry is not None:
+            entry.offset = record.offset
         else:
-            self._removed[desired.BackendId(record.key)] = record.offset
+            self._removed_offsets[desired.BackendId(record.key)] = (
+                record.offset
+            )
 
-    def _note(
+    def _put_entry(
         self,
         backend: desired.Backend,
-        known: _Known | None,
+        entry: _Entry | None,
         offset: positions.Position,
         *,
-        copied: bool,
+        is_new_era: bool,
     ) -> None:
         """Take over an entry.
 
-        :param copied: whether it is the first of this life in a new era of
-            the store: then it may be older than what is known.
+        :param is_new_era: whether it is the first of this life in a new
+            era of the store: then it may be older than what is known.
         """
-        if copied and known and known.leaving_at and not known.removed:
-            self._said.setdefault(backend.key, known.leaving_at)
+        if is_new_era and entry and entry.leaving_at and not entry.removed:
+            self._leaving_answer_at.setdefault(backend.key, entry.leaving_at)
         leaving = backend.state is desired.BackendState.LEAVING
-        since = known.leaving_at if known and not known.removed else None
+        since = entry.leaving_at if entry and not entry.removed else None
         now = self._clock.monotonic()
-        said = self._said.get(backend.key)
+        said = self._leaving_answer_at.get(backend.key)
         if said is not None:
             leaving = True
             since = said if since is None else min(since, said)
-        self._lists.pop(backend.service, None)
-        if known is not None:
-            self._lists.pop(known.backend.service, None)
-        self._lives[backend.id] = backend
-        self._known[backend.key] = _Known(
+        self._usable.pop(backend.service, None)
+        if entry is not None:
+            self._usable.pop(entry.backend.service, None)
+        self._newest_lives[backend.id] = backend
+        self._entries[backend.key] = _Entry(
             backend,
             offset,
             (now if since is None else since) if leaving else None,
-            doubted_at=now if copied and self._has_ended(known) else None,
+            possibly_outdated_since=now
+            if is_new_era and self._has_ended(entry)
+            else None,
         )
-        if known is None or known.backend.state is not backend.state:
+        if entry is None or entry.backend.state is not backend.state:
             logging.info(
                 "backend server",
                 extra={
@@ -346,52 +373,56 @@
                 },
             )
 
-    def _has_ended(self, known: _Known | None) -> bool:
+    def _has_ended(self, entry: _Entry | None) -> bool:
         """Tell whether a life was gone from the list for good."""
-        if known is None or known.doubted_at is not None:
+        if entry is None or entry.possibly_outdated_since is not None:
             return True
-        return known.removed and not self._held(known, self._clock.monotonic())
+        return entry.removed and not self._is_retained(
+            entry, self._clock.monotonic()
+        )
 
     def _remove(
         self,
         name: desired.BackendId,
-        known: _Known | None,
+        entry: _Entry | None,
         offset: positions.Position,
-        away: bool,
+        store_was_away: bool,
         *,
-        copied: bool = False,
+        is_new_era: bool = False,
     ) -> None:
-        if known is None:
-            self._removed[name] = offset
+        if entry is None:
+            self._removed_offsets[name] = offset
             return
-        known.offset = offset
-        if known.removed:
+        entry.offset = offset
+        if entry.removed:
             return
-        self._lists.pop(known.backend.service, None)
-        known.removed = True
-        known.lapsed = (away or copied) and known.leaving_at is None
-        known.copied = copied
-        if known.leaving_at is None:
-            known.leaving_at = self._clock.monotonic()
+        self._usable.pop(entry.backend.service, None)
+        entry.removed = True
+        entry.lapsed = (
+            store_was_away or is_new_era
+        ) and entry.leaving_at is None
+        entry.missing_in_copy = is_new_era
+        if entry.leaving_at is None:
+            entry.leaving_at = self._clock.monotonic()
         logging.info(
             "backend server removed",
             extra={
-                "backend": known.backend.key,
+                "backend": entry.backend.key,
                 "offset": positions.offset(offset),
                 "era": positions.era(offset),
-                "lapsed": known.lapsed,
+                "lapsed": entry.lapsed,
             },
         )
 
-    def _forget(self) -> None:
+    def _forget_removed(self) -> None:
         now = self._clock.monotonic()
-        for key, known in list(self._known.items()):
-            if not known.removed or known.leaving_at is None:
+        for key, entry in list(self._entries.items()):
+            if not entry.removed or entry.leaving_at is None:
                 continue
-            if now - known.leaving_at > max(self._drain(), _WRITTEN_AGAIN):
+            if now - entry.leaving_at > max(self._drain(), _REWRITE_TIME):
                 self.forget(key, "its entry is gone from the list")
 
 
-def _is_later(one: positions.Position, other: positions.Position) -> bool:
+def _is_later_era(one: positions.Position, other: positions.Position) -> bool:
     """Tell whether a place is of a later era than another."""
     return positions.era(one) > positions.era(other)
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -116,7 +116,7 @@
         rest = self._world.rest_left(self._plan.service)
         if rest is not None:
             return self._resting(rest)
-        if self._world.backends.of(self._plan.service):
+        if self._world.backends.usable(self._plan.service):
             return refusal.out_of_order(
                 "its groups of ranks are broken", self._left()
             )
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -308,7 +308,8 @@
             slow_backends=[str(key) for key in self.seen_slow_backends()],
             suspects=self._suspect_gossip.outgoing(),
             leaving_backends=[
-                str(key) for key in self._world.backends.said_only()
+                str(key)
+                for key in self._world.backends.leaving_by_answer_only()
             ],
         )
 
@@ -337,7 +338,7 @@
         self._world.slow.told(heartbeat.node, slow)
         self._suspect_gossip.merge(heartbeat.suspects)
         for name in heartbeat.leaving_backends:
-            self._world.backends.says_it_leaves(desired.BackendKey(name))
+            self._world.backends.note_leaving_answer(desired.BackendKey(name))
         self.on_peer_generation(experts.Generation(heartbeat.generation))
         self._lags[platform.OPERATOR_TOPIC].note_known(heartbeat.version)
         self._lags[platform.BACKENDS_TOPIC].note_known(heartbeat.backends_end)
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -106,7 +106,7 @@
 
     def software(self, service: ids.ServiceName) -> frozenset[str]:
         """Return the versions that servers of ``service`` run now."""
-        return frozenset(one.software for one in self.backends.of(service))
+        return frozenset(one.software for one in self.backends.usable(service))
 
     @property
     def version(self) -> int:
@@ -152,7 +152,7 @@
 
     def serving(self, service: ids.ServiceName) -> serving_lib.Serving:
         """Return the servers of ``service`` that new requests may go to."""
-        listed = self.backends.of(service)
+        listed = self.backends.usable(service)
         broken = self.outages.servers()
         resting = self.rests.servers()
         slow = self.slow.servers()
@@ -174,7 +174,7 @@
         :returns: 0 if one does not rest, none if there is none or all that
             there are belong to broken groups.
         """
-        listed = self.backends.of(service)
+        listed = self.backends.usable(service)
         whole = {one.key for one in listed} - self.outages.servers()
         if whole - self.rests.servers():
             return datetime.timedelta()
@@ -188,7 +188,7 @@
         if head.load is not None:
             self.loads.told(key, head.load)
         if head.leaving and not head.moved:
-            self.backends.says_it_leaves(key)
+            self.backends.note_leaving_answer(key)
         if head.rest is None:
             return
         self.figures.count_rest_asked(backend.service)
@@ -233,7 +233,7 @@
                     self.backends.service_of(key) == service for key in slow
                 ),
             )
-        slots = [one.slots for one in self.backends.of(service)]
+        slots = [one.slots for one in self.backends.usable(service)]
         return admission.PLAIN_FULL * min(slots, default=1)
 
     def asking(
--- a/testing/edge/test_backends.py
+++ b/testing/edge/test_backends.py
@@ -31,15 +31,15 @@
 class _Rig:
     def __init__(self) -> None:
         self.clock = clock_lib.ManualClock()
-        self.list = backends_lib.Backends(self.clock, drain=lambda: DRAIN)
+        self.backends = backends_lib.Backends(self.clock, drain=lambda: DRAIN)
 
-    def told(self, *records, end=100, away=False, newest=False):
+    def apply(self, *records, end=100, away=False, newest=False):
         tail = platform.Tail(end=ids.Offset(end), records=records)
-        take = self.list.replace if newest else self.list.apply
-        take(tail, store_was_away=away)
+        put = self.backends.replace if newest else self.backends.apply
+        put(tail, store_was_away=away)
 
     def usable(self):
-        return sorted(one.key for one in self.list.of(SERVICE))
+        return sorted(one.key for one in self.backends.usable(SERVICE))
 
     def passes(self, seconds):
         self.clock.advance(datetime.timedelta(seconds=seconds))
@@ -47,22 +47,22 @@
 
 def test_older_record_changes_nothing():
     rig = _Rig()
-    rig.told(_record(5, "a", "draining"), _record(6, "b"))
-    rig.told(_record(4, "a"))
+    rig.apply(_record(5, "a", "draining"), _record(6, "b"))
+    rig.apply(_record(4, "a"))
     assert rig.usable() == ["b"]
 
 
 def test_leaving_server_gets_nothing_where_others_are():
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"))
-    rig.told(_record(3, "a", "draining"))
+    rig.apply(_record(1, "a"), _record(2, "b"))
+    rig.apply(_record(3, "a", "draining"))
     assert rig.usable() == ["b"]
 
 
 def test_last_server_is_used_for_part_of_the_drain_bound_only():
     rig = _Rig()
-    rig.told(_record(1, "a"))
-    rig.told(_record(2, "a", "draining"))
+    rig.apply(_record(1, "a"))
+    rig.apply(_record(2, "a", "draining"))
     assert rig.usable() == ["a"]
     rig.passes(1.1)
     assert rig.usable() == []
@@ -70,64 +70,64 @@
 
 def test_repeated_news_of_leaving_does_not_extend_its_time():
     rig = _Rig()
-    rig.told(_record(1, "a", "draining"))
+    rig.apply(_record(1, "a", "draining"))
     rig.passes(0.9)
-    rig.told(_record(2, "a", "draining"))
+    rig.apply(_record(2, "a", "draining"))
     rig.passes(0.2)
     assert rig.usable() == []
 
 
 def test_server_whose_entry_is_removed_leaves():
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"))
-    rig.told(_gone(3, "a"))
+    rig.apply(_record(1, "a"), _record(2, "b"))
+    rig.apply(_gone(3, "a"))
     assert rig.usable() == ["b"]
 
 
 def test_entries_that_lapsed_together_are_held_until_they_return():
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"))
-    rig.told(_gone(3, "a"), _gone(4, "b"), away=True)
+    rig.apply(_record(1, "a"), _record(2, "b"))
+    rig.apply(_gone(3, "a"), _gone(4, "b"), away=True)
     rig.passes(1.6)
     assert rig.usable() == ["a", "b"]
-    rig.told(_record(5, "a"))
+    rig.apply(_record(5, "a"))
     assert rig.usable() == ["a"]
 
 
 def test_lapsed_entries_are_never_held_past_the_drain_bound():
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"))
-    rig.told(_gone(3, "a"), _gone(4, "b"), away=True)
+    rig.apply(_record(1, "a"), _record(2, "b"))
+    rig.apply(_gone(3, "a"), _gone(4, "b"), away=True)
     rig.passes(1.8)
     assert rig.usable() == []
 
 
 def test_single_server_that_goes_after_an_outage_has_left():
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"), _record(3, "c"))
-    rig.told(_gone(4, "a"), away=True)
+    rig.apply(_record(1, "a"), _record(2, "b"), _record(3, "c"))
+    rig.apply(_gone(4, "a"), away=True)
     assert rig.usable() == ["b", "c"]
 
 
 def test_newest_records_without_a_server_mean_that_it_left():
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"), end=3)
-    rig.told(_record(2, "b"), end=9, newest=True)
+    rig.apply(_record(1, "a"), _record(2, "b"), end=3)
+    rig.apply(_record(2, "b"), end=9, newest=True)
     assert rig.usable() == ["b"]
 
 
 def test_old_answer_does_not_remove_a_server_that_came_later():
     rig = _Rig()
-    rig.told(_record(7, "new"), end=8)
-    rig.told(_record(2, "b"), end=5, newest=True)
+    rig.apply(_record(7, "new"), end=8)
+    rig.apply(_record(2, "b"), end=5, newest=True)
     assert rig.usable() == ["b", "new"]
 
 
 def test_server_proved_gone_does_not_come_back_by_an_old_record():
     rig = _Rig()
-    rig.told(_record(5, "a"))
-    rig.list.forget("a", "another life has its address")
-    rig.told(_record(5, "a"))
+    rig.apply(_record(5, "a"))
+    rig.backends.forget("a", "another life has its address")
+    rig.apply(_record(5, "a"))
     assert rig.usable() == []
 
 
@@ -139,44 +139,44 @@
     server writes brings it back.
     """
     rig = _Rig()
-    rig.told(_record(1, "a"), _record(2, "b"))
-    rig.told(platform.KeyedRecord(ids.Offset(3), "a", b"{"))
+    rig.apply(_record(1, "a"), _record(2, "b"))
+    rig.apply(platform.KeyedRecord(ids.Offset(3), "a", b"{"))
     assert rig.usable() == ["b"]
-    rig.told(_record(4, "a"))
+    rig.apply(_record(4, "a"))
     assert rig.usable() == ["a", "b"]
 
 
 def test_server_that_started_again_is_another_life():
     rig = _Rig()
-    rig.told(_entry(1, "a", born=1000), _entry(2, "b", born=1000))
-    rig.told(_entry(3, "a", born=2000, sequence=1))
+    rig.apply(_entry(1, "a", born=1000), _entry(2, "b", born=1000))
+    rig.apply(_entry(3, "a", born=2000, sequence=1))
     assert rig.usable() == ["a 2000", "b 1000"]
-    assert [one.id for one in rig.list.all()] == ["b", "a"]
+    assert [one.id for one in rig.backends.all()] == ["b", "a"]
 
 
 @pytest.mark.parametrize("removed", [False, True], ids=["known", "removed"])
 def test_earlier_life_never_replaces_a_later_one(removed: bool):
     rig = _Rig()
-    rig.told(_entry(1, "a", born=2000), _entry(2, "b"))
+    rig.apply(_entry(1, "a", born=2000), _entry(2, "b"))
     if removed:
-        rig.told(_gone(3, "a"))
-    rig.told(_entry(4, "a", born=1000))
+        rig.apply(_gone(3, "a"))
+    rig.apply(_entry(4, "a", born=1000))
     assert rig.usable() == (["b"] if removed else ["a 2000", "b"])
 
 
 def test_life_that_left_is_not_held_against_the_next():
     rig = _Rig()
-    rig.told(_entry(1, "a", born=1000), _entry(2, "b"))
-    rig.told(_entry(3, "a", born=1000, state="draining"))
+    rig.apply(_entry(1, "a", born=1000), _entry(2, "b"))
+    rig.apply(_entry(3, "a", born=1000, state="draining"))
     assert rig.usable() == ["b"]
-    rig.told(_entry(4, "a", born=2000))
+    rig.apply(_entry(4, "a", born=2000))
     assert rig.usable() == ["a 2000", "b"]
 
 
 def test_entry_that_does_not_tell_its_start_belongs_to_the_life_known():
     rig = _Rig()
-    rig.told(_entry(1, "a", born=1000))
-    rig.told(_entry(2, "a", state="draining"), _record(3, "b"))
+    rig.apply(_entry(1, "a", born=1000))
+    rig.apply(_entry(2, "a", state="draining"), _record(3, "b"))
     assert rig.usable() == ["b"]
-    rig.told(_entry(4, "a"))
+    rig.apply(_entry(4, "a"))
     assert rig.usable() == ["a 1000", "b"]
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -123,7 +123,7 @@
 
 
 def _used(node: fleet_rig.Node) -> set[str]:
-    return {one.id for one in node.world.backends.of(SERVICE)}
+    return {one.id for one in node.world.backends.usable(SERVICE)}
 
 
 async def _strike(
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_rest.py
@@ -420,7 +420,7 @@
         del clock
         rig.world.outages.told("peer", [OTHER])
         await rig.ask()
-        return rig.world.backends.said_only()
+        return rig.world.backends.leaving_by_answer_only()
 
     assert _play([[SAYS], [GOOD]], act) == [KEY]
 
