--- a/src/lugcross/cli/edge.py
+++ b/src/lugcross/cli/edge.py
@@ -25,5 +25,7 @@
 
     settings = settings_lib.load(os.fspath(file))
     logs.set_up_bounded(settings.node, settings.level, sys.stdout.fileno())
-    program = edge_lib.Edge(settings, clock=clock.SystemClock(), file=file)
+    program = edge_lib.Edge(
+        settings, clock=clock.SystemClock(), settings_path=file
+    )
     program.run()
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -35,23 +35,23 @@
 #: milliseconds; a slow store needs some hundred.
 STORE_TIMEOUT = datetime.timedelta(seconds=1.5)
 #: Time between two rounds of tidying, in seconds.
-_SWEEP_S = 1.0
+_SWEEP_INTERVAL_S = 1.0
 #: Part of the grace after which whatever is left is cut.
-_GRACE_PART = 0.95
+_DRAIN_GRACE_RATIO = 0.95
 #: Rest after a stop signal during which the platform's balancer notices;
 #: requests that come later on open connections are refused.
-_NOTICE = datetime.timedelta(seconds=3)
+_DRAIN_NOTICE = datetime.timedelta(seconds=3)
 #: Time between two looks at what is left to finish, in seconds.
-_DRAIN_LOOK_S = 0.05
+_DRAIN_CHECK_INTERVAL_S = 0.05
 #: Connections that may wait to be taken: all callers that come back after
 #: a second in which this process was stopped.
-_BACKLOG = 1024
+_LISTEN_BACKLOG = 1024
 #: Bits of the number by which this process marks its map versions.
-_OWNER_BITS = 16
+_MAP_OWNER_BITS = 16
 #: What a list of unknown age is shown as, in seconds.
-_AGE_MOST_S = 1e6
+_MAX_SHOWN_AGE_S = 1e6
 #: Bounds for callers until a desired state tells them.
-_FIRST_LIMITS = desired.Limits(
+_DEFAULT_LIMITS = desired.Limits(
     head_bytes=16_384,
     body_bytes=1_048_576,
     head_time=datetime.timedelta(seconds=3),
@@ -68,12 +68,14 @@
         settings: settings_lib.Settings,
         *,
         clock: clock_lib.Clock,
-        file: str = "",
+        settings_path: str = "",
     ) -> None:
         self._settings = settings
         self._clock = clock
-        self._file = file
-        self._read_at = _changed_at(file) if file else 0
+        self._settings_path = settings_path
+        self._settings_mtime_ns = (
+            _mtime_ns(settings_path) if settings_path else 0
+        )
         rng = random.Random()
         self.world = world_lib.World(settings, clock=clock, rng=rng)
         self._store = platform.StoreClient(
@@ -84,7 +86,7 @@
         )
         self._runner = runner_lib.Runner(
             self.world,
-            closed=self._closed,
+            closed=self._refuses_requests,
             changed=self.state_sync.peers.schedule_send,
             clock=clock,
             rng=rng,
@@ -118,7 +120,7 @@
             clock=clock,
             sleep=asyncio.sleep,
             duty=self._duty,
-            owner=experts.Owner(rng.getrandbits(_OWNER_BITS)),
+            owner=experts.Owner(rng.getrandbits(_MAP_OWNER_BITS)),
             changed=urgent,
             node=settings.node,
             cfg=settings.maps,
@@ -131,8 +133,8 @@
         self.state_sync.seen_broken_backends = self._maps.seen_broken
         self.state_sync.seen_slow_backends = self._maps.seen_slow
         self._conns: set[http1.ServerConn] = set()
-        self._leaving_since: clock_lib.Instant | None = None
-        self._stop = asyncio.Event()
+        self._stopping_since: clock_lib.Instant | None = None
+        self._stop_requested = asyncio.Event()
 
     def run(self) -> None:
         """Serve until a stop signal, finish what is held, and return."""
@@ -142,16 +144,18 @@
     async def _main(self) -> None:
         loop = asyncio.get_running_loop()
         for num in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(num, self._ask_stop)
+            loop.add_signal_handler(num, self._request_stop)
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         listen = self._settings.listen
         await self.state_sync.start()
         servers = [
             await asyncio.start_server(
-                self._serve, *address.split(listen.callers), backlog=_BACKLOG
+                self._serve_caller,
+                *address.split(listen.callers),
+                backlog=_LISTEN_BACKLOG,
             ),
             await asyncio.start_server(
-                self._serve_ready, *address.split(listen.ready)
+                self._serve_readiness, *address.split(listen.ready)
             ),
         ]
         if listen.metrics:
@@ -160,10 +164,10 @@
                     self._serve_metrics, *address.split(listen.metrics)
                 )
             )
-        tasks = [asyncio.create_task(one) for one in self._loops()]
+        tasks = [asyncio.create_task(one) for one in self._background_loops()]
         logging.info("started", extra={"domain": self._settings.domain})
         try:
-            await self._stop.wait()
+            await self._stop_requested.wait()
             await self._drain()
         finally:
             for server in servers:
@@ -177,7 +181,7 @@
 
     def unready_reason(self) -> str:
         """Return why no new connections should come here, or nothing."""
-        if self._leaving_since is not None:
+        if self._stopping_since is not None:
             return "this process is being stopped"
         if self.world.desired is None:
             return "no desired state is known yet"
@@ -185,7 +189,7 @@
             return "no backend server is known yet"
         return ""
 
-    def _loops(self) -> list[Coroutine[Any, Any, None]]:
+    def _background_loops(self) -> list[Coroutine[Any, Any, None]]:
         state_sync = self.state_sync
         followers = store_followers.followers(
             self._store, self.world, state_sync
@@ -198,7 +202,7 @@
             self._sweep(),
         ]
 
-    async def _serve(
+    async def _serve_caller(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         conn = http1.ServerConn(
@@ -206,7 +210,7 @@
             writer,
             self._runner.handle,
             limits=self._limits,
-            leaving=lambda: self._leaving_since is not None,
+            leaving=lambda: self._stopping_since is not None,
             clock=self._clock,
         )
         self._conns.add(conn)
@@ -215,10 +219,10 @@
         finally:
             self._conns.discard(conn)
 
-    async def _serve_ready(
+    async def _serve_readiness(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        await self._serve_inner(
+        await self._serve_platform(
             reader, writer, readiness.handler(self.unready_reason)
         )
 
@@ -230,7 +234,7 @@
         self.world.figures.set_gauges(
             desired_version=state.version if state else 0,
             backends=len(self.world.backends.all()),
-            backends_age_seconds=min(age.total_seconds(), _AGE_MOST_S),
+            backends_age_seconds=min(age.total_seconds(), _MAX_SHOWN_AGE_S),
             store_lost=float(self.state_sync.store_health.failing),
             peers=len(self.state_sync.peers.live()),
             connections=len(self._conns),
@@ -242,9 +246,9 @@
             self.world.figures,
             suspects_json=self.world.endings.listing,
         )
-        await self._serve_inner(reader, writer, serve)
+        await self._serve_platform(reader, writer, serve)
 
-    async def _serve_inner(
+    async def _serve_platform(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -255,49 +259,54 @@
             reader,
             writer,
             handler,
-            limits=lambda: _FIRST_LIMITS,
-            leaving=lambda: self._leaving_since is not None,
+            limits=lambda: _DEFAULT_LIMITS,
+            leaving=lambda: self._stopping_since is not None,
             clock=self._clock,
         )
         await conn.run()
 
     def _limits(self) -> desired.Limits:
         state = self.world.desired
-        return state.limits if state else _FIRST_LIMITS
+        return state.limits if state else _DEFAULT_LIMITS
 
-    def _closed(self) -> bool:
+    def _refuses_requests(self) -> bool:
         """Tell whether new requests can no longer be finished here."""
-        since = self._leaving_since
-        return since is not None and self._clock.monotonic() - since > _NOTICE
+        since = self._stopping_since
+        return (
+            since is not None
+            and self._clock.monotonic() - since > _DRAIN_NOTICE
+        )
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(_SWEEP_S)
+            await asyncio.sleep(_SWEEP_INTERVAL_S)
             self.world.sweep()
-            self.look_at_file()
+            self.reload_if_changed()
 
     async def _drain(self) -> None:
         """Let the balancer notice, then finish what is held."""
         begun = self._clock.monotonic()
-        self._leaving_since = begun
+        self._stopping_since = begun
         self.state_sync.leave()
-        end = begun + self.world.bounds.grace * _GRACE_PART
+        end = begun + self.world.bounds.grace * _DRAIN_GRACE_RATIO
         while self._clock.monotonic() < end:
-            if self._closed():
+            if self._refuses_requests():
                 for conn in list(self._conns):
                     conn.close_if_idle()
                 if not self._conns:
                     break
-            await asyncio.sleep(_DRAIN_LOOK_S)
+            await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
         logging.info("drained", extra={"left": len(self._conns)})
 
-    def _ask_stop(self) -> None:
+    def _request_stop(self) -> None:
         logging.info("stop asked")
-        self._stop.set()
+        self._stop_requested.set()
 
-    def look_at_file(self) -> None:
+    def reload_if_changed(self) -> None:
         """Read the settings anew if their file has changed unannounced."""
-        if self._file and self._read_at != _changed_at(self._file):
+        if self._settings_path and self._settings_mtime_ns != _mtime_ns(
+            self._settings_path
+        ):
             self._reload()
 
     def _reload(self) -> None:
@@ -305,11 +314,11 @@
 
         Addresses are taken at the start only; all else counts from now on.
         """
-        if not self._file:
+        if not self._settings_path:
             return
-        self._read_at = _changed_at(self._file)
+        self._settings_mtime_ns = _mtime_ns(self._settings_path)
         try:
-            settings = settings_lib.load(self._file)
+            settings = settings_lib.load(self._settings_path)
         except errors.SettingsError as exc:
             logging.error("settings kept out", extra={"why": str(exc)})
             return
@@ -318,7 +327,7 @@
         logging.info("settings read anew")
 
 
-def _changed_at(path: str) -> int:
+def _mtime_ns(path: str) -> int:
     """Return when a file was changed, in ns; 0 while there is none."""
     try:
         return pathlib.Path(path).stat().st_mtime_ns
--- a/testing/edge/test_reload.py
+++ b/testing/edge/test_reload.py
@@ -56,27 +56,27 @@
 def edge(file: Settings, manual_clock: clock_lib.ManualClock) -> app_lib.Edge:
     path = str(file.path)
     settings = settings_lib.load(path)
-    return app_lib.Edge(settings, clock=manual_clock, file=path)
+    return app_lib.Edge(settings, clock=manual_clock, settings_path=path)
 
 
 def test_bounds_count_once_the_file_has_changed_without_a_signal(edge, file):
     file.write(TEXT.format(drain_ms=500, saving=0.5))
-    edge.look_at_file()
+    edge.reload_if_changed()
     assert edge.world.bounds.drain_ms == 500
 
 
 def test_file_that_cannot_be_used_changes_nothing(edge, file):
     file.write("node: [")
-    edge.look_at_file()
+    edge.reload_if_changed()
     assert edge.world.bounds.drain_ms == 2000
     file.write(TEXT.format(drain_ms=700, saving=0.25))
-    edge.look_at_file()
+    edge.reload_if_changed()
     assert edge.world.bounds.drain_ms == 700
 
 
 def test_file_that_is_gone_changes_nothing(edge, file):
     file.path.unlink()
-    edge.look_at_file()
+    edge.reload_if_changed()
     assert edge.world.bounds.drain_ms == 2000
 
 
