--- a/testing/edge/test_storms.py
+++ b/testing/edge/test_change_storms.py
@@ -29,14 +29,14 @@
 DOMAINS = (14, 5, 5)
 ROUTES = 1640
 #: Until every process has read, registered and heard of the others, s.
-SETTLED_S = 8.0
+SETTLE_TIME_S = 8.0
 #: A storm: changes, and the time between two of them in seconds.
 CHANGES = 6
-GAP_S = 0.33
+CHANGE_INTERVAL_S = 0.33
 #: Until a change that does not arrive is given up, in seconds.
-GIVE_UP_S = 6.0
+GIVE_UP_AFTER_S = 6.0
 #: Longest time from a change to its being in force everywhere, in seconds.
-ALLOWED_S = 2.0
+MAX_CHANGE_S = 2.0
 
 
 def test_changes_in_quick_succession_are_in_force_in_time(monkeypatch):
@@ -44,25 +44,32 @@
 
     async def main() -> float:
         fleet = fleet_rig.Fleet(monkeypatch, *DOMAINS)
-        fleet.change(1, routes=ROUTES)
+        fleet.put_desired(1, routes=ROUTES)
         fleet.start()
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_TIME_S)
         ages = await asyncio.gather(
-            *(_age(fleet, num + 2, num * GAP_S) for num in range(CHANGES))
+            *(
+                _seconds_until_in_force(
+                    fleet, num + 2, num * CHANGE_INTERVAL_S
+                )
+                for num in range(CHANGES)
+            )
         )
         await fleet.stop()
         return max(ages)
 
-    assert virtual_time.run(main()) <= ALLOWED_S
+    assert virtual_time.run(main()) <= MAX_CHANGE_S
 
 
-async def _age(fleet: fleet_rig.Fleet, version: int, after_s: float) -> float:
+async def _seconds_until_in_force(
+    fleet: fleet_rig.Fleet, version: int, after_s: float
+) -> float:
     """Change the state; return when the last process had it, in seconds."""
     await asyncio.sleep(after_s)
-    fleet.change(version, routes=ROUTES)
+    fleet.put_desired(version, routes=ROUTES)
     begun = asyncio.get_running_loop().time()
     age = 0.0
-    while fleet.behind(version) and age < GIVE_UP_S:
+    while fleet.nodes_behind(version) and age < GIVE_UP_AFTER_S:
         await asyncio.sleep(0.05)
         age = asyncio.get_running_loop().time() - begun
     return age
@@ -98,5 +105,5 @@
 
 
 def _adopt(node: fleet_rig.Node, version: int, routes: int = 20) -> None:
-    record = fleet_rig.state(version, routes=routes)
+    record = fleet_rig.desired_record(version, routes=routes)
     node.world.adopt(platform.read_desired(record), record)
--- a/testing/edge/test_ending_requests.py
+++ b/testing/edge/test_ending_requests.py
@@ -138,7 +138,7 @@
 
 
 async def _turned_away(fleet: ending_rig.Fleet, name: str) -> None:
-    fleet.turn_away(name)
+    fleet.cut_off_from_store(name)
 
 
 FAULTS = (_killed, _cut_off, _turned_away)
@@ -202,7 +202,7 @@
     async def day(fleet: ending_rig.Fleet) -> None:
         fleet.cut_off("n1-1")
         await _come_again(fleet, 0.5, 8.0)
-        fleet.reach_again("n1-1")
+        fleet.reconnect("n1-1")
         await asyncio.sleep(edge_rig.BOUNDS.contact.total_seconds())
         before = len(fleet.sends)
         for name in fleet.nodes:
--- a/testing/edge/test_news_model.py
+++ b/testing/edge/test_fault_pairs.py
@@ -20,11 +20,11 @@
 import virtual_time
 
 #: Until every process has read, registered and heard of the others, s.
-SETTLED_S = 5.0
+SETTLE_TIME_S = 5.0
 #: Longest time until the change must be in force, in seconds.
-ALLOWED_S = edge_rig.BOUNDS.change.total_seconds()
+MAX_CHANGE_S = edge_rig.BOUNDS.change.total_seconds()
 #: Time for which a link is taken, longer than that, in seconds.
-CHOKED_S = 4.0
+SATURATED_S = 4.0
 #: How many placings are left out between two where not all are played.
 STEP = 1 if os.environ.get("NEWS_MODEL") == "all" else 10
 
@@ -35,21 +35,21 @@
     fleet.cut_off(name)
 
 
-def turned_away(fleet: fleet_rig.Fleet, name: str) -> None:
-    fleet.turn_away(name)
+def cut_off_from_store(fleet: fleet_rig.Fleet, name: str) -> None:
+    fleet.cut_off_from_store(name)
 
 
-def choked(fleet: fleet_rig.Fleet, name: str) -> None:
-    fleet.choke(name, CHOKED_S)
+def link_saturated(fleet: fleet_rig.Fleet, name: str) -> None:
+    fleet.saturate_link(name, SATURATED_S)
 
 
-FAULTS: list[Fault] = [cut_off, turned_away, choked]
+FAULTS: list[Fault] = [cut_off, cut_off_from_store, link_saturated]
 #: By domain and by the order in which its processes read for the others.
-PLACES = [(domain, turn) for domain in range(3) for turn in range(3)]
-STRUCK = list(itertools.product(FAULTS, PLACES))
+TARGETS = [(domain, turn) for domain in range(3) for turn in range(3)]
+TARGETED_FAULTS = list(itertools.product(FAULTS, TARGETS))
 PAIRS = [
     (one, two)
-    for one, two in itertools.combinations(STRUCK, 2)
+    for one, two in itertools.combinations(TARGETED_FAULTS, 2)
     if one[1] != two[1]
 ]
 
@@ -72,15 +72,17 @@
 
     async def main() -> list[str]:
         fleet = fleet_rig.Fleet(monkeypatch, 3, 3, 3)
-        fleet.change(1)
+        fleet.put_desired(1)
         fleet.start()
-        await asyncio.sleep(SETTLED_S)
-        assert fleet.behind(1) == []
+        await asyncio.sleep(SETTLE_TIME_S)
+        assert fleet.nodes_behind(1) == []
         for fault, place in pair:
             fault(fleet, _name(fleet, place))
-        fleet.change(2)
-        await asyncio.sleep(ALLOWED_S)
-        late = [one for one in fleet.behind(2) if one not in fleet.cut]
+        fleet.put_desired(2)
+        await asyncio.sleep(MAX_CHANGE_S)
+        late = [
+            one for one in fleet.nodes_behind(2) if one not in fleet.cut_nodes
+        ]
         await fleet.stop()
         return late
 
--- a/testing/edge/test_patches.py
+++ b/testing/edge/test_patches.py
@@ -32,7 +32,9 @@
 
 
 def test_change_of_a_tenth_of_a_large_state_takes_an_eighth_of_its_bytes():
-    base, record = (fleet_rig.state(num, routes=1640) for num in (1, 2))
+    base, record = (
+        fleet_rig.desired_record(num, routes=1640) for num in (1, 2)
+    )
     data = messages.encode(patches.make(base, record))
     assert len(data) < len(record) / 8
 
--- a/testing/edge/test_silence.py
+++ b/testing/edge/test_silent_store.py
@@ -26,44 +26,44 @@
 from lugcross.edge import waiting
 
 #: Until every process has read, registered and heard of the others, s.
-SETTLED_S = 20.0
+SETTLE_TIME_S = 20.0
 #: How long the store says nothing, in seconds.
 OUTAGE_S = 5.4
 #: When trouble begins after that: anywhere in the cycle of reads, s.
-PHASES = [phase / 4 for phase in range(24)]
+PHASES_S = [phase / 4 for phase in range(24)]
 
 
-def _late(monkeypatch, trouble, seed: int) -> list[str]:
+def _late(monkeypatch, break_store, seed: int) -> list[str]:
     """Return who goes by an older version once the store counts as sound.
 
-    :param trouble: coroutine that ends when the store is sound again.
+    :param break_store: coroutine that ends when the store is sound again.
     """
     random.seed(seed)
 
     async def main() -> list[str]:
-        fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.DOMAINS)
-        fleet.change(1)
+        fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.SMALL_FLEET)
+        fleet.put_desired(1)
         fleet.start()
-        await asyncio.sleep(SETTLED_S)
-        assert fleet.behind(1) == []
-        await trouble(fleet)
-        fleet.change(2)
+        await asyncio.sleep(SETTLE_TIME_S)
+        assert fleet.nodes_behind(1) == []
+        await break_store(fleet)
+        fleet.put_desired(2)
         await asyncio.sleep(fleet_rig.CONTACT_S)
-        late = fleet.behind(2)
+        late = fleet.nodes_behind(2)
         await fleet.stop()
         return late
 
     return virtual_time.run(main())
 
 
-def _late_by_phase(monkeypatch, trouble) -> dict[float, list[str]]:
+def _late_by_phase(monkeypatch, break_store) -> dict[float, list[str]]:
     """Return who is late, by the phase at which trouble begins."""
     found = {}
-    for phase in PHASES:
+    for phase in PHASES_S:
 
         async def begin(fleet: fleet_rig.Fleet, phase: float = phase) -> None:
             await asyncio.sleep(phase)
-            await trouble(fleet)
+            await break_store(fleet)
 
         late = _late(monkeypatch, begin, seed=1)
         if late:
@@ -101,22 +101,22 @@
     random.seed(1)
 
     async def main() -> list[str]:
-        fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.DOMAINS)
-        fleet.change(1)
+        fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.SMALL_FLEET)
+        fleet.put_desired(1)
         fleet.start()
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_TIME_S)
         some = [
             n
             for n in fleet.nodes.values()
             if not n.state_sync.leaves_store_to_peers()
         ][1:]
         for node in some:
-            fleet.store.unreachable.add(node.way)
-            fleet.store.silence_connections(node.way)
+            fleet.store.unreachable_hosts.add(node.store_host)
+            fleet.store.silence_connections(node.store_host)
         # As long as a read of those that stand by may hang.
         await asyncio.sleep(waiting.STANDBY.total_seconds() + 3.0)
         assert all(node.state_sync.store_health.failing for node in some)
-        fleet.store.unreachable.clear()
+        fleet.store.unreachable_hosts.clear()
         # One call that still hangs, the longest rest and the next call.
         await asyncio.sleep(app.STORE_TIMEOUT.total_seconds() + 1.1)
         late = [
--- a/testing/edge/test_state_sync.py
+++ b/testing/edge/test_state_sync.py
@@ -91,7 +91,7 @@
             record = platform.KeyedRecord(
                 ids.Offset(offset),
                 platform.DESIRED_KEY,
-                fleet_rig.state(version),
+                fleet_rig.desired_record(version),
             )
             tail = platform.Tail(end=ids.Offset(9), records=(record,))
             node.state_sync.apply_desired(tail, newest=True)
@@ -103,7 +103,7 @@
 def test_malformed_desired_state_leaves_the_one_in_force():
     async def act(store, address):
         node = _Node("n1", address, ())
-        for value in (fleet_rig.state(3), b"{"):
+        for value in (fleet_rig.desired_record(3), b"{"):
             record = platform.KeyedRecord(
                 ids.Offset(0), platform.DESIRED_KEY, value
             )
@@ -119,7 +119,8 @@
         one = _Node("n1", address, ())
         await one.state_sync.start()
         one.world.adopt(
-            platform.read_desired(fleet_rig.state(7)), fleet_rig.state(7)
+            platform.read_desired(fleet_rig.desired_record(7)),
+            fleet_rig.desired_record(7),
         )
         row = platform.KeyedRecord(ids.Offset(4), "i-1", BACKEND)
         one.world.backends.apply(
@@ -152,7 +153,8 @@
         await _until(lambda: bool(one.state_sync.peers.live()))
         # Only one of them is told, as if the other's read hung.
         one.world.adopt(
-            platform.read_desired(fleet_rig.state(8)), fleet_rig.state(8)
+            platform.read_desired(fleet_rig.desired_record(8)),
+            fleet_rig.desired_record(8),
         )
         one.state_sync.peers.schedule_send()
         await _until(lambda: two.world.desired is not None)
--- a/testing/edge/test_store_calls.py
+++ b/testing/edge/test_store_calls.py
@@ -11,12 +11,12 @@
 #: Processes of each failure domain.
 DOMAINS = (3, 3, 3, 3, 3)
 #: Until every process has read, registered and heard of the others, s.
-SETTLED_S = 20.0
+SETTLE_TIME_S = 20.0
 #: How long the fleet is at rest, in seconds.
-REST_S = 60.0
+OBSERVED_S = 60.0
 
 
-class _Counted:
+class _CallCounter:
     """Counts the calls to the store of a fleet."""
 
     def __init__(self, fleet: fleet_rig.Fleet) -> None:
@@ -32,9 +32,9 @@
 async def _settled_fleet(monkeypatch) -> fleet_rig.Fleet:
     """Return a fleet whose processes have all heard of each other."""
     fleet = fleet_rig.Fleet(monkeypatch, *DOMAINS)
-    fleet.change(1)
+    fleet.put_desired(1)
     fleet.start()
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(SETTLE_TIME_S)
     return fleet
 
 
@@ -44,14 +44,14 @@
 
     async def main() -> int:
         fleet = await _settled_fleet(monkeypatch)
-        counted = _Counted(fleet)
+        counter = _CallCounter(fleet)
         for num in range(changes):
-            fleet.change(2 + num)
+            fleet.put_desired(2 + num)
             await asyncio.sleep(1.0)
-            assert fleet.behind(2 + num) == []
-        await asyncio.sleep(REST_S - changes)
+            assert fleet.nodes_behind(2 + num) == []
+        await asyncio.sleep(OBSERVED_S - changes)
         await fleet.stop()
-        return counted.calls
+        return counter.calls
 
     return virtual_time.run(main())
 
@@ -81,9 +81,9 @@
         )
         fleet.store.silence_connections()
         fleet.cut_off(first.name)
-        fleet.change(2)
+        fleet.put_desired(2)
         await asyncio.sleep(fleet_rig.CONTACT_S)
-        late = [name for name in fleet.behind(2) if name != first.name]
+        late = [name for name in fleet.nodes_behind(2) if name != first.name]
         await fleet.stop()
         assert late == []
 
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_store_copies.py
@@ -27,18 +27,20 @@
 SERVICE = ids.ServiceName("app")
 #: Entries that two servers write after a copy was made: its offsets end long
 #: before theirs.
-HEARTBEATS = 20
+ENTRY_WRITES = 20
 #: How old the copies are, in seconds.
-AGES = (0.1, 2.0, 10.0)
+COPY_AGES_S = (0.1, 2.0, 10.0)
 #: For how long the store is away before it comes back, in seconds.
-AWAY_S = 0.4
+OUTAGE_S = 0.4
 #: Time within which servers and operator have written again, in seconds.
-REWRITTEN_S = 2.0
+REWRITE_TIME_S = 2.0
 #: Time within which all that is in touch is right, past that.
-SOON_S = 1.5
+RECOVERY_TIME_S = 1.5
 #: The same where all connections went silent: only then the store counts as
 #: sound, and a change must be in force after the bound for changes.
-CONTACT_S = fleet_rig.CONTACT_S + edge_rig.BOUNDS.change.total_seconds()
+SILENT_RECOVERY_TIME_S = (
+    fleet_rig.CONTACT_S + edge_rig.BOUNDS.change.total_seconds()
+)
 FAULTS = ("none", "restart", "cut", "silent", "turned-away")
 
 
@@ -46,14 +48,14 @@
     return edge_rig.entry("app", "10.0.0.1:80", "d0", state=state, **fields)
 
 
-class _Servers:
+class _StoreWriters:
     """What the servers and the operator keep written in the store."""
 
     def __init__(self, fleet: fleet_rig.Fleet) -> None:
         self._store = fleet.store.standin
         self.entries: dict[str, bytes] = {}
         #: State of the server that leaves after the first copy came back.
-        self.goes = "ready"
+        self.leaving_state = "ready"
         self.version = 0
 
     def write(self, name: str, value: bytes) -> None:
@@ -65,7 +67,7 @@
         self._store.append(
             platform.OPERATOR_TOPIC,
             platform.DESIRED_KEY,
-            fleet_rig.state(version),
+            fleet_rig.desired_record(version),
         )
 
     async def write_again(self, rng: random.Random) -> None:
@@ -74,18 +76,18 @@
         await asyncio.gather(self._operator_later(rng), *tasks)
 
     async def _later(self, rng: random.Random, name: str) -> None:
-        await asyncio.sleep(rng.uniform(0.2, REWRITTEN_S))
+        await asyncio.sleep(rng.uniform(0.2, REWRITE_TIME_S))
         self.write(name, self.entries[name])
 
     async def _operator_later(self, rng: random.Random) -> None:
-        await asyncio.sleep(rng.uniform(0.2, REWRITTEN_S))
+        await asyncio.sleep(rng.uniform(0.2, REWRITE_TIME_S))
         self.change(self.version)
 
 
-class _Watch:
+class _Checker:
     """Looks all the time at what processes go by, and keeps what is wrong."""
 
-    def __init__(self, fleet: fleet_rig.Fleet, servers: _Servers) -> None:
+    def __init__(self, fleet: fleet_rig.Fleet, servers: _StoreWriters) -> None:
         self._fleet = fleet
         self._servers = servers
         self.wrong: set[str] = set()
@@ -96,7 +98,7 @@
     async def run(self) -> None:
         while True:
             await asyncio.sleep(0.02)
-            self._look()
+            self._check()
 
     def _is_in_touch(self, node: fleet_rig.Node) -> bool:
         """Tell whether a process neither started lately nor is cut off.
@@ -107,26 +109,26 @@
         now = asyncio.get_running_loop().time()
         begun = self._begun.setdefault(id(node), now)
         is_new = begun > self._since and now - begun < fleet_rig.CONTACT_S
-        return not is_new and node.name not in self._fleet.cut
+        return not is_new and node.name not in self._fleet.cut_nodes
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         for node in self._fleet.nodes.values():
             before = self._newest.get(id(node), 0)
             if node.version < before:
                 self.wrong.add(f"{node.name} went back to {node.version}")
             self._newest[id(node)] = max(before, node.version)
-            used = _used(node)
+            used = _usable_ids(node)
             if "i-left" in used and self._is_in_touch(node):
                 self.wrong.add(f"{node.name} uses a server that has left")
             if before and "i-stays" not in used:
                 self.wrong.add(f"{node.name} drops a server that lives")
 
 
-def _used(node: fleet_rig.Node) -> set[str]:
+def _usable_ids(node: fleet_rig.Node) -> set[str]:
     return {one.id for one in node.world.backends.usable(SERVICE)}
 
 
-async def _strike(
+async def _inject_fault(
     fleet: fleet_rig.Fleet, fault: str, name: str, rng: random.Random
 ) -> None:
     await asyncio.sleep(rng.uniform(0.0, 0.5))
@@ -137,57 +139,65 @@
     elif fault == "silent":
         fleet.store.silence_connections()
     elif fault == "turned-away":
-        fleet.turn_away(name)
+        fleet.cut_off_from_store(name)
 
 
-async def _day(monkeypatch, seed: int, age_s: float, fault: str, times: int):
+async def _play_copies(
+    monkeypatch, seed: int, age_s: float, fault: str, times: int
+):
     """Let servers leave, come and change after the copy was made."""
     rng = random.Random(seed)
     random.seed(seed)
-    fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.DOMAINS)
+    fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.SMALL_FLEET)
     fleet.store.standin.era = "1"
-    servers = _Servers(fleet)
+    servers = _StoreWriters(fleet)
     servers.change(1)
     for name in ("i-stays", "i-left", "i-drains", "i-goes"):
         servers.write(name, _entry())
     fleet.start()
     await asyncio.sleep(4.0)
-    watch = _Watch(fleet, servers)
+    watch = _Checker(fleet, servers)
     cut = set()
     for _ in range(times):
         copy = fleet.store.standin.copied()
         servers.change(servers.version + 1)
         servers.write("i-left", b"")
         servers.write("i-drains", _entry("draining"))
-        for beat in range(HEARTBEATS):
+        for beat in range(ENTRY_WRITES):
             servers.write("i-stays", _entry(sequence=beat))
-            servers.write("i-goes", _entry(servers.goes, sequence=beat))
+            servers.write(
+                "i-goes", _entry(servers.leaving_state, sequence=beat)
+            )
         servers.write(f"i-new-{servers.version}", _entry())
         # Past the bound at which one that left gets nothing.
         await asyncio.sleep(max(age_s, 2.1))
-        look = asyncio.create_task(watch.run())
+        checking = asyncio.create_task(watch.run())
         fleet.store.silent = True
-        await asyncio.sleep(AWAY_S)
-        hit = rng.choice(list(fleet.nodes))
+        await asyncio.sleep(OUTAGE_S)
+        target = rng.choice(list(fleet.nodes))
         if fault == "cut":
-            cut.add(hit)
+            cut.add(target)
         fleet.store.standin.come_back(copy)
         fleet.store.silent = False
-        strikes = asyncio.create_task(_strike(fleet, fault, hit, rng))
+        injection = asyncio.create_task(
+            _inject_fault(fleet, fault, target, rng)
+        )
         await servers.write_again(rng)
-        await strikes
+        await injection
         servers.change(servers.version + 1)
-        servers.goes = "draining"
+        servers.leaving_state = "draining"
         servers.write("i-goes", _entry("draining"))
-        await asyncio.sleep(CONTACT_S if fault == "silent" else SOON_S)
-        look.cancel()
+        await asyncio.sleep(
+            SILENT_RECOVERY_TIME_S if fault == "silent" else RECOVERY_TIME_S
+        )
+        checking.cancel()
     late = [
         node.name
         for node in fleet.nodes.values()
         if node.name not in cut
         and (
             node.version != servers.version
-            or _used(node) - {"i-stays"}
+            or _usable_ids(node) - {"i-stays"}
             != {one for one in servers.entries if one.startswith("i-new")}
         )
     ]
@@ -198,9 +208,9 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_copy_takes_nothing_back_and_all_are_right_soon(monkeypatch, fault):
     found = {}
-    for seed, age_s, times in itertools.product((1, 2), AGES, (1, 2)):
-        day = _day(monkeypatch, seed, age_s, fault, times)
-        wrong, late = virtual_time.run(day)
+    for seed, age_s, times in itertools.product((1, 2), COPY_AGES_S, (1, 2)):
+        played = _play_copies(monkeypatch, seed, age_s, fault, times)
+        wrong, late = virtual_time.run(played)
         if wrong or late:
             found[seed, age_s, times] = sorted(wrong), late
     assert not found
@@ -319,7 +329,7 @@
     async def main():
         fleet = fleet_rig.Fleet(monkeypatch, 2, 2)
         fleet.store.standin.era = "1"
-        fleet.change(1)
+        fleet.put_desired(1)
         copy = fleet.store.standin.copied()
         fleet.start()
         await asyncio.sleep(ago_s)
@@ -339,11 +349,11 @@
     async def main():
         fleet = fleet_rig.Fleet(monkeypatch, 2, 2)
         fleet.store.standin.era = "1"
-        fleet.change(1)
+        fleet.put_desired(1)
         fleet.start()
         await asyncio.sleep(4.0)
         copy = fleet.store.standin.copied()
-        fleet.change(2)
+        fleet.put_desired(2)
         await asyncio.sleep(2.0)
         fleet.store.standin.come_back(copy)
         await fleet.restart("n0-0")
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -25,23 +25,23 @@
 from lugcross import platform
 
 #: Processes of each failure domain of a small fleet.
-DOMAINS = (3, 2, 2)
+SMALL_FLEET = (3, 2, 2)
 #: Time after which the store counts as sound again, in seconds.
 CONTACT_S = edge_rig.BOUNDS.contact.total_seconds()
 #: One way between two processes, in seconds.
-_WAY_S = 0.001
+_ONE_WAY_DELAY_S = 0.001
 #: Bytes that a process's link carries each second: 20 Mbit/s.
-_LINK_BYTES = 2.5e6
+_LINK_BYTES_PER_S = 2.5e6
 _PEERS_PORT = 9
 _STATE_PORT = 8
 
 
-def _token() -> str:
+def _seeded_token() -> str:
     """Return a token drawn from the generator that a test has seeded."""
     return f"{random.getrandbits(64):016x}"
 
 
-def state(version: int, *, routes: int = 0) -> bytes:
+def desired_record(version: int, *, routes: int = 0) -> bytes:
     """Return the record of a desired state.
 
     :param routes: how many it has; a tenth of them have names that only this
@@ -84,7 +84,7 @@
         self.domain = domain
         self.fleet = fleet
         #: Name by which this process calls the store.
-        self.way = f"store-of-{name}"
+        self.store_host = f"store-of-{name}"
         listen = settings_lib.Listen(
             callers=f"{name}:0",
             ready=f"{name}:0",
@@ -95,14 +95,16 @@
             node=name,
             domain=domain,
             listen=listen,
-            store=settings_lib.Store(address=f"{self.way}:1", form="log"),
+            store=settings_lib.Store(
+                address=f"{self.store_host}:1", form="log"
+            ),
             bounds=edge_rig.BOUNDS,
         )
         clock = virtual_time.LoopClock()
         rng = random.Random(name)
         self.world = world_lib.World(settings, clock=clock, rng=rng)
         self.store = platform.StoreClient(
-            f"{self.way}:1", timeout=app.STORE_TIMEOUT
+            f"{self.store_host}:1", timeout=app.STORE_TIMEOUT
         )
         self.state_sync = state_sync_lib.StateSync(
             settings, self.world, self.store, clock=clock, rng=rng
@@ -112,10 +114,13 @@
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
         """Take the place of the socket for datagrams."""
         peer = self.fleet.nodes.get(to[0])
-        if peer is not None and not {self.name, to[0]} & self.fleet.cut:
+        if peer is not None and not {self.name, to[0]} & self.fleet.cut_nodes:
             origin = (self.name, _PEERS_PORT)
             asyncio.get_running_loop().call_later(
-                _WAY_S, peer.state_sync.peers.datagram_received, data, origin
+                _ONE_WAY_DELAY_S,
+                peer.state_sync.peers.datagram_received,
+                data,
+                origin,
             )
 
     async def run(self) -> None:
@@ -150,7 +155,7 @@
 
     def __init__(self, monkeypatch, *domains: int) -> None:
         # Tokens decide who reads the store: the same ones on every run.
-        monkeypatch.setattr(ids, "new_token", _token)
+        monkeypatch.setattr(ids, "new_token", _seeded_token)
         self.store = silent_store.SilentStore()
         self.nodes = {
             f"n{domain}-{number}": Node(
@@ -160,18 +165,20 @@
             for number in range(count)
         }
         #: Processes that are cut off from peers and store.
-        self.cut: set[str] = set()
+        self.cut_nodes: set[str] = set()
         #: Until when the link of a process is taken, in seconds.
-        self._link_until: dict[str, float] = {}
+        self._link_busy_until: dict[str, float] = {}
         monkeypatch.setattr(http1, "connect", self.store.connect)
-        monkeypatch.setattr(state_transfer, "request_state", self._ask)
+        monkeypatch.setattr(
+            state_transfer, "request_state", self._request_state
+        )
 
-    def change(self, version: int, *, routes: int = 0) -> None:
+    def put_desired(self, version: int, *, routes: int = 0) -> None:
         """Let the store accept a desired state."""
         self.store.standin.append(
             platform.OPERATOR_TOPIC,
             platform.DESIRED_KEY,
-            state(version, routes=routes),
+            desired_record(version, routes=routes),
         )
 
     def start(self) -> None:
@@ -193,52 +200,52 @@
 
     def cut_off(self, name: str) -> None:
         """Cut a process off; what it has open stays silent for good."""
-        self.cut.add(name)
-        self.store.unreachable.add(self.nodes[name].way)
-        self.store.silence_connections(self.nodes[name].way)
+        self.cut_nodes.add(name)
+        self.store.unreachable_hosts.add(self.nodes[name].store_host)
+        self.store.silence_connections(self.nodes[name].store_host)
 
-    def reach_again(self, name: str) -> None:
+    def reconnect(self, name: str) -> None:
         """End a cut."""
-        self.cut.discard(name)
-        self.store.unreachable.discard(self.nodes[name].way)
+        self.cut_nodes.discard(name)
+        self.store.unreachable_hosts.discard(self.nodes[name].store_host)
 
-    def choke(self, name: str, seconds: float) -> None:
+    def saturate_link(self, name: str, seconds: float) -> None:
         """Let others have all of a process's link for some time."""
         now = asyncio.get_running_loop().time()
-        self._link_until[name] = now + seconds
+        self._link_busy_until[name] = now + seconds
 
-    def turn_away(self, name: str) -> None:
+    def cut_off_from_store(self, name: str) -> None:
         """Keep the store from a process that reaches all others."""
-        self.store.unreachable.add(self.nodes[name].way)
-        self.store.silence_connections(self.nodes[name].way)
+        self.store.unreachable_hosts.add(self.nodes[name].store_host)
+        self.store.silence_connections(self.nodes[name].store_host)
 
-    def behind(self, version: int) -> list[str]:
+    def nodes_behind(self, version: int) -> list[str]:
         """Return the processes where ``version`` is not in force."""
         return [
             node.name for node in self.nodes.values() if node.version < version
         ]
 
-    async def _ask(
-        self, host: str, port: int, question: messages.StateRequest
+    async def _request_state(
+        self, host: str, port: int, req: messages.StateRequest
     ) -> messages.StateResponse | None:
         """Take the place of the question over a WebSocket."""
         assert port == _STATE_PORT
         try:
             async with asyncio.timeout(state_transfer.REQUEST_TIMEOUT_S):
-                await asyncio.sleep(2 * _WAY_S)
-                if host in self.cut:
+                await asyncio.sleep(2 * _ONE_WAY_DELAY_S)
+                if host in self.cut_nodes:
                     await asyncio.Event().wait()
                 data = messages.encode(
-                    self.nodes[host].state_sync.peer_sync.respond(question)
+                    self.nodes[host].state_sync.peer_sync.respond(req)
                 )
-                await self._sent(host, len(data))
+                await self._transmit(host, len(data))
                 return messages.decode_state_response(data)
         except TimeoutError:
             return None
 
-    async def _sent(self, host: str, size: int) -> None:
+    async def _transmit(self, host: str, size: int) -> None:
         """Return once the link of a process has carried some bytes."""
         now = asyncio.get_running_loop().time()
-        begun = max(now, self._link_until.get(host, 0.0))
-        self._link_until[host] = end = begun + size / _LINK_BYTES
+        begun = max(now, self._link_busy_until.get(host, 0.0))
+        self._link_busy_until[host] = end = begun + size / _LINK_BYTES_PER_S
         await asyncio.sleep(end - now)
--- a/testing/support/silent_store.py
+++ b/testing/support/silent_store.py
@@ -10,21 +10,21 @@
 from lugcross.standin import store as standin
 
 #: One round trip and the store's own work, in seconds.
-_ANSWER_S = 0.004
+_ANSWER_DELAY_S = 0.004
 
 
 class SilentStore:
     """The stand-in of the store behind connections that may be silent.
 
     :ivar silent: whether calls, also those under way, get no answer.
-    :ivar unreachable: names of the store by which nobody reaches it.
+    :ivar unreachable_hosts: names of the store by which nobody reaches it.
     """
 
     def __init__(self) -> None:
         self.standin = standin.StoreStandin()
         self.silent = False
-        self.unreachable: set[str] = set()
-        self._open: list[_Conn] = []
+        self.unreachable_hosts: set[str] = set()
+        self._open_conns: list[_Conn] = []
 
     def silence_connections(self, host: str = "") -> None:
         """Make connections that are open silent for good.
@@ -32,7 +32,7 @@
         :param host: name of the store that they were opened by; any
             without it.
         """
-        for conn in self._open:
+        for conn in self._open_conns:
             conn.silent = conn.silent or host in ("", conn.host)
 
     async def connect(
@@ -40,12 +40,12 @@
     ) -> "_Conn":
         """Take the place of :func:`lugcross.http1.connect`."""
         del port
-        if host in self.unreachable:
+        if host in self.unreachable_hosts:
             await asyncio.sleep(timeout_s)
             raise http1.NoConnectionError("cut off", remedy="wait")
-        await asyncio.sleep(_ANSWER_S)
+        await asyncio.sleep(_ANSWER_DELAY_S)
         conn = _Conn(self, host)
-        self._open.append(conn)
+        self._open_conns.append(conn)
         return conn
 
 
@@ -68,10 +68,10 @@
         self._sent = target.decode(), body
 
     async def answer(self) -> http1.Answer:
-        await self._nothing_if_silent()
+        await self._hang_if_silent()
         status, self._body = await self._store.standin.call(*self._sent)
-        await asyncio.sleep(_ANSWER_S)
-        await self._nothing_if_silent()
+        await asyncio.sleep(_ANSWER_DELAY_S)
+        await self._hang_if_silent()
         headers = [
             (name.lower(), value)
             for name, value in self._store.standin.headers()
@@ -84,6 +84,6 @@
     def close(self) -> None:
         self.closing = True
 
-    async def _nothing_if_silent(self) -> None:
+    async def _hang_if_silent(self) -> None:
         if self.silent or self._store.silent:
             await asyncio.Event().wait()
