--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -62,18 +62,18 @@
         state = self._world.desired
         newer = state is not None and state.version > req.version
         records = self._world.records
-        needs_plain = newer and req.digest is None
+        sends_plain = newer and req.digest is None
         patch = records.patch(req.digest) if newer and req.digest else None
-        needs_whole = newer and req.digest is not None and patch is None
+        sends_compressed = newer and req.digest is not None and patch is None
         return messages.StateResponse(
-            desired=records.newest if needs_plain else b"",
+            desired=records.newest if sends_plain else b"",
             backends_end=self._world.backends.end,
             backends=[
                 messages.BackendRecord(row.key, row.offset, row.value)
                 for row in self._world.backends.records.values()
                 if row.offset >= req.backends_end
             ],
-            compressed=records.compressed() if needs_whole else b"",
+            compressed=records.compressed() if sends_compressed else b"",
             patch=patch,
         )
 
@@ -93,11 +93,11 @@
                 newer = self.newer_peers()
                 was_behind, behind = behind, bool(newer)
                 # A peer nearby will know as much as one far away in a moment.
-                near = self._should_ask_at_once() and any(
+                ask_now = self._should_ask_at_once() and any(
                     one.same_domain for one in newer
                 )
                 peer = self.selector.pick(newer)
-                if peer is not None and (was_behind or near):
+                if peer is not None and (was_behind or ask_now):
                     self.selector.request_started(peer)
                     tasks.create_task(self._request_from_peer(peer))
 
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -36,12 +36,12 @@
         self._clock = clock
         self._rng = rng
         self._registered_at: clock_lib.Instant | None = None
-        self._is_repeat_needed = asyncio.Event()
+        self._repeat_requested = asyncio.Event()
 
     def repeat_if_done_since(self, since: clock_lib.Instant) -> None:
         """Register once more if that was done later than ``since``."""
         if self._registered_at is not None and self._registered_at >= since:
-            self._is_repeat_needed.set()
+            self._repeat_requested.set()
 
     async def run(self) -> None:
         """Register now, and whenever the store has lost it."""
@@ -51,8 +51,8 @@
                     _RETRY_INTERVAL_S * self._rng.uniform(0.5, 1.0)
                 )
             self._registered_at = self._clock.monotonic()
-            await self._is_repeat_needed.wait()
-            self._is_repeat_needed.clear()
+            await self._repeat_requested.wait()
+            self._repeat_requested.clear()
             logging.info("registered anew")
 
     async def _register(self) -> bool:
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -139,11 +139,13 @@
             clock=clock,
             rng=rng,
         )
-        self._server = state_transfer.StateServer(self.peer_sync.respond)
+        self._state_server = state_transfer.StateServer(self.peer_sync.respond)
 
     async def start(self) -> None:
         """Listen for peers."""
-        await self._server.start(*address.split(self._settings.listen.state))
+        await self._state_server.start(
+            *address.split(self._settings.listen.state)
+        )
         host, port = address.split(self._settings.listen.peers)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
@@ -170,7 +172,7 @@
     def close(self) -> None:
         """Stop listening."""
         self.peers.send_now()
-        self._server.close()
+        self._state_server.close()
 
     @property
     def incarnation(self) -> str:
--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -33,25 +33,27 @@
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
         self._last_failure: clock_lib.Instant | None = None
-        self.reason = ""
+        self.failure_reason = ""
 
     @property
     def failing(self) -> bool:
         """Whether the newest call failed."""
-        return bool(self.reason)
+        return bool(self.failure_reason)
 
     def record_failure(self, why: str) -> None:
         """Note a call that failed."""
-        if not self.reason:
+        if not self.failure_reason:
             logging.warning("store lost", extra={"why": why})
-        self.reason = why
+        self.failure_reason = why
         self._last_failure = self._clock.monotonic()
 
     def record_success(self) -> None:
         """Note a call that was answered."""
-        if self.reason:
-            logging.info("store regained", extra={"after": self.reason})
-        self.reason = ""
+        if self.failure_reason:
+            logging.info(
+                "store regained", extra={"after": self.failure_reason}
+            )
+        self.failure_reason = ""
 
     def failed_within(self, period: datetime.timedelta) -> bool:
         """Tell whether a call failed during the last ``period``."""
@@ -100,7 +102,7 @@
         self._is_restart_due = is_restart_due
         self._on_answer = on_answer
         self._next_position: positions.Position | None = None
-        self._answered = True
+        self._last_read_answered = True
 
     async def run(self) -> None:
         """Follow the topic until cancelled."""
@@ -111,7 +113,7 @@
                 continue
             try:
                 await self._read()
-                self._answered = True
+                self._last_read_answered = True
                 self._on_answer()
                 self._store_health.record_success()
                 retry = _RETRY_INITIAL_S
@@ -120,7 +122,7 @@
                 # The history is gone; the newest of each key stays.
                 self._next_position = None
             except errors.LogUnavailableError as exc:
-                self._answered = False
+                self._last_read_answered = False
                 self._store_health.record_failure(str(exc))
                 logging.info(
                     "read failed",
@@ -135,14 +137,14 @@
             tail = await self._store.newest(self._topic)
             self._on_tail(tail, True)
         else:
-            tail = await self._read_after(self._next_position)
+            tail = await self._read_from(self._next_position)
             self._on_tail(tail, False)
         self._next_position = max(
             tail.end, self._next_position or positions.START
         )
 
-    async def _read_after(self, start: positions.Position) -> platform.Tail:
-        if not self._answered:
+    async def _read_from(self, start: positions.Position) -> platform.Tail:
+        if not self._last_read_answered:
             # A read that waits for news and was sent into an outage would
             # hang past its end, and keep the process from what is new.
             return await self._store.tail(self._topic, start, wait=_NO_WAIT)
