--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_rest.py
@@ -327,7 +327,7 @@
 
     async def act(rig, clock):
         await rig.ask()
-        return rig.world.backends._said
+        return rig.world.backends._leaving_answer_at
 
     assert not _play([[moved], [GOOD]], act)
 
