--- a/bench/admission.py
+++ b/bench/admission.py
@@ -42,7 +42,7 @@
         )
         for num in range(servers)
     )
-    tail = platform.Tail(end=ids.Offset(servers), records=rows)
+    tail = platform.ReadResult(end=ids.Offset(servers), records=rows)
     world.backends.apply(tail, store_was_away=False)
     keys = [desired.BackendKey(row.key) for row in rows]
     for num in range(peers):
--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -136,7 +136,7 @@
             )
             for one in range(servers)
         )
-        tail = platform.Tail(end=ids.Offset(servers), records=rows)
+        tail = platform.ReadResult(end=ids.Offset(servers), records=rows)
         world.backends.apply(tail, store_was_away=False)
         return world
 
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -112,7 +112,7 @@
         )
         self._maps = maps_lib.Maps(
             self.world,
-            platform.Engines(reports.exchange, orders.exchange),
+            platform.EngineClient(reports.exchange, orders.exchange),
             clock=clock,
             sleep=asyncio.sleep,
             duty=self._duty,
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -61,7 +61,7 @@
     async def give(self, answer: http1.Answer, body: bytes) -> None:
         """Give a whole answer."""
         self._begin(answer)
-        headers = platform.answer_headers(answer.raw)
+        headers = platform.headers_to_caller(answer.raw)
         await self._exchange.head(answer.status, headers, body, whole=True)
 
     def hold(self, answer: http1.Answer, body: bytes) -> None:
@@ -82,7 +82,7 @@
             await self._exchange.data(data)
             return
         self._begin(answer)
-        headers = platform.answer_headers(answer.raw)
+        headers = platform.headers_to_caller(answer.raw)
         await self._exchange.head(answer.status, headers, data)
 
     def _begin(self, answer: http1.Answer) -> None:
@@ -188,7 +188,7 @@
         plan = self._plan
         resumed = self._delivery.begun
         left = plan.deadline - self._clock.monotonic() - _ON_THE_WAY
-        headers = platform.request_headers(
+        headers = platform.headers_to_backend(
             plan.req.raw,
             backend=self._backend.id,
             workspace=plan.space,
@@ -217,7 +217,7 @@
 
     async def _heard_answer(
         self, conn: http1.ClientConn
-    ) -> tuple[http1.Answer, platform.AnswerHead]:
+    ) -> tuple[http1.Answer, platform.BackendResponseHead]:
         """Return the answer to this request, unless it was not heard.
 
         Where it cannot go elsewhere, as what must not be repeated and may
@@ -240,11 +240,13 @@
 
     async def _own_answer(
         self, conn: http1.ClientConn
-    ) -> tuple[http1.Answer, platform.AnswerHead]:
+    ) -> tuple[http1.Answer, platform.BackendResponseHead]:
         """Return the answer to this request, past any to earlier ones."""
         while True:
             answer = await conn.answer()
-            head = platform.read_answer_head(answer.status, answer.headers)
+            head = platform.parse_backend_response_head(
+                answer.status, answer.headers
+            )
             if head.attempt_id in ("", self._plan.head.attempt_id):
                 return answer, head
             logging.warning(
@@ -260,7 +262,7 @@
             await conn.body()
             conn.skip_answer(self._plan.req.method)
 
-    def _not_run(self, head: platform.AnswerHead) -> lifecycle.Event:
+    def _not_run(self, head: platform.BackendResponseHead) -> lifecycle.Event:
         if head.moved:
             self._world.backends.forget(
                 self._backend.key, "another life has its address"
@@ -269,7 +271,7 @@
             self._health().turned_away(self._clock.monotonic())
         return lifecycle.Event.NOT_RUN
 
-    def _check(self, head: platform.AnswerHead) -> None:
+    def _check(self, head: platform.BackendResponseHead) -> None:
         if head.encoded:
             raise _BadAnswerError("an encoded body is not the server's own")
         if head.success and not head.sealed:
@@ -281,13 +283,13 @@
         self,
         conn: http1.ClientConn,
         answer: http1.Answer,
-        head: platform.AnswerHead,
+        head: platform.BackendResponseHead,
     ) -> lifecycle.Event | None:
         body = await conn.body()
         failed = head.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
-        if failed or head.status in platform.PROMISES:
+        if failed or head.status in platform.NOT_EXECUTED_STATUSES:
             self._failed(f"status {head.status}")
-            if head.status in platform.PROMISES:
+            if head.status in platform.NOT_EXECUTED_STATUSES:
                 # Without a proof, the status would promise too much.
                 return lifecycle.Event.BROKEN
             self._delivery.hold(answer, body)
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -96,7 +96,9 @@
         self.heard: clock_lib.Instant | None = None
         self.records: dict[str, platform.KeyedRecord] = {}
 
-    def replace(self, tail: platform.Tail, *, store_was_away: bool) -> None:
+    def replace(
+        self, tail: platform.ReadResult, *, store_was_away: bool
+    ) -> None:
         """Take over the newest record of every key.
 
         A server without one has left, unless its record is newer than
@@ -112,7 +114,9 @@
                 self._take(gone, store_was_away)
         self.apply(tail, store_was_away=store_was_away)
 
-    def apply(self, tail: platform.Tail, *, store_was_away: bool) -> None:
+    def apply(
+        self, tail: platform.ReadResult, *, store_was_away: bool
+    ) -> None:
         """Take over records that follow those known."""
         for record in sorted(tail.records, key=lambda one: one.offset):
             self._take(record, store_was_away)
@@ -284,7 +288,7 @@
         :returns: none if the entry tells of an earlier one.
         :raises errors.ChangeError: when it is no server's entry.
         """
-        backend = platform.read_backend(record.key, record.value)
+        backend = platform.decode_backend(record.key, record.value)
         if life is None or life.born is None:
             return backend
         if backend.born is None:
--- a/src/lugcross/edge/engines.py
+++ b/src/lugcross/edge/engines.py
@@ -33,7 +33,7 @@
         pool: pool_lib.Pool,
         *,
         answer_s: float,
-        heard: Callable[[desired.Backend, platform.AnswerHead], None],
+        heard: Callable[[desired.Backend, platform.BackendResponseHead], None],
         may_send: Callable[[desired.BackendKey], bool],
     ) -> None:
         self._pool = pool
@@ -72,7 +72,9 @@
         except BaseException:
             conn.close()
             raise
-        head = platform.read_answer_head(answer.status, answer.headers)
+        head = platform.parse_backend_response_head(
+            answer.status, answer.headers
+        )
         self._pool.give(backend, conn, head.keep)
         self._heard(backend, head)
         return answer.status, got
--- a/src/lugcross/edge/follow.py
+++ b/src/lugcross/edge/follow.py
@@ -62,7 +62,7 @@
 
 #: Takes over what was read; the flag tells that it is the newest of all
 #: keys and not a continuation.
-Taker = Callable[[platform.Tail, bool], None]
+Taker = Callable[[platform.ReadResult, bool], None]
 
 
 @final
@@ -138,7 +138,7 @@
             self._take(tail, False)
         self._next = max(tail.end, self._next or positions.START)
 
-    async def _tail(self, start: positions.Position) -> platform.Tail:
+    async def _tail(self, start: positions.Position) -> platform.ReadResult:
         if not self._answered:
             # A read that waits for news and was sent into an outage would
             # hang past its end, and keep the process from what is new.
@@ -156,12 +156,12 @@
         finally:
             read.cancel()
 
-    async def _ends(self, read: asyncio.Task[platform.Tail]) -> bool:
+    async def _ends(self, read: asyncio.Task[platform.ReadResult]) -> bool:
         """Wait for a read until the next look; tell whether it has ended."""
         done, _ = await asyncio.wait([read], timeout=_REST_S)
         return bool(done)
 
-    async def _at_once(self, start: positions.Position) -> platform.Tail:
+    async def _at_once(self, start: positions.Position) -> platform.ReadResult:
         """Read what is there now, on a new connection."""
         logging.info("read made anew", extra={"topic": self._topic})
         self._store.close()
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -226,18 +226,18 @@
             if peer.beat and not peer.beat.leaving
         ]
 
-    def take_desired(self, tail: platform.Tail, newest: bool) -> None:
+    def take_desired(self, tail: platform.ReadResult, newest: bool) -> None:
         """Take over records of the operator."""
         del newest
         for record in tail.records:
-            if record.key != platform.DESIRED_KEY or not record.value:
+            if record.key != platform.DESIRED_STATE_KEY or not record.value:
                 continue
             if self._world.desired is None and not self._may_begin():
                 self._first_state = self._readable(record.value)
             else:
                 self._adopt(record.value, urgent=True)
 
-    def take_backends(self, tail: platform.Tail, newest: bool) -> None:
+    def take_backends(self, tail: platform.ReadResult, newest: bool) -> None:
         """Take over records of backend servers."""
         contact = self._world.bounds.contact
         away = self.trouble.within(contact)
@@ -251,7 +251,7 @@
     def _readable(self, record: bytes) -> bytes:
         """Return a record of the desired state if it can be read."""
         try:
-            platform.read_desired(record)
+            platform.decode_desired(record)
         except errors.ChangeError as exc:
             logging.error("desired state kept out", extra={"why": str(exc)})
             return self._first_state
@@ -263,7 +263,7 @@
         :param urgent: whether nobody else may know of it yet.
         """
         try:
-            state = platform.read_desired(record)
+            state = platform.decode_desired(record)
         except errors.ChangeError as exc:
             logging.error("desired state kept out", extra={"why": str(exc)})
             return
@@ -383,7 +383,7 @@
             return bool(self._first_state) and age >= _HEAR_FIRST
         if not self._first_state:
             return False
-        return newest <= platform.read_desired(self._first_state).version
+        return newest <= platform.decode_desired(self._first_state).version
 
     def lag(self, topic: str) -> datetime.timedelta:
         """Return since when this process knows of news that it lacks."""
--- a/src/lugcross/edge/loads.py
+++ b/src/lugcross/edge/loads.py
@@ -76,7 +76,7 @@
         """Note that a request sent from here is over."""
         self._running.add(key, -1)
 
-    def told(self, key: desired.BackendKey, load: platform.Load) -> None:
+    def told(self, key: desired.BackendKey, load: platform.ServerLoad) -> None:
         """Take over the load that an answer told."""
         self._told[key] = _Told(
             load.running + load.waiting, self._clock.monotonic()
--- a/src/lugcross/edge/looks.py
+++ b/src/lugcross/edge/looks.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        engines: platform.Engines,
+        engines: platform.EngineClient,
         groups: groups_lib.Groups,
         clock: clock_lib.Clock,
         rests: rests_lib.Rests,
@@ -64,7 +64,7 @@
         """Return what a rank tells; none if it does not."""
         try:
             return await self._engines.report(backend)
-        except platform.EngineError as exc:
+        except platform.EngineQueryError as exc:
             logging.info(
                 "engine did not report",
                 extra={"backend": backend.key, "why": str(exc)},
@@ -135,7 +135,7 @@
                     for rank in sorted(group.members)
                 )
             )
-        except platform.EngineError as exc:
+        except platform.EngineQueryError as exc:
             logging.info(
                 "map not known", extra={"group": group.name, "why": str(exc)}
             )
--- a/src/lugcross/edge/maps.py
+++ b/src/lugcross/edge/maps.py
@@ -56,7 +56,7 @@
     def __init__(
         self,
         world: world_lib.World,
-        engines: platform.Engines,
+        engines: platform.EngineClient,
         *,
         clock: clock_lib.Clock,
         sleep: switching.Sleep,
--- a/src/lugcross/edge/news.py
+++ b/src/lugcross/edge/news.py
@@ -164,7 +164,9 @@
             )
             for row in answer.rows
         )
-        tail = platform.Tail(end=positions.Position(answer.end), records=rows)
+        tail = platform.ReadResult(
+            end=positions.Position(answer.end), records=rows
+        )
         self._world.backends.apply(tail, store_was_away=True)
         return True
 
--- a/src/lugcross/edge/plan.py
+++ b/src/lugcross/edge/plan.py
@@ -23,7 +23,7 @@
     """
 
     req: http1.Request
-    head: platform.CallerHead
+    head: platform.CallerRequestHead
     route: desired.Route
     service: ids.ServiceName
     workspace: desired.Workspace | None
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -49,7 +49,7 @@
         self, exchange: http1.Exchange, req: http1.Request
     ) -> None:
         """Answer one request."""
-        head = platform.read_caller_head(req.headers)
+        head = platform.parse_caller_request_head(req.headers)
         plan: plan_lib.Plan | None = None
         try:
             plan = self._plan(req, head)
@@ -70,7 +70,7 @@
             )
 
     def _plan(
-        self, req: http1.Request, head: platform.CallerHead
+        self, req: http1.Request, head: platform.CallerRequestHead
     ) -> plan_lib.Plan:
         if self._closed():
             raise refusal.not_ready("this process is being stopped")
@@ -107,7 +107,7 @@
         self,
         state: desired.Desired,
         route: desired.Route,
-        head: platform.CallerHead,
+        head: platform.CallerRequestHead,
     ) -> desired.Workspace | None:
         if not state.keyed or route.public:
             return None
@@ -124,7 +124,7 @@
 
     def _log_refusal(
         self,
-        head: platform.CallerHead,
+        head: platform.CallerRequestHead,
         plan: plan_lib.Plan | None,
         exc: refusal.RefusedError,
     ) -> None:
--- a/src/lugcross/edge/sight.py
+++ b/src/lugcross/edge/sight.py
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        engines: platform.Engines,
+        engines: platform.EngineClient,
         clock: clock_lib.Clock,
         rests: rests_lib.Rests,
     ) -> None:
@@ -111,7 +111,7 @@
         backend = source.members[awake[0]]
         try:
             counts = await self._engines.counts(backend, limits)
-        except platform.EngineError as exc:
+        except platform.EngineQueryError as exc:
             logging.info("no counts", extra={"why": str(exc)})
             return
         self._last[service] = _Reading(backend.key, counts, now)
--- a/src/lugcross/edge/switches.py
+++ b/src/lugcross/edge/switches.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        engines: platform.Engines,
+        engines: platform.EngineClient,
         looks: looks_lib.Looks,
         *,
         owner: experts.Owner,
--- a/src/lugcross/edge/switching.py
+++ b/src/lugcross/edge/switching.py
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        engines: platform.Engines,
+        engines: platform.EngineClient,
         group: groups_lib.Group,
         duty: duty_lib.Duty,
         clock: clock_lib.Clock,
@@ -114,7 +114,7 @@
         """
         try:
             report = await self._report(_HOLDER)
-        except platform.EngineError as exc:
+        except platform.EngineQueryError as exc:
             logging.info("no step", extra={"why": str(exc)})
             await self._sleep(_AGAIN_S)
             return
@@ -130,11 +130,11 @@
     async def _report(self, rank: experts.Rank) -> experts.Report | None:
         """Return what a rank reports; none if it is in no group.
 
-        :raises platform.EngineError: when it is silent or off the list.
+        :raises platform.EngineQueryError: when it is silent or off the list.
         """
         backend = self._group.members.get(rank)
         if backend is None:
-            raise platform.EngineError(
+            raise platform.EngineQueryError(
                 f"rank {rank} is off the list", remedy="ask again"
             )
         return await self._engines.report(backend)
@@ -178,7 +178,7 @@
         lowest = min(self._group.members, default=_HOLDER)
         try:
             report = await self._report(lowest)
-        except platform.EngineError as exc:
+        except platform.EngineQueryError as exc:
             logging.info("no epoch", extra={"why": str(exc)})
             return
         if report is not None and report.epoch != self._group.epoch:
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -181,7 +181,7 @@
         return self.rests.left(whole)
 
     def heard(
-        self, backend: desired.Backend, head: platform.AnswerHead
+        self, backend: desired.Backend, head: platform.BackendResponseHead
     ) -> None:
         """Take over what a server says of itself beside its answer."""
         key = backend.key
--- a/src/lugcross/platform/__init__.py
+++ b/src/lugcross/platform/__init__.py
@@ -4,52 +4,52 @@
 The only package that knows how that platform speaks; it decides nothing.
 """
 
-from lugcross.platform.answers import answer_headers
-from lugcross.platform.answers import AnswerHead
-from lugcross.platform.answers import Load
-from lugcross.platform.answers import PROMISES
-from lugcross.platform.answers import read_answer_head
-from lugcross.platform.answers import request_headers
-from lugcross.platform.callers import CallerHead
-from lugcross.platform.callers import read_caller_head
-from lugcross.platform.engines import EngineError
-from lugcross.platform.engines import Engines
-from lugcross.platform.names import ATTEMPT_ID
-from lugcross.platform.names import RETRY_AFTER
-from lugcross.platform.state import BACKENDS_TOPIC
-from lugcross.platform.state import DESIRED_KEY
-from lugcross.platform.state import LEASES_TOPIC
-from lugcross.platform.state import NODES_TOPIC
-from lugcross.platform.state import OPERATOR_TOPIC
-from lugcross.platform.state import read_backend
-from lugcross.platform.state import read_desired
-from lugcross.platform.state import SUSPECTS_TOPIC
-from lugcross.platform.store import KeyedRecord
-from lugcross.platform.store import StoreClient
-from lugcross.platform.store import Tail
+from lugcross.platform.backend_headers import BackendResponseHead
+from lugcross.platform.backend_headers import headers_to_backend
+from lugcross.platform.backend_headers import headers_to_caller
+from lugcross.platform.backend_headers import NOT_EXECUTED_STATUSES
+from lugcross.platform.backend_headers import parse_backend_response_head
+from lugcross.platform.backend_headers import ServerLoad
+from lugcross.platform.caller_headers import CallerRequestHead
+from lugcross.platform.caller_headers import parse_caller_request_head
+from lugcross.platform.engine_client import EngineClient
+from lugcross.platform.engine_client import EngineQueryError
+from lugcross.platform.header_names import ATTEMPT_ID
+from lugcross.platform.header_names import RETRY_AFTER
+from lugcross.platform.store_client import KeyedRecord
+from lugcross.platform.store_client import ReadResult
+from lugcross.platform.store_client import StoreClient
+from lugcross.platform.store_records import BACKENDS_TOPIC
+from lugcross.platform.store_records import decode_backend
+from lugcross.platform.store_records import decode_desired
+from lugcross.platform.store_records import DESIRED_STATE_KEY
+from lugcross.platform.store_records import LEASES_TOPIC
+from lugcross.platform.store_records import NODES_TOPIC
+from lugcross.platform.store_records import OPERATOR_TOPIC
+from lugcross.platform.store_records import SUSPECTS_TOPIC
 
 __all__ = [
     "ATTEMPT_ID",
     "BACKENDS_TOPIC",
-    "DESIRED_KEY",
+    "DESIRED_STATE_KEY",
     "LEASES_TOPIC",
     "NODES_TOPIC",
+    "NOT_EXECUTED_STATUSES",
     "OPERATOR_TOPIC",
-    "PROMISES",
     "RETRY_AFTER",
     "SUSPECTS_TOPIC",
-    "AnswerHead",
-    "CallerHead",
-    "EngineError",
-    "Engines",
+    "BackendResponseHead",
+    "CallerRequestHead",
+    "EngineClient",
+    "EngineQueryError",
     "KeyedRecord",
-    "Load",
+    "ReadResult",
+    "ServerLoad",
     "StoreClient",
-    "Tail",
-    "answer_headers",
-    "read_answer_head",
-    "read_backend",
-    "read_caller_head",
-    "read_desired",
-    "request_headers",
+    "decode_backend",
+    "decode_desired",
+    "headers_to_backend",
+    "headers_to_caller",
+    "parse_backend_response_head",
+    "parse_caller_request_head",
 ]
--- a/src/lugcross/platform/answers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -11,12 +11,12 @@
 
 from lugcross import desired
 from lugcross import ids
-from lugcross.platform import names
+from lugcross.platform import header_names
 
 _Headers = Iterable[tuple[bytes, bytes]]
 
 #: Headers that concern one connection only.
-_HOP = frozenset(
+_HOP_BY_HOP = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -31,19 +31,19 @@
     )
 )
 #: Headers that only the system may set, whatever a caller sends.
-_OWN = frozenset(
+_SYSTEM_ONLY = frozenset(
     name.lower()
     for name in (
-        names.KEY,
-        names.WORKSPACE,
-        names.EXPECTED_BACKEND,
-        names.EXPECTED_VERSION,
-        names.PRIORITY,
-        names.TIME_LEFT,
+        header_names.API_KEY,
+        header_names.WORKSPACE,
+        header_names.EXPECTED_INSTANCE,
+        header_names.EXPECTED_VERSION,
+        header_names.PRIORITY,
+        header_names.TIME_LEFT,
     )
 )
 #: Statuses by which a caller takes it that its request has not run.
-PROMISES = frozenset(
+NOT_EXECUTED_STATUSES = frozenset(
     (
         http.HTTPStatus.REQUEST_TIMEOUT,
         http.HTTPStatus.MISDIRECTED_REQUEST,
@@ -53,15 +53,15 @@
 )
 
 #: Value of a header that only says yes.
-_YES = "1"
+_TRUE = "1"
 #: Longest rest that is believed, in seconds: a server that asked for more by
 #: mistake is tried again by one request an hour.
-_REST_MOST_S = 3_600.0
+_MAX_RETRY_AFTER_S = 3_600.0
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Load:
+class ServerLoad:
     """Requests at a backend server when it sent an answer."""
 
     running: int
@@ -71,7 +71,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class AnswerHead:
+class BackendResponseHead:
     """What the head of a backend server's answer says.
 
     :param attempt_id: request that it answers.
@@ -92,7 +92,7 @@
     not_run: bool
     moved: bool
     encoded: bool
-    load: Load | None
+    load: ServerLoad | None
     keep: datetime.timedelta | None
     rest: datetime.timedelta | None
     leaving: bool
@@ -103,7 +103,7 @@
         return 200 <= self.status < 300
 
 
-def request_headers(
+def headers_to_backend(
     headers: Sequence[tuple[bytes, bytes]],
     *,
     backend: desired.BackendId,
@@ -118,31 +118,38 @@
     :param body_bytes: none for a request without a body.
     :param resume_after: event after which a broken stream goes on.
     """
-    drop = _HOP | _OWN | _named_by_connection(headers) | {b"content-length"}
+    drop = (
+        _HOP_BY_HOP
+        | _SYSTEM_ONLY
+        | _named_by_connection(headers)
+        | {b"content-length"}
+    )
     if resume_after:
-        drop = drop | {names.LAST_EVENT_ID.lower()}
+        drop = drop | {header_names.LAST_EVENT_ID.lower()}
     sent = [(n, v) for n, v in headers if n.lower() not in drop]
     left_ms = max(1, int(time_left / datetime.timedelta(milliseconds=1)))
-    sent.append((names.TIME_LEFT, str(left_ms).encode()))
-    sent.append((names.EXPECTED_BACKEND, backend.encode()))
+    sent.append((header_names.TIME_LEFT, str(left_ms).encode()))
+    sent.append((header_names.EXPECTED_INSTANCE, backend.encode()))
     if workspace is not None:
-        sent.append((names.WORKSPACE, workspace.encode()))
+        sent.append((header_names.WORKSPACE, workspace.encode()))
     if resume_after:
-        sent.append((names.LAST_EVENT_ID, resume_after.encode()))
+        sent.append((header_names.LAST_EVENT_ID, resume_after.encode()))
     if body_bytes is not None:
         sent.append((b"Content-Length", str(body_bytes).encode()))
     return sent
 
 
-def answer_headers(
+def headers_to_caller(
     headers: Sequence[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
     """Return a backend server's headers without those of its hop."""
-    drop = _HOP | _named_by_connection(headers) | {b"content-length"}
+    drop = _HOP_BY_HOP | _named_by_connection(headers) | {b"content-length"}
     return [(n, v) for n, v in headers if n.lower() not in drop]
 
 
-def read_answer_head(status: int, headers: _Headers) -> AnswerHead:
+def parse_backend_response_head(
+    status: int, headers: _Headers
+) -> BackendResponseHead:
     """Return what the head of a backend server's answer says.
 
     :param headers: names in lower case.
@@ -150,17 +157,23 @@
     headers = list(headers)
     found = {name: value for name, value in headers}
     moved = status == http.HTTPStatus.MISDIRECTED_REQUEST
-    return AnswerHead(
+    return BackendResponseHead(
         status=status,
-        attempt_id=names.text_of(found, names.ATTEMPT_ID),
-        sealed=bool(names.text_of(found, names.SEAL)),
-        not_run=moved or bool(names.text_of(found, names.NOT_RUN)),
+        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
+        sealed=bool(header_names.header_text(found, header_names.SIGNATURE)),
+        not_run=moved
+        or bool(header_names.header_text(found, header_names.NOT_EXECUTED)),
         moved=moved,
         encoded=b"content-encoding" in found,
-        load=_load(names.text_of(found, names.LOAD)),
-        keep=_keep(names.text_of(found, b"Keep-Alive")),
-        rest=_rest(headers) if _could_not(status) else None,
-        leaving=names.text_of(found, names.LEAVING) == _YES,
+        load=_parse_load(
+            header_names.header_text(found, header_names.SERVER_LOAD)
+        ),
+        keep=_parse_keep_alive(header_names.header_text(found, b"Keep-Alive")),
+        rest=_parse_retry_after(headers)
+        if _is_server_failure(status)
+        else None,
+        leaving=header_names.header_text(found, header_names.SERVER_LEAVING)
+        == _TRUE,
     )
 
 
@@ -172,14 +185,14 @@
     return frozenset(named)
 
 
-def _load(text: str) -> Load | None:
+def _parse_load(text: str) -> ServerLoad | None:
     parts = text.split(",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
-    return Load(*(int(part) for part in parts))
+    return ServerLoad(*(int(part) for part in parts))
 
 
-def _keep(text: str) -> datetime.timedelta | None:
+def _parse_keep_alive(text: str) -> datetime.timedelta | None:
     for part in text.split(","):
         name, _, value = part.partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdigit():
@@ -187,7 +200,7 @@
     return None
 
 
-def _could_not(status: int) -> bool:
+def _is_server_failure(status: int) -> bool:
     """Tell whether a status says that the server could not serve.
 
     With others the header is meant for whoever asked the service.
@@ -195,15 +208,15 @@
     return status == http.HTTPStatus.TOO_MANY_REQUESTS or status >= 500
 
 
-def _rest(headers: _Headers) -> datetime.timedelta | None:
+def _parse_retry_after(headers: _Headers) -> datetime.timedelta | None:
     """Return the longest rest that any field asks for, if one does."""
-    name = names.RETRY_AFTER.lower()
-    told = [_seconds(value) for found, value in headers if found == name]
+    name = header_names.RETRY_AFTER.lower()
+    told = [_parse_seconds(value) for found, value in headers if found == name]
     longest = max(told, default=0.0)
     return datetime.timedelta(seconds=longest) if longest else None
 
 
-def _seconds(value: bytes) -> float:
+def _parse_seconds(value: bytes) -> float:
     """Return a number of seconds; 0 where it is no time to wait.
 
     Dates count as none: clocks of two hosts may be seconds apart, which is as
@@ -215,4 +228,4 @@
         return 0.0
     if not math.isfinite(seconds) or seconds <= 0:
         return 0.0
-    return min(seconds, _REST_MOST_S)
+    return min(seconds, _MAX_RETRY_AFTER_S)
--- a/src/lugcross/platform/callers.py
+++ b/src/lugcross/platform/caller_headers.py
@@ -8,14 +8,14 @@
 
 from absl import logging
 
-from lugcross.platform import names
+from lugcross.platform import header_names
 
 _Headers = Iterable[tuple[bytes, bytes]]
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class CallerHead:
+class CallerRequestHead:
     """What the headers of a request ask for.
 
     :param attempt_id: empty if the caller sent none.
@@ -35,35 +35,40 @@
     expected_tokens: int = 0
 
 
-def read_caller_head(headers: _Headers) -> CallerHead:
+def parse_caller_request_head(headers: _Headers) -> CallerRequestHead:
     """Return what the request's headers say.
 
     A number that is none is left out with a log line: the request is
     served as if its caller had not sent it.
     """
     found = {name: value for name, value in headers}
-    tokens = names.text_of(found, names.TOKENS).partition(",")
-    left_ms = _number(found, names.TIME_LEFT)
-    return CallerHead(
-        attempt_id=names.text_of(found, names.ATTEMPT_ID),
+    tokens = header_names.header_text(
+        found, header_names.TOKEN_COUNTS
+    ).partition(",")
+    left_ms = _parse_header_int(found, header_names.TIME_LEFT)
+    return CallerRequestHead(
+        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
         time_left=(
             None
             if left_ms is None
             else datetime.timedelta(milliseconds=left_ms)
         ),
-        key=names.text_of(found, names.KEY),
-        last_event_id=names.text_of(found, names.LAST_EVENT_ID),
-        prompt_tokens=_int(tokens[0], names.TOKENS) or 0,
-        max_tokens=_int(tokens[2], names.TOKENS) or 0,
-        expected_tokens=_number(found, names.LENGTH_HINT) or 0,
+        key=header_names.header_text(found, header_names.API_KEY),
+        last_event_id=header_names.header_text(
+            found, header_names.LAST_EVENT_ID
+        ),
+        prompt_tokens=_parse_int(tokens[0], header_names.TOKEN_COUNTS) or 0,
+        max_tokens=_parse_int(tokens[2], header_names.TOKEN_COUNTS) or 0,
+        expected_tokens=_parse_header_int(found, header_names.LENGTH_HINT)
+        or 0,
     )
 
 
-def _number(found: dict[bytes, bytes], name: bytes) -> int | None:
-    return _int(names.text_of(found, name), name)
+def _parse_header_int(found: dict[bytes, bytes], name: bytes) -> int | None:
+    return _parse_int(header_names.header_text(found, name), name)
 
 
-def _int(text: str, name: bytes) -> int | None:
+def _parse_int(text: str, name: bytes) -> int | None:
     if not text:
         return None
     # Longer numbers are no times or sizes of anything that is served.
--- a/src/lugcross/platform/engines.py
+++ b/src/lugcross/platform/engine_client.py
@@ -17,19 +17,19 @@
 from lugcross import experts
 from lugcross import http1
 
-_REPORT = "/report"
+_REPORT_PATH = "/report"
 #: With ``lists`` in the query it tells maps, without it counts.
-_COUNTS = "/picked"
-_LISTS = "/picked?lists=1"
-_ORDER = "/order"
-_OPEN = "open"
+_COUNTS_PATH = "/picked"
+_MAPS_PATH = "/picked?lists=1"
+_ORDER_PATH = "/order"
+_GROUP_OPEN = "open"
 #: Most times slower than usual that a rank is taken for: what is slower still
 #: gets no more work than it would at this, and figures stay finite.
-_SLOWNESS_MOST = 100.0
+_MAX_SLOWNESS_FACTOR = 100.0
 
 #: Sends one request (method, target, body) to a backend server and returns
 #: status and body; raises what :mod:`lugcross.http1` raises.
-Exchange = Callable[
+SendRequest = Callable[
     [desired.Backend, str, str, bytes], Awaitable[tuple[int, bytes]]
 ]
 
@@ -41,7 +41,7 @@
     state: str = ""
 
 
-class _Armed(msgspec.Struct):
+class _ArmedMap(msgspec.Struct):
     version: int
     step: int
 
@@ -58,14 +58,14 @@
     running: int = 0
     waiting: int = 0
     prepared: int | None = None
-    armed: _Armed | None = None
+    armed: _ArmedMap | None = None
     held: int | None = None
     group: _Group | None = None
     pace: Annotated[float, msgspec.Meta(ge=0)] = 1.0
     born: int | None = None
 
 
-class _Counts(msgspec.Struct):
+class _ExpertCounts(msgspec.Struct):
     """``counts`` holds the experts of the first set, then of the next."""
 
     step: int
@@ -74,42 +74,42 @@
     born: int | None = None
 
 
-class _Held(msgspec.Struct):
+class _HeldMap(msgspec.Struct):
     version: int
     experts: list[list[int]]
 
 
-class _Lists(msgspec.Struct):
+class _HeldMapAnswer(msgspec.Struct):
     epoch: int
-    map: _Held
+    map: _HeldMap
     born: int | None = None
 
 
-_T = TypeVar("_T", _Report, _Counts, _Lists)
+_T = TypeVar("_T", _Report, _ExpertCounts, _HeldMapAnswer)
 
 
-class EngineError(errors.PlatformError):
+class EngineQueryError(errors.PlatformError):
     """An engine that did not tell what it was asked."""
 
 
 @final
-class Engines:
+class EngineClient:
     """Asks engines and gives them orders.
 
     :param ask: sends a question to a backend server.
     :param give: sends an order, with the patience that orders get.
     """
 
-    def __init__(self, ask: Exchange, give: Exchange) -> None:
+    def __init__(self, ask: SendRequest, give: SendRequest) -> None:
         self._ask = ask
         self._give = give
 
     async def report(self, backend: desired.Backend) -> experts.Report | None:
         """Return the state of a rank; none if it is in no group.
 
-        :raises EngineError: when it does not tell.
+        :raises EngineQueryError: when it does not tell.
         """
-        raw = await self._get(backend, _REPORT, _Report)
+        raw = await self._get(backend, _REPORT_PATH, _Report)
         if raw.group is None:
             return None
         armed = raw.armed
@@ -118,7 +118,7 @@
             size=raw.size,
             rank=experts.Rank(raw.group.rank),
             epoch=experts.Epoch(raw.group.epoch),
-            is_open=raw.group.state == _OPEN,
+            is_open=raw.group.state == _GROUP_OPEN,
             running=raw.running + raw.waiting,
             step=experts.Step(raw.step),
             used=experts.MapVersion(raw.map),
@@ -136,7 +136,7 @@
                 )
             ),
             held=None if raw.held is None else experts.Step(raw.held),
-            slowness=min(max(1.0, raw.pace), _SLOWNESS_MOST),
+            slowness=min(max(1.0, raw.pace), _MAX_SLOWNESS_FACTOR),
         )
 
     async def counts(
@@ -144,13 +144,13 @@
     ) -> experts.Counts:
         """Return how often each expert was used at a rank.
 
-        :raises EngineError: when it does not tell.
+        :raises EngineQueryError: when it does not tell.
         """
-        raw = await self._get(backend, _COUNTS, _Counts)
+        raw = await self._get(backend, _COUNTS_PATH, _ExpertCounts)
         try:
             sets = experts.shaped(raw.counts, limits)
         except ValueError as exc:
-            raise _no_answer(backend, str(exc)) from exc
+            raise _query_error(backend, str(exc)) from exc
         return experts.Counts(
             epoch=experts.Epoch(raw.epoch),
             step=experts.Step(raw.step),
@@ -162,9 +162,9 @@
     ) -> experts.RankExperts:
         """Return the experts that a rank holds, by set.
 
-        :raises EngineError: when it does not tell.
+        :raises EngineQueryError: when it does not tell.
         """
-        raw = await self._get(backend, _LISTS, _Lists)
+        raw = await self._get(backend, _MAPS_PATH, _HeldMapAnswer)
         return tuple(map(tuple, raw.map.experts))
 
     async def order(
@@ -179,12 +179,12 @@
         :param generation: number of the lease that it is given under;
             none where engines don't check it.
         """
-        fields = {**_fields(order), "epoch": epoch}
+        fields = {**_order_fields(order), "epoch": epoch}
         if generation is not None:
             fields["fence"] = generation
         body = msgspec.json.encode(fields)
         try:
-            status, _ = await self._give(backend, "POST", _ORDER, body)
+            status, _ = await self._give(backend, "POST", _ORDER_PATH, body)
         except http1.BrokenError:
             return experts.Verdict.UNKNOWN
         except http1.NoConnectionError:
@@ -204,27 +204,27 @@
         try:
             status, body = await self._ask(backend, "GET", path, b"")
         except (http1.BrokenError, http1.NoConnectionError) as exc:
-            raise _no_answer(backend, str(exc)) from exc
+            raise _query_error(backend, str(exc)) from exc
         if status != http.HTTPStatus.OK:
-            raise _no_answer(backend, f"status {status}")
+            raise _query_error(backend, f"status {status}")
         try:
             told = msgspec.json.decode(body, type=kind)
         except (msgspec.DecodeError, RecursionError) as exc:
-            raise _no_answer(backend, str(exc)) from exc
+            raise _query_error(backend, str(exc)) from exc
         if None not in (told.born, backend.born) and (
             told.born != backend.born
         ):
-            raise _no_answer(backend, "another life of it answers")
+            raise _query_error(backend, "another life of it answers")
         return told
 
 
 @functools.singledispatch
-def _fields(order: experts.Order) -> dict[str, Any]:
+def _order_fields(order: experts.Order) -> dict[str, Any]:
     """Return an order's fields as engines spell them."""
     raise TypeError(f"no order: {order!r}")
 
 
-@_fields.register
+@_order_fields.register
 def _(order: experts.Prepare) -> dict[str, Any]:
     # On the wire a map is by set, then by rank.
     return {
@@ -234,7 +234,7 @@
     }
 
 
-@_fields.register
+@_order_fields.register
 def _(order: experts.Arm) -> dict[str, Any]:
     return {
         "operation": "arm",
@@ -243,23 +243,23 @@
     }
 
 
-@_fields.register
+@_order_fields.register
 def _(order: experts.Disarm) -> dict[str, Any]:
     return {"operation": "disarm", "version": order.version}
 
 
-@_fields.register
+@_order_fields.register
 def _(order: experts.Hold) -> dict[str, Any]:
     return {"operation": "hold", "step": order.step}
 
 
-@_fields.register
+@_order_fields.register
 def _(order: experts.Release) -> dict[str, Any]:
     return {"operation": "go", "step": order.step}
 
 
-def _no_answer(backend: desired.Backend, why: str) -> EngineError:
-    return EngineError(
+def _query_error(backend: desired.Backend, why: str) -> EngineQueryError:
+    return EngineQueryError(
         f"engine {backend.key} did not tell its state ({why})",
         remedy="nothing to do: it is asked again",
     )
--- a/src/lugcross/platform/store.py
+++ b/src/lugcross/platform/store_client.py
@@ -22,15 +22,15 @@
 from lugcross import errors
 from lugcross import http1
 from lugcross import ids
-from lugcross.platform import names
+from lugcross.platform import header_names
 from lugcross import positions
 
-_WORD = struct.Struct(">I")
-_BOUNDS = struct.Struct(">QQ")
+_RECORD_LENGTH = struct.Struct(">I")
+_READ_BOUNDS = struct.Struct(">QQ")
 #: Digits of the largest era, and a few more that a log line shows.
-_ERA_DIGITS = 12
+_MAX_ERA_DIGITS = 12
 #: Stands for a value that cannot be read; none would remove its key.
-_NO_VALUE = b"\xff"
+_UNREADABLE_VALUE = b"\xff"
 
 
 @final
@@ -45,7 +45,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Tail:
+class ReadResult:
     """Answer to one read of a topic.
 
     :param end: position that the next record will get.
@@ -55,18 +55,18 @@
     records: tuple[KeyedRecord, ...]
 
 
-class _Item(msgspec.Struct, frozen=True):
+class _NewestItem(msgspec.Struct, frozen=True):
     private_key: str
     value: str
     offset: int
 
 
-class _Appended(msgspec.Struct, frozen=True):
+class _AppendAnswer(msgspec.Struct, frozen=True):
     end: int
 
 
-class _Page(msgspec.Struct, frozen=True):
-    items: list[_Item]
+class _NewestPage(msgspec.Struct, frozen=True):
+    items: list[_NewestItem]
     has_more: bool
     end: int
 
@@ -86,13 +86,13 @@
         self._idle: list[http1.ClientConn] = []
         #: The newest era that the store has told.
         self.era = positions.Era(0)
-        self._answered = False
+        self._has_answered = False
         #: Called with a new era, and the one before it.
         self.began: Callable[[positions.Era, positions.Era], None] = (
             lambda era, before: None
         )
 
-    async def newest(self, topic: str) -> Tail:
+    async def newest(self, topic: str) -> ReadResult:
         """Return the newest record of each key of ``topic``.
 
         The end is that of the first page: the pages are no snapshot, so
@@ -107,17 +107,19 @@
             query = {"topic": topic, "part": "0"}
             if after:
                 query["after_revision"] = after
-            status, body = await self._call("GET", "/log-newest", query)
+            status, body = await self._request("GET", "/log-newest", query)
             if status != http.HTTPStatus.OK:
-                raise _unavailable(f"status {status}")
-            page = _decode(body)
+                raise _log_unavailable_error(f"status {status}")
+            page = _decode_page(body)
             era = self.era
             if end is not None and positions.era(end) != era:
-                raise _unavailable("its era has changed between two pages")
-            records.extend(_keyed(item, era) for item in page.items)
-            end = _place(era, page.end) if end is None else end
+                raise _log_unavailable_error(
+                    "its era has changed between two pages"
+                )
+            records.extend(_decode_item(item, era) for item in page.items)
+            end = _position(era, page.end) if end is None else end
             if not page.has_more or not page.items:
-                return Tail(end=end, records=tuple(records))
+                return ReadResult(end=end, records=tuple(records))
             after = page.items[-1].private_key
 
     async def tail(
@@ -127,7 +129,7 @@
         *,
         wait: datetime.timedelta,
         answer: datetime.timedelta | None = None,
-    ) -> Tail:
+    ) -> ReadResult:
         """Return the records from ``start`` on, waiting for the first.
 
         :param wait: how long the store may wait for the first.
@@ -139,32 +141,34 @@
         """
         era = positions.era(start)
         if era < self.era:
-            raise _expired(topic, start)
+            raise _offset_expired_error(topic, start)
         from_ = str(positions.offset(start))
         query = {"topic": topic, "part": "0", "from": from_}
         if wait:
             wait_ms = wait / datetime.timedelta(milliseconds=1)
             query["wait_ms"] = str(int(wait_ms))
-        status, body = await self._call(
+        status, body = await self._request(
             "GET", "/log-read", query, wait=wait, answer=answer
         )
         if status == http.HTTPStatus.GONE or era < self.era:
-            raise _expired(topic, start)
+            raise _offset_expired_error(topic, start)
         if status != http.HTTPStatus.OK:
-            raise _unavailable(f"status {status}")
-        return _decode_tail(body, start)
+            raise _log_unavailable_error(f"status {status}")
+        return _decode_records(body, start)
 
-    def _note_era(self, answer: http1.Answer) -> None:
+    def _update_era(self, answer: http1.Answer) -> None:
         """Take over the era that an answer tells.
 
         :raises errors.LogUnavailableError: when it is an earlier one.
         """
-        first, self._answered = not self._answered, True
-        era = _era(answer)
+        first, self._has_answered = not self._has_answered, True
+        era = _parse_era(answer)
         if era is None or era == self.era:
             return
         if era < self.era:
-            raise _unavailable(f"an answer of era {era} after {self.era}")
+            raise _log_unavailable_error(
+                f"an answer of era {era} after {self.era}"
+            )
         before, self.era = self.era, era
         if not first:
             self.began(era, before)
@@ -189,34 +193,34 @@
         """
         era = positions.era(end)
         if era < self.era:
-            raise _conflict(topic)
+            raise _append_conflict_error(topic)
         condition = {"current_rev": str(positions.offset(end))}
         body = await self._append(topic, key, value, condition)
         if era < self.era:
-            raise _conflict(topic)
+            raise _append_conflict_error(topic)
         try:
-            appended = msgspec.json.decode(body, type=_Appended)
+            appended = msgspec.json.decode(body, type=_AppendAnswer)
             return positions.place(era, ids.Offset(appended.end))
         except ValueError as exc:
-            raise _append_unknown(f"bad answer: {exc}") from exc
+            raise _append_unknown_error(f"bad answer: {exc}") from exc
 
     async def _append(
         self, topic: str, key: str, value: bytes, condition: dict[str, str]
     ) -> bytes:
         name = key.encode()
         rest = bytes((len(name),)) + name + value
-        record = _WORD.pack(len(rest)) + rest
+        record = _RECORD_LENGTH.pack(len(rest)) + rest
         query = {"topic": topic, "part": "0", **condition}
         try:
-            status, body = await self._call(
+            status, body = await self._request(
                 "POST", "/log-append", query, body=record
             )
         except errors.LogUnavailableError as exc:
-            raise _append_unknown(str(exc)) from exc
+            raise _append_unknown_error(str(exc)) from exc
         if status == http.HTTPStatus.PRECONDITION_FAILED:
-            raise _conflict(topic)
+            raise _append_conflict_error(topic)
         if status != http.HTTPStatus.OK:
-            raise _append_unknown(f"status {status}")
+            raise _append_unknown_error(f"status {status}")
         return body
 
     def close(self) -> None:
@@ -224,7 +228,7 @@
         while self._idle:
             self._idle.pop().close()
 
-    async def _call(
+    async def _request(
         self,
         method: str,
         path: str,
@@ -235,7 +239,7 @@
         answer: datetime.timedelta | None = None,
     ) -> tuple[int, bytes]:
         limit = (wait + (answer or self._timeout)).total_seconds()
-        conn = await self._connection()
+        conn = await self._acquire_connection()
         kept = bool(conn.used)
         try:
             async with asyncio.timeout(limit):
@@ -255,7 +259,9 @@
                 self.close()
             why = str(exc) or f"no answer within {limit:g} s"
             way = "kept" if kept else "new"
-            raise _unavailable(f"{why}, on a {way} connection") from exc
+            raise _log_unavailable_error(
+                f"{why}, on a {way} connection"
+            ) from exc
         except BaseException:
             conn.close()
             raise
@@ -263,10 +269,10 @@
             self._idle.append(conn)
         else:
             conn.close()
-        self._note_era(head)
+        self._update_era(head)
         return head.status, answered
 
-    async def _connection(self) -> http1.ClientConn:
+    async def _acquire_connection(self) -> http1.ClientConn:
         while self._idle:
             conn = self._idle.pop()
             if not conn.closing and not conn.pending:
@@ -279,80 +285,86 @@
                 timeout_s=self._timeout.total_seconds(),
             )
         except http1.NoConnectionError as exc:
-            raise _unavailable(str(exc)) from exc
+            raise _log_unavailable_error(str(exc)) from exc
 
 
-def _era(answer: http1.Answer) -> positions.Era | None:
+def _parse_era(answer: http1.Answer) -> positions.Era | None:
     """Return the era that an answer tells; none if it tells none."""
     found = dict(answer.headers)
-    text = names.text_of(found, names.ERA)
+    text = header_names.header_text(found, header_names.STORE_ERA)
     if not text:
         return None
     digits = text.isascii() and text.isdigit()
-    if digits and len(text) <= _ERA_DIGITS and int(text) <= positions.ERA_MOST:
+    if (
+        digits
+        and len(text) <= _MAX_ERA_DIGITS
+        and int(text) <= positions.ERA_MOST
+    ):
         return positions.Era(int(text))
-    logging.warning("era not read", extra={"why": text[:_ERA_DIGITS]})
+    logging.warning("era not read", extra={"why": text[:_MAX_ERA_DIGITS]})
     return None
 
 
-def _place(era: positions.Era, offset: int) -> positions.Position:
+def _position(era: positions.Era, offset: int) -> positions.Position:
     try:
         return positions.place(era, ids.Offset(offset))
     except ValueError as exc:
-        raise _unavailable(f"bad answer: {exc}") from exc
+        raise _log_unavailable_error(f"bad answer: {exc}") from exc
 
 
-def _keyed(item: _Item, era: positions.Era) -> KeyedRecord:
+def _decode_item(item: _NewestItem, era: positions.Era) -> KeyedRecord:
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
-        value = _NO_VALUE
-    return KeyedRecord(_place(era, item.offset), item.private_key, value)
+        value = _UNREADABLE_VALUE
+    return KeyedRecord(_position(era, item.offset), item.private_key, value)
 
 
-def _decode(body: bytes) -> _Page:
+def _decode_page(body: bytes) -> _NewestPage:
     try:
-        return msgspec.json.decode(body, type=_Page)
+        return msgspec.json.decode(body, type=_NewestPage)
     except msgspec.DecodeError as exc:
-        raise _unavailable(f"bad answer: {exc}") from exc
+        raise _log_unavailable_error(f"bad answer: {exc}") from exc
 
 
-def _decode_tail(body: bytes, start: positions.Position) -> Tail:
+def _decode_records(body: bytes, start: positions.Position) -> ReadResult:
     """Decode the end, the first offset kept and the records.
 
     Each record is its length, the length of its key, key and value.
     """
     try:
         era = positions.era(start)
-        end, first = _BOUNDS.unpack_from(body)
+        end, first = _READ_BOUNDS.unpack_from(body)
         records = []
-        at = _BOUNDS.size
+        at = _READ_BOUNDS.size
         offset = max(positions.offset(start), first)
         while at < len(body):
-            (size,) = _WORD.unpack_from(body, at)
-            at += _WORD.size
+            (size,) = _RECORD_LENGTH.unpack_from(body, at)
+            at += _RECORD_LENGTH.size
             record = body[at : at + size]
             at += size
-            records.append(_record(_place(era, offset), record))
+            records.append(_decode_record(_position(era, offset), record))
             offset += 1
     except struct.error as exc:
-        raise _unavailable(f"bad records: {exc}") from exc
-    return Tail(end=_place(era, end), records=tuple(records))
+        raise _log_unavailable_error(f"bad records: {exc}") from exc
+    return ReadResult(end=_position(era, end), records=tuple(records))
 
 
-def _record(offset: positions.Position, record: bytes) -> KeyedRecord:
+def _decode_record(offset: positions.Position, record: bytes) -> KeyedRecord:
     """Return one record; one that cannot be read must not hide the others.
 
     Its key is of no server then, or its value none that a server writes.
     """
     key_end = 1 + record[0] if record else 1
     if key_end > len(record):
-        return KeyedRecord(offset, "", _NO_VALUE)
+        return KeyedRecord(offset, "", _UNREADABLE_VALUE)
     key = record[1:key_end].decode("utf-8", "replace")
     return KeyedRecord(offset, key, record[key_end:])
 
 
-def _expired(topic: str, start: positions.Position) -> errors.LugcrossError:
+def _offset_expired_error(
+    topic: str, start: positions.Position
+) -> errors.LugcrossError:
     return errors.OffsetExpiredError(
         f"topic {topic} no longer has offset {positions.offset(start)} of era"
         f" {positions.era(start)}",
@@ -360,25 +372,25 @@
     )
 
 
-def _conflict(topic: str) -> errors.LugcrossError:
+def _append_conflict_error(topic: str) -> errors.LugcrossError:
     return errors.AppendConflictError(
         f"topic {topic} does not end where it was read",
         remedy="read it again",
     )
 
 
-def _unavailable(why: str) -> errors.LogUnavailableError:
+def _log_unavailable_error(why: str) -> errors.LogUnavailableError:
     return errors.LogUnavailableError(
         f"the platform's log cannot be used ({why})",
         remedy="nothing to do: it is asked again, and so are peers",
     )
 
 
-def _append_unknown(why: str) -> errors.AppendUnknownError:
+def _append_unknown_error(why: str) -> errors.AppendUnknownError:
     return errors.AppendUnknownError(
         f"the append got no clear answer ({why})",
         remedy="append it again: the newest record of a key counts",
     )
 
 
-__all__ = ["KeyedRecord", "StoreClient", "Tail"]
+__all__ = ["KeyedRecord", "ReadResult", "StoreClient"]
--- a/src/lugcross/platform/state.py
+++ b/src/lugcross/platform/store_records.py
@@ -21,7 +21,7 @@
 OPERATOR_TOPIC = "keyed.op"
 BACKENDS_TOPIC = "keyed.servers"
 #: Key of the desired state in the operator's topic.
-DESIRED_KEY = "config"
+DESIRED_STATE_KEY = "config"
 #: Topic of the system's own, where each process tells its address.
 NODES_TOPIC = "keyed.lugcross.nodes"
 #: Topic of the system's own, with the lease of each duty.
@@ -29,23 +29,23 @@
 #: Requests that are refused since servers have ended under them.
 SUSPECTS_TOPIC = "keyed.lugcross.suspects"
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": desired.Kind.SAFE,
     "unsafe": desired.Kind.UNSAFE,
     "streaming": desired.Kind.STREAM,
 }
-_STATES = {
+_BACKEND_STATES = {
     "ready": desired.BackendState.READY,
     "draining": desired.BackendState.LEAVING,
 }
 #: Latest start of a server that is believed, in milliseconds since 1970:
 #: far past any clock, and short enough for an id.
-_BORN_MOST = 10**15
+_MAX_BORN_MS = 10**15
 #: Largest port of TCP.
-_PORT_MOST = 65_535
+_MAX_PORT = 65_535
 #: What decoding raises on bytes of another writer: other types, unknown
 #: names, figures past what a time can hold, or nesting without an end.
-_UNREADABLE = (
+_DECODE_ERRORS = (
     msgspec.DecodeError,
     KeyError,
     OverflowError,
@@ -53,7 +53,7 @@
     ValueError,
 )
 #: Bits of a byte: weights are told in megabytes, links in megabits.
-_BITS = 8.0
+_BITS_PER_BYTE = 8.0
 
 
 class _Share(msgspec.Struct):
@@ -143,10 +143,10 @@
     state: str
     cold_ms: Annotated[float, msgspec.Meta(ge=0)]
     sequence: _Count
-    born: Annotated[int, msgspec.Meta(ge=0, le=_BORN_MOST)] | None = None
+    born: Annotated[int, msgspec.Meta(ge=0, le=_MAX_BORN_MS)] | None = None
 
 
-def read_desired(data: bytes) -> desired.Desired:
+def decode_desired(data: bytes) -> desired.Desired:
     """Return the desired state in one record of the operator.
 
     :raises errors.ChangeError: when it is not one.
@@ -154,14 +154,14 @@
     try:
         raw = msgspec.json.decode(data, type=_Desired)
         return _desired(raw)
-    except _UNREADABLE as exc:
+    except _DECODE_ERRORS as exc:
         raise errors.ChangeError(
             f"not a desired state ({exc})",
             remedy="the one in force stands; publish a valid one",
         ) from exc
 
 
-def read_backend(key: str, data: bytes) -> desired.Backend:
+def decode_backend(key: str, data: bytes) -> desired.Backend:
     """Return the backend server in one record of the list.
 
     :raises errors.ChangeError: when it is none.
@@ -171,24 +171,24 @@
         host, port = address.split(raw.address)
         _check_address(host, port)
         return desired.Backend(
-            id=_id(key),
+            id=_backend_id(key),
             born=raw.born,
             service=ids.ServiceName(raw.service),
             host=host,
             port=port,
             domain=ids.DomainName(raw.zone),
             slots=raw.slots,
-            state=_STATES[raw.state],
+            state=_BACKEND_STATES[raw.state],
             software=raw.version,
         )
-    except _UNREADABLE as exc:
+    except _DECODE_ERRORS as exc:
         raise errors.ChangeError(
             f"not a backend server ({exc})",
             remedy="nothing is sent there until its entry is a server's",
         ) from exc
 
 
-def _id(key: str) -> desired.BackendId:
+def _backend_id(key: str) -> desired.BackendId:
     """Return the id in the key of an entry; it goes into a header."""
     if not key.isprintable() or not key.isascii() or " " in key or not key:
         raise ValueError(f"no id: {key[:40]!r}")
@@ -198,7 +198,7 @@
 def _check_address(host: str, port: int) -> None:
     """Refuse what no connection can be made to."""
     ipaddress.ip_address(host)
-    if not 0 < port <= _PORT_MOST:
+    if not 0 < port <= _MAX_PORT:
         raise ValueError(f"no port: {port}")
 
 
@@ -224,8 +224,8 @@
         limits=desired.Limits(
             head_bytes=raw.limits.header_bytes,
             body_bytes=raw.limits.body_bytes,
-            head_time=_ms(raw.limits.header_ms),
-            idle_time=_ms(raw.limits.idle_ms),
+            head_time=_milliseconds(raw.limits.header_ms),
+            idle_time=_milliseconds(raw.limits.idle_ms),
         ),
         keys=keys,
         keyed=raw.tenants is not None,
@@ -242,11 +242,11 @@
         name=raw.name,
         host=raw.host,
         prefix=raw.path_prefix,
-        kind=_KINDS[raw.kind],
+        kind=_ROUTE_KINDS[raw.kind],
         shares=tuple(shares),
-        timeout=_ms(raw.timeout_ms),
-        target=_ms(raw.latency_target_ms),
-        max_gap=_ms(gap_ms) if gap_ms else None,
+        timeout=_milliseconds(raw.timeout_ms),
+        target=_milliseconds(raw.latency_target_ms),
+        max_gap=_milliseconds(gap_ms) if gap_ms else None,
         attempts=max(1, raw.attempts),
         priority=raw.priority,
         public=raw.public,
@@ -272,15 +272,15 @@
         per_seq_ms=raw.per_seq_ms,
         context_ms=raw.context_per_k,
         read_per_s=raw.read_per_s,
-        report_lag=_ms(raw.report_lag_ms),
-        experts=_experts(raw),
+        report_lag=_milliseconds(raw.report_lag_ms),
+        experts=_expert_limits(raw),
     )
 
 
-def _experts(raw: _Engine) -> experts.Limits | None:
+def _expert_limits(raw: _Engine) -> experts.Limits | None:
     if not raw.sets or not raw.experts:
         return None
-    megabits = raw.expert_mb * _BITS
+    megabits = raw.expert_mb * _BITS_PER_BYTE
     return experts.Limits(
         sets=raw.sets,
         experts=raw.experts,
@@ -291,5 +291,5 @@
     )
 
 
-def _ms(value: float) -> datetime.timedelta:
+def _milliseconds(value: float) -> datetime.timedelta:
     return datetime.timedelta(milliseconds=value)
--- a/testing/edge/test_backends.py
+++ b/testing/edge/test_backends.py
@@ -34,7 +34,7 @@
         self.list = backends_lib.Backends(self.clock, drain=lambda: DRAIN)
 
     def told(self, *records, end=100, away=False, newest=False):
-        tail = platform.Tail(end=ids.Offset(end), records=records)
+        tail = platform.ReadResult(end=ids.Offset(end), records=records)
         take = self.list.replace if newest else self.list.apply
         take(tail, store_was_away=away)
 
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -172,11 +172,11 @@
     row = platform.KeyedRecord(
         ids.Offset(0), "i-1", edge_rig.entry("s", "10.0.0.1:80")
     )
-    empty = platform.Tail(end=ids.Offset(0), records=())
+    empty = platform.ReadResult(end=ids.Offset(0), records=())
     node.known.take_backends(empty, newest=False)
     assert not told
     node.known.take_backends(
-        platform.Tail(end=ids.Offset(1), records=(row,)), newest=False
+        platform.ReadResult(end=ids.Offset(1), records=(row,)), newest=False
     )
     assert told
 
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -64,7 +64,7 @@
         self.version = version
         self._store.append(
             platform.OPERATOR_TOPIC,
-            platform.DESIRED_KEY,
+            platform.DESIRED_STATE_KEY,
             fleet_rig.state(version),
         )
 
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -90,10 +90,10 @@
         for offset, version in enumerate((3, 5, 4)):
             record = platform.KeyedRecord(
                 ids.Offset(offset),
-                platform.DESIRED_KEY,
+                platform.DESIRED_STATE_KEY,
                 fleet_rig.state(version),
             )
-            tail = platform.Tail(end=ids.Offset(9), records=(record,))
+            tail = platform.ReadResult(end=ids.Offset(9), records=(record,))
             node.knowledge.take_desired(tail, newest=True)
         return node.world.desired.version
 
@@ -105,9 +105,9 @@
         node = _Node("n1", address, ())
         for value in (fleet_rig.state(3), b"{"):
             record = platform.KeyedRecord(
-                ids.Offset(0), platform.DESIRED_KEY, value
+                ids.Offset(0), platform.DESIRED_STATE_KEY, value
             )
-            tail = platform.Tail(end=ids.Offset(9), records=(record,))
+            tail = platform.ReadResult(end=ids.Offset(9), records=(record,))
             node.knowledge.take_desired(tail, newest=False)
         return node.world.desired.version
 
@@ -119,11 +119,11 @@
         one = _Node("n1", address, ())
         await one.knowledge.start()
         one.world.adopt(
-            platform.read_desired(fleet_rig.state(7)), fleet_rig.state(7)
+            platform.decode_desired(fleet_rig.state(7)), fleet_rig.state(7)
         )
         row = platform.KeyedRecord(ids.Offset(4), "i-1", BACKEND)
         one.world.backends.apply(
-            platform.Tail(end=ids.Offset(5), records=(row,)),
+            platform.ReadResult(end=ids.Offset(5), records=(row,)),
             store_was_away=False,
         )
         store.busy = True
@@ -152,7 +152,7 @@
         await _until(lambda: bool(one.knowledge.peers.live()))
         # Only one of them is told, as if the other's read hung.
         one.world.adopt(
-            platform.read_desired(fleet_rig.state(8)), fleet_rig.state(8)
+            platform.decode_desired(fleet_rig.state(8)), fleet_rig.state(8)
         )
         one.knowledge.peers.changed()
         await _until(lambda: two.world.desired is not None)
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_maps.py
@@ -60,7 +60,7 @@
         rank = int(backend.key)
         self.called.append(rank)
         if rank in self.silent:
-            raise platform.EngineError("silent", remedy="")
+            raise platform.EngineQueryError("silent", remedy="")
         return rank
 
     async def report(self, backend: desired.Backend) -> experts.Report:
@@ -170,7 +170,7 @@
             )
             for rank in range(SIZE)
         )
-        tail = platform.Tail(end=ids.Offset(SIZE), records=rows)
+        tail = platform.ReadResult(end=ids.Offset(SIZE), records=rows)
         self.world.backends.apply(tail, store_was_away=False)
 
     async def _sleep(self, seconds: float) -> None:
@@ -341,7 +341,7 @@
     ) -> experts.Verdict:
         if isinstance(one, at):
             gone = platform.KeyedRecord(ids.Offset(50), "0", b"")
-            tail = platform.Tail(end=ids.Offset(51), records=(gone,))
+            tail = platform.ReadResult(end=ids.Offset(51), records=(gone,))
             rig.world.backends.apply(tail, store_was_away=False)
             rig.world.backends.forget(desired.BackendKey("0"), "test")
             group = rig.maps._groups.of(SERVICE)[0]
--- a/testing/edge/test_storms.py
+++ b/testing/edge/test_storms.py
@@ -99,4 +99,4 @@
 
 def _adopt(node: fleet_rig.Node, version: int, routes: int = 20) -> None:
     record = fleet_rig.state(version, routes=routes)
-    node.world.adopt(platform.read_desired(record), record)
+    node.world.adopt(platform.decode_desired(record), record)
--- a/testing/platform/test_engines.py
+++ b/testing/platform/test_engine_client.py
@@ -52,9 +52,9 @@
 
 def engines(
     answer: object, status: int = 200
-) -> tuple[platform.Engines, Wire]:
+) -> tuple[platform.EngineClient, Wire]:
     wire = Wire(status, answer)
-    return platform.Engines(wire.exchange, wire.exchange), wire
+    return platform.EngineClient(wire.exchange, wire.exchange), wire
 
 
 def test_report_is_decoded_into_what_its_fields_say():
@@ -110,7 +110,7 @@
 )
 def test_counts_that_cannot_be_had_are_an_error_that_says_so(answer: object):
     asked, _ = engines(answer)
-    with pytest.raises(platform.EngineError, match="i-1"):
+    with pytest.raises(platform.EngineQueryError, match="i-1"):
         asyncio.run(asked.counts(BACKEND, LIMITS))
 
 
@@ -141,7 +141,7 @@
     asked, _ = engines({**REPORT, field: value})
     try:
         report = asyncio.run(asked.report(BACKEND))
-    except platform.EngineError:
+    except platform.EngineQueryError:
         return
     assert report is None or 1.0 <= report.slowness <= 100.0
 
@@ -157,7 +157,7 @@
     answer = {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
     asked, _ = engines(answer if told is None else {**answer, "born": told})
     if told == 2000:
-        with pytest.raises(platform.EngineError, match="another life"):
+        with pytest.raises(platform.EngineQueryError, match="another life"):
             asyncio.run(asked.counts(backend, LIMITS))
     else:
         assert asyncio.run(asked.counts(backend, LIMITS)).step == 9
--- a/testing/platform/test_store.py
+++ b/testing/platform/test_store_client.py
@@ -200,7 +200,7 @@
         + b"".join(_words(len(one)) + one for one in (bad, good))
     )
 
-    async def main() -> platform.Tail:
+    async def main() -> platform.ReadResult:
         client = _client_of(monkeypatch, answer)
         return await client.tail("t", ids.Offset(0), wait=datetime.timedelta())
 
@@ -216,7 +216,7 @@
     ]
     page = json.dumps({"items": items, "has_more": False, "end": 2})
 
-    async def main() -> platform.Tail:
+    async def main() -> platform.ReadResult:
         client = _client_of(monkeypatch, page.encode())
         return await client.newest("t")
 
--- a/testing/platform/test_state.py
+++ b/testing/platform/test_store_records.py
@@ -60,7 +60,7 @@
 
 
 def _read(**changes: object) -> desired.Desired:
-    return platform.read_desired(json.dumps(STATE | changes).encode())
+    return platform.decode_desired(json.dumps(STATE | changes).encode())
 
 
 def test_longest_prefix_wins():
@@ -95,7 +95,7 @@
 
 def test_without_workspaces_no_key_is_asked_for():
     raw = {name: one for name, one in STATE.items() if name != "tenants"}
-    state = platform.read_desired(json.dumps(raw).encode())
+    state = platform.decode_desired(json.dumps(raw).encode())
     assert not state.keyed
 
 
@@ -110,14 +110,14 @@
 )
 def test_what_is_no_desired_state_is_kept_out(data):
     with pytest.raises(errors.ChangeError):
-        platform.read_desired(data)
+        platform.decode_desired(data)
 
 
 def test_backend_server_is_decoded():
     value = edge_rig.entry(
         "s", "10.1.2.3:80", "z", state="draining", models=[{"name": "m"}]
     )
-    found = platform.read_backend("i-1", value)
+    found = platform.decode_backend("i-1", value)
     assert (found.host, found.port, found.domain) == ("10.1.2.3", 80, "z")
     assert found.state is desired.BackendState.LEAVING
 
@@ -136,13 +136,13 @@
 )
 def test_what_is_no_backend_server_is_kept_out(value):
     with pytest.raises(errors.ChangeError):
-        platform.read_backend("i-1", value)
+        platform.decode_backend("i-1", value)
 
 
 @pytest.mark.parametrize("born", [None, 0, 1_790_000_000_000])
 def test_life_is_told_by_its_start(born):
     value = edge_rig.entry("s", "10.1.2.3:80", born=born)
-    found = platform.read_backend("i-1", value)
+    found = platform.decode_backend("i-1", value)
     assert (found.id, found.born) == ("i-1", born)
     assert (found.key == "i-1") == (born is None)
 
@@ -169,13 +169,13 @@
 def test_entry_with_a_bad_field_names_no_server(field, value):
     entry = edge_rig.entry("s", "10.1.2.3:80", **{field: value})
     with pytest.raises(errors.ChangeError):
-        platform.read_backend("i-1", entry)
+        platform.decode_backend("i-1", entry)
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nX: 1", "\u00e9", "\ufffd"])
 def test_key_that_no_header_can_carry_names_no_server(key):
     with pytest.raises(errors.ChangeError):
-        platform.read_backend(key, edge_rig.entry("s", "10.1.2.3:80"))
+        platform.decode_backend(key, edge_rig.entry("s", "10.1.2.3:80"))
 
 
 JSON = strategies.recursive(
@@ -202,7 +202,7 @@
 )
 def test_any_entry_is_a_sound_server_or_none(changes):
     try:
-        found = platform.read_backend("i-1", json.dumps(FIELDS | changes))
+        found = platform.decode_backend("i-1", json.dumps(FIELDS | changes))
     except errors.ChangeError:
         return
     assert found.slots >= 1 and 0 < found.port < 65_536
@@ -212,7 +212,7 @@
 @given(data=strategies.binary(max_size=60))
 def test_any_bytes_are_no_server(data):
     with pytest.raises(errors.ChangeError):
-        platform.read_backend("i-1", data)
+        platform.decode_backend("i-1", data)
 
 
 @given(
@@ -226,14 +226,14 @@
 def test_any_desired_state_is_read_or_kept_out(changes, route):
     state = STATE | {"routes": [ROUTE | route]} | changes
     try:
-        found = platform.read_desired(json.dumps(state).encode())
+        found = platform.decode_desired(json.dumps(state).encode())
     except errors.ChangeError:
         return
     assert isinstance(found, desired.Desired)
 
 
 def test_caller_head_takes_numbers_and_drops_what_is_none():
-    head = platform.read_caller_head(
+    head = platform.parse_caller_request_head(
         [
             (b"attempt-identifier", b"a1"),
             (b"time-remaining", b"8050"),
@@ -253,18 +253,23 @@
         (503, [(b"not-executed", b"1")], True, None),
         (503, [], False, None),
         (421, [], True, None),
-        (200, [(b"server-load", b"3,0,8")], False, platform.Load(3, 0, 8)),
+        (
+            200,
+            [(b"server-load", b"3,0,8")],
+            False,
+            platform.ServerLoad(3, 0, 8),
+        ),
         (200, [(b"server-load", b"x,0")], False, None),
     ],
     ids=["refused", "no-proof", "moved", "load", "bad-load"],
 )
 def test_answer_head_is_decoded(status, headers, not_run, load):
-    head = platform.read_answer_head(status, headers)
+    head = platform.parse_backend_response_head(status, headers)
     assert (head.not_run, head.load) == (not_run, load)
 
 
 def test_headers_that_a_connection_names_stay_on_it():
-    kept = platform.answer_headers(
+    kept = platform.headers_to_caller(
         [(b"Connection", b"close, X-Hop"), (b"X-Hop", b"1"), (b"X-Y", b"2")]
     )
     assert kept == [(b"X-Y", b"2")]
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -282,7 +282,9 @@
             rows.append(
                 platform.KeyedRecord(ids.Offset(num), f"i-{num}", value)
             )
-        tail = platform.Tail(end=ids.Offset(len(rows)), records=tuple(rows))
+        tail = platform.ReadResult(
+            end=ids.Offset(len(rows)), records=tuple(rows)
+        )
         self.world.backends.apply(tail, store_was_away=False)
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -225,7 +225,9 @@
         self._by_host = {one.host: one for one in self.servers}
         monkeypatch.setattr(http1, "connect", self._connect)
         self.store.standin.append(
-            platform.OPERATOR_TOPIC, platform.DESIRED_KEY, _desired(attempts)
+            platform.OPERATOR_TOPIC,
+            platform.DESIRED_STATE_KEY,
+            _desired(attempts),
         )
         for one in self.servers:
             self._begin(one)
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -168,7 +168,7 @@
         """Let the store accept a desired state."""
         self.store.standin.append(
             platform.OPERATOR_TOPIC,
-            platform.DESIRED_KEY,
+            platform.DESIRED_STATE_KEY,
             state(version, routes=routes),
         )
 
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -355,7 +355,7 @@
         }
         self.store.append(
             platform.OPERATOR_TOPIC,
-            platform.DESIRED_KEY,
+            platform.DESIRED_STATE_KEY,
             json.dumps(state).encode(),
         )
 
