--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -202,9 +202,9 @@
 
     async def _receive(self, conn: http1.ClientConn) -> lifecycle.Event | None:
         answer, head = await self._heard_answer(conn)
-        self._keep = head.keep
+        self._keep = head.keep_alive
         self._world.heard(self._backend, head)
-        if head.not_run:
+        if head.not_executed:
             await conn.body()
             return self._not_run(head)
         self._check(head)
@@ -263,18 +263,18 @@
             conn.skip_answer(self._plan.req.method)
 
     def _not_run(self, head: platform.BackendResponseHead) -> lifecycle.Event:
-        if head.moved:
+        if head.wrong_instance:
             self._world.backends.forget(
                 self._backend.key, "another life has its address"
             )
-        elif head.rest is None:
+        elif head.retry_after is None:
             self._health().turned_away(self._clock.monotonic())
         return lifecycle.Event.NOT_RUN
 
     def _check(self, head: platform.BackendResponseHead) -> None:
-        if head.encoded:
+        if head.content_encoded:
             raise _BadAnswerError("an encoded body is not the server's own")
-        if head.success and not head.sealed:
+        if head.success and not head.signed:
             raise _BadAnswerError("a success without a signature")
         if head.success and head.attempt_id != self._plan.head.attempt_id:
             raise _BadAnswerError("a success without the request's id")
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -118,7 +118,7 @@
         self, tail: platform.ReadResult, *, store_was_away: bool
     ) -> None:
         """Take over records that follow those known."""
-        for record in sorted(tail.records, key=lambda one: one.offset):
+        for record in sorted(tail.records, key=lambda one: one.position):
             self._take(record, store_was_away)
         self.end = max(self.end, tail.end)
         self.heard = self._clock.monotonic()
@@ -250,12 +250,12 @@
         life = self._lives.get(name)
         known = self._known.get(life.key) if life else None
         newest = known.offset if known else self._removed.get(name)
-        if newest is not None and record.offset <= newest:
+        if newest is not None and record.position <= newest:
             return
-        copied = newest is not None and _is_later(record.offset, newest)
+        copied = newest is not None and _is_later(record.position, newest)
         self.records[record.key] = record
         if not record.value:
-            self._remove(name, known, record.offset, away, copied=copied)
+            self._remove(name, known, record.position, away, copied=copied)
             return
         try:
             backend = self._life(record, life)
@@ -265,7 +265,7 @@
                 "entry kept out",
                 extra={"backend": name[:_SHOWN], "why": exc.what[:_SHOWN]},
             )
-            self._remove(name, known, record.offset, False)
+            self._remove(name, known, record.position, False)
             return
         if backend is None:
             self._pass_over(record, known)
@@ -274,7 +274,7 @@
             self.forget(life.key, "it has started again")
             known = None
             copied = False
-        self._note(backend, known, record.offset, copied=copied)
+        self._note(backend, known, record.position, copied=copied)
 
     def _life(
         self, record: platform.KeyedRecord, life: desired.Backend | None
@@ -301,9 +301,9 @@
         """Leave an entry of an earlier life alone; the later one stands."""
         logging.info("entry of an earlier life", extra={"backend": record.key})
         if known is not None:
-            known.offset = record.offset
+            known.offset = record.position
         else:
-            self._removed[desired.BackendId(record.key)] = record.offset
+            self._removed[desired.BackendId(record.key)] = record.position
 
     def _note(
         self,
--- a/src/lugcross/edge/casestore.py
+++ b/src/lugcross/edge/casestore.py
@@ -78,7 +78,7 @@
 
     async def _read(self) -> bool:
         try:
-            tail = await self._store.newest(platform.SUSPECTS_TOPIC)
+            tail = await self._store.read_newest(platform.SUSPECTS_TOPIC)
         except errors.PlatformError as exc:
             logging.warning("suspects not read", extra={"why": str(exc)})
             return False
@@ -111,7 +111,7 @@
 
     async def _put(self, key: str, value: bytes) -> bool:
         try:
-            await self._store.put(platform.SUSPECTS_TOPIC, key, value)
+            await self._store.append(platform.SUSPECTS_TOPIC, key, value)
         except errors.PlatformError as exc:
             logging.warning("suspect not written", extra={"why": str(exc)})
             return False
--- a/src/lugcross/edge/duty.py
+++ b/src/lugcross/edge/duty.py
@@ -139,12 +139,12 @@
         return self._lease.held is not None or self._claimants.first()
 
     async def _read(self) -> None:
-        tail = await self._store.newest(platform.LEASES_TOPIC)
+        tail = await self._store.read_newest(platform.LEASES_TOPIC)
         found = [one for one in tail.records if one.key == _MAPS]
         self._lease.saw(_decode(found[0]) if found else None, tail.end)
 
     async def _write(self, record: experts.Record) -> None:
-        end = await self._store.put_at(
+        end = await self._store.append_if_end(
             platform.LEASES_TOPIC,
             _MAPS,
             record_lib.dump(record),
--- a/src/lugcross/edge/engines.py
+++ b/src/lugcross/edge/engines.py
@@ -75,6 +75,6 @@
         head = platform.parse_backend_response_head(
             answer.status, answer.headers
         )
-        self._pool.give(backend, conn, head.keep)
+        self._pool.give(backend, conn, head.keep_alive)
         self._heard(backend, head)
         return answer.status, got
--- a/src/lugcross/edge/follow.py
+++ b/src/lugcross/edge/follow.py
@@ -131,7 +131,7 @@
 
     async def _read(self) -> None:
         if self._next is None:
-            tail = await self._store.newest(self._topic)
+            tail = await self._store.read_newest(self._topic)
             self._take(tail, True)
         else:
             tail = await self._tail(self._next)
@@ -142,9 +142,11 @@
         if not self._answered:
             # A read that waits for news and was sent into an outage would
             # hang past its end, and keep the process from what is new.
-            return await self._store.tail(self._topic, start, wait=_NO_WAIT)
+            return await self._store.read_from(
+                self._topic, start, wait=_NO_WAIT
+            )
         read = asyncio.create_task(
-            self._store.tail(
+            self._store.read_from(
                 self._topic, start, wait=self._wait(), answer=waiting.ANSWER
             )
         )
@@ -165,4 +167,4 @@
         """Read what is there now, on a new connection."""
         logging.info("read made anew", extra={"topic": self._topic})
         self._store.close()
-        return await self._store.tail(self._topic, start, wait=_NO_WAIT)
+        return await self._store.read_from(self._topic, start, wait=_NO_WAIT)
--- a/src/lugcross/edge/knowledge.py
+++ b/src/lugcross/edge/knowledge.py
@@ -98,7 +98,7 @@
         self._cases = casenews.CaseNews(ledger, clock)
         self._case_store = casestore.CaseStore(ledger, store, clock)
         world.endings.found = self._case_store.keep
-        store.began = self._era_began
+        store.on_new_era = self._era_began
         #: The desired state that the store told first, until it is sure that
         #: no peer has a newer one.
         self._first_state: bytes = b""
--- a/src/lugcross/edge/news.py
+++ b/src/lugcross/edge/news.py
@@ -69,9 +69,9 @@
             desired=records.newest if whole else b"",
             end=self._world.backends.end,
             rows=[
-                messages.Row(row.key, row.offset, row.value)
+                messages.Row(row.key, row.position, row.value)
                 for row in self._world.backends.records.values()
-                if row.offset >= ask.end
+                if row.position >= ask.end
             ],
             packed=records.packed() if packs else b"",
             patch=patch,
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -56,10 +56,10 @@
     async def _register(self) -> bool:
         own = self._settings.listen.peers
         try:
-            await self._store.put(
+            await self._store.append(
                 platform.NODES_TOPIC, self._settings.node, own.encode()
             )
-            tail = await self._store.newest(platform.NODES_TOPIC)
+            tail = await self._store.read_newest(platform.NODES_TOPIC)
         except errors.PlatformError as exc:
             logging.warning("not registered", extra={"why": str(exc)})
             return False
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -187,9 +187,9 @@
         key = backend.key
         if head.load is not None:
             self.loads.told(key, head.load)
-        if head.leaving and not head.moved:
+        if head.leaving and not head.wrong_instance:
             self.backends.says_it_leaves(key)
-        if head.rest is None:
+        if head.retry_after is None:
             return
         self.figures.rest_asked(backend.service)
         logging.info(
@@ -198,12 +198,14 @@
                 "request": head.attempt_id,
                 "backend": key,
                 "status": head.status,
-                "rest_s": head.rest.total_seconds(),
+                "rest_s": head.retry_after.total_seconds(),
                 "rested": self.rests.rests(key),
             },
         )
-        self.rests.asked(key, head.rest)
-        self.loads.health(key).rests(self._clock.monotonic() + head.rest)
+        self.rests.asked(key, head.retry_after)
+        self.loads.health(key).rests(
+            self._clock.monotonic() + head.retry_after
+        )
 
     def picture(
         self, service: ids.ServiceName, *, least: int = 0
--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -75,26 +75,26 @@
     """What the head of a backend server's answer says.
 
     :param attempt_id: request that it answers.
-    :param sealed: whether it is signed.
-    :param not_run: whether it proves that the request has not run.
-    :param moved: whether another life has the address.
-    :param encoded: whether the body is not the backend server's own.
+    :param signed: whether it is signed.
+    :param not_executed: whether it proves that the request has not run.
+    :param wrong_instance: whether another life has the address.
+    :param content_encoded: whether the body is not the backend server's own.
     :param load: its load, if it tells it.
-    :param keep: how long it keeps an idle connection, if it says so.
-    :param rest: for how long it wants nothing from this process, if it could
-        not serve the request and says so.
+    :param keep_alive: how long it keeps an idle connection, if it says so.
+    :param retry_after: for how long it wants nothing from this process, if it
+        could not serve the request and says so.
     :param leaving: whether it says that it is leaving.
     """
 
     status: int
     attempt_id: str
-    sealed: bool
-    not_run: bool
-    moved: bool
-    encoded: bool
+    signed: bool
+    not_executed: bool
+    wrong_instance: bool
+    content_encoded: bool
     load: ServerLoad | None
-    keep: datetime.timedelta | None
-    rest: datetime.timedelta | None
+    keep_alive: datetime.timedelta | None
+    retry_after: datetime.timedelta | None
     leaving: bool
 
     @property
@@ -156,20 +156,22 @@
     """
     headers = list(headers)
     found = {name: value for name, value in headers}
-    moved = status == http.HTTPStatus.MISDIRECTED_REQUEST
+    wrong_instance = status == http.HTTPStatus.MISDIRECTED_REQUEST
     return BackendResponseHead(
         status=status,
         attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
-        sealed=bool(header_names.header_text(found, header_names.SIGNATURE)),
-        not_run=moved
+        signed=bool(header_names.header_text(found, header_names.SIGNATURE)),
+        not_executed=wrong_instance
         or bool(header_names.header_text(found, header_names.NOT_EXECUTED)),
-        moved=moved,
-        encoded=b"content-encoding" in found,
+        wrong_instance=wrong_instance,
+        content_encoded=b"content-encoding" in found,
         load=_parse_load(
             header_names.header_text(found, header_names.SERVER_LOAD)
         ),
-        keep=_parse_keep_alive(header_names.header_text(found, b"Keep-Alive")),
-        rest=_parse_retry_after(headers)
+        keep_alive=_parse_keep_alive(
+            header_names.header_text(found, b"Keep-Alive")
+        ),
+        retry_after=_parse_retry_after(headers)
         if _is_server_failure(status)
         else None,
         leaving=header_names.header_text(found, header_names.SERVER_LEAVING)
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -38,7 +38,7 @@
 class KeyedRecord:
     """One record of a topic with keys; no value removes the key."""
 
-    offset: positions.Position
+    position: positions.Position
     key: str
     value: bytes
 
@@ -88,11 +88,11 @@
         self.era = positions.Era(0)
         self._has_answered = False
         #: Called with a new era, and the one before it.
-        self.began: Callable[[positions.Era, positions.Era], None] = (
+        self.on_new_era: Callable[[positions.Era, positions.Era], None] = (
             lambda era, before: None
         )
 
-    async def newest(self, topic: str) -> ReadResult:
+    async def read_newest(self, topic: str) -> ReadResult:
         """Return the newest record of each key of ``topic``.
 
         The end is that of the first page: the pages are no snapshot, so
@@ -122,7 +122,7 @@
                 return ReadResult(end=end, records=tuple(records))
             after = page.items[-1].private_key
 
-    async def tail(
+    async def read_from(
         self,
         topic: str,
         start: positions.Position,
@@ -171,16 +171,16 @@
             )
         before, self.era = self.era, era
         if not first:
-            self.began(era, before)
+            self.on_new_era(era, before)
 
-    async def put(self, topic: str, key: str, value: bytes) -> None:
+    async def append(self, topic: str, key: str, value: bytes) -> None:
         """Append one record to a topic with keys.
 
         :raises errors.AppendUnknownError: it may have been kept.
         """
         await self._append(topic, key, value, {})
 
-    async def put_at(
+    async def append_if_end(
         self, topic: str, key: str, value: bytes, end: positions.Position
     ) -> positions.Position:
         """Append one record if the topic ends at ``end``.
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -237,10 +237,10 @@
 def test_answer_of_an_earlier_era_tells_nothing():
     async def main():
         client = _client(b"3", b"2", b"3")
-        first = await client.newest("t")
+        first = await client.read_newest("t")
         with pytest.raises(errors.LogUnavailableError, match="era 2 after 3"):
-            await client.newest("t")
-        assert (await client.newest("t")).end == first.end
+            await client.read_newest("t")
+        assert (await client.read_newest("t")).end == first.end
         return positions.era(first.end), positions.offset(first.end)
 
     assert asyncio.run(main()) == (3, 7)
@@ -255,9 +255,9 @@
     async def main():
         client = _client(b"4", era)
         began = []
-        client.began = lambda *eras: began.append(eras)
-        await client.newest("t")
-        end = (await client.newest("t")).end
+        client.on_new_era = lambda *eras: began.append(eras)
+        await client.read_newest("t")
+        end = (await client.read_newest("t")).end
         assert not began
         return positions.era(end)
 
@@ -268,16 +268,16 @@
     async def main():
         client = _client(b"1", b"2", b"2")
         began = []
-        client.began = lambda *eras: began.append(eras)
-        old = (await client.newest("t")).end
+        client.on_new_era = lambda *eras: began.append(eras)
+        old = (await client.read_newest("t")).end
         with pytest.raises(errors.OffsetExpiredError):
-            await client.tail("t", old, wait=datetime.timedelta())
+            await client.read_from("t", old, wait=datetime.timedelta())
         with pytest.raises(errors.OffsetExpiredError):
             # Known by now: the store is not even asked.
-            await client.tail("t", old, wait=datetime.timedelta())
+            await client.read_from("t", old, wait=datetime.timedelta())
         with pytest.raises(errors.AppendConflictError):
-            await client.put_at("t", "k", b"v", old)
-        assert (await client.newest("t")).end > old
+            await client.append_if_end("t", "k", b"v", old)
+        assert (await client.read_newest("t")).end > old
         return began
 
     assert asyncio.run(main()) == [(2, 1)]
@@ -286,11 +286,11 @@
 def test_same_end_in_a_new_era_is_no_place_to_write_at():
     async def main():
         client = _client(b"1", b"2", answer=b'{"end": 8}')
-        client._note_era(await client._idle[0].answer())
+        client._update_era(await client._idle[0].answer())
         at = positions.place(positions.Era(1), ids.Offset(7))
         client._idle.pop(0)
         with pytest.raises(errors.AppendConflictError):
-            await client.put_at("t", "k", b"v", at)
+            await client.append_if_end("t", "k", b"v", at)
 
     asyncio.run(main())
 
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_rest.py
@@ -235,20 +235,24 @@
 )
 def test_rest_is_read_as_seconds(value, rest_s):
     head = platform.parse_backend_response_head(503, [(b"retry-after", value)])
-    assert head.rest == (rest_s and datetime.timedelta(seconds=rest_s))
+    assert head.retry_after == (rest_s and datetime.timedelta(seconds=rest_s))
 
 
 @pytest.mark.parametrize("status", [200, 202, 302, 404, 421])
 def test_who_could_serve_does_not_ask_for_rest(status):
     headers = [(b"retry-after", b"3")]
-    assert platform.parse_backend_response_head(status, headers).rest is None
+    assert (
+        platform.parse_backend_response_head(status, headers).retry_after
+        is None
+    )
 
 
 @pytest.mark.parametrize("status", [429, 500, 503, 504])
 def test_longest_of_several_rests_counts(status):
     told = [(b"retry-after", one) for one in (b"1", b"soon", b"4", b"2")]
     assert (
-        platform.parse_backend_response_head(status, told).rest == 4 * SECOND
+        platform.parse_backend_response_head(status, told).retry_after
+        == 4 * SECOND
     )
 
 
@@ -302,7 +306,7 @@
         entry = edge_rig.entry("app", address, "d1", state=state)
         again = platform.KeyedRecord(ids.Offset(11), "i-0", entry)
         for record in (gone, again):
-            tail = platform.ReadResult(end=record.offset, records=(record,))
+            tail = platform.ReadResult(end=record.position, records=(record,))
             rig.world.backends.apply(tail, store_was_away=True)
             clock.advance(drain)
         for _ in range(5):
--- a/testing/platform/test_store_client.py
+++ b/testing/platform/test_store_client.py
@@ -43,8 +43,8 @@
         store.page = 2
         for key in ("a", "b", "c", "a"):
             store.append(TOPIC, key, key.encode())
-        tail = await client.newest(TOPIC)
-        return [(r.offset, r.key) for r in tail.records], tail.end
+        tail = await client.read_newest(TOPIC)
+        return [(r.position, r.key) for r in tail.records], tail.end
 
     assert _play(act) == ([(3, "a"), (1, "b"), (2, "c")], 4)
 
@@ -54,7 +54,7 @@
         store.append(TOPIC, "a", b"1")
         store.append(TOPIC, "b", b"2")
         store.append(TOPIC, "a", b"")
-        return await client.tail(TOPIC, ids.Offset(1), wait=NO_WAIT)
+        return await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
 
     tail = _play(act)
     assert tail.end == 3
@@ -67,7 +67,7 @@
 def test_waiting_read_ends_with_the_next_record():
     async def act(store, client):
         read = asyncio.create_task(
-            client.tail(TOPIC, ids.Offset(0), wait=LONG)
+            client.read_from(TOPIC, ids.Offset(0), wait=LONG)
         )
         while not store.calls:
             await asyncio.sleep(0)
@@ -82,10 +82,10 @@
         store.append(TOPIC, "a", b"1")
         store.drop_history(TOPIC)
         with pytest.raises(errors.OffsetExpiredError):
-            await client.tail(TOPIC, ids.Offset(0), wait=NO_WAIT)
+            await client.read_from(TOPIC, ids.Offset(0), wait=NO_WAIT)
         store.busy = True
         with pytest.raises(errors.LogUnavailableError):
-            await client.tail(TOPIC, ids.Offset(1), wait=NO_WAIT)
+            await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
         return True
 
     assert _play(act)
@@ -93,8 +93,8 @@
 
 def test_put_is_read_back():
     async def act(store, client):
-        await client.put(TOPIC, "k", b"value")
-        tail = await client.newest(TOPIC)
+        await client.append(TOPIC, "k", b"value")
+        tail = await client.read_newest(TOPIC)
         return [(r.key, r.value) for r in tail.records]
 
     assert _play(act) == [("k", b"value")]
@@ -104,7 +104,7 @@
     async def act(store, client):
         store.close()
         with pytest.raises(errors.LogUnavailableError):
-            await client.newest(TOPIC)
+            await client.read_newest(TOPIC)
         return True
 
     assert _play(act)
@@ -112,9 +112,9 @@
 
 def test_connection_is_kept_between_calls():
     async def act(store, client):
-        await client.newest(TOPIC)
+        await client.read_newest(TOPIC)
         first = list(client._idle)
-        await client.newest(TOPIC)
+        await client.read_newest(TOPIC)
         return first == client._idle
 
     assert _play(act)
@@ -122,10 +122,10 @@
 
 def test_conditional_write_counts_only_at_the_end_that_it_names():
     async def act(store, client):
-        end = await client.put_at(TOPIC, "a", b"1", ids.Offset(0))
+        end = await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
         with pytest.raises(errors.AppendConflictError):
-            await client.put_at(TOPIC, "a", b"2", ids.Offset(0))
-        return end, await client.newest(TOPIC)
+            await client.append_if_end(TOPIC, "a", b"2", ids.Offset(0))
+        return end, await client.read_newest(TOPIC)
 
     end, tail = _play(act)
     assert end == 1
@@ -136,7 +136,7 @@
     async def act(store, client):
         store.busy = True
         with pytest.raises(errors.AppendUnknownError):
-            await client.put_at(TOPIC, "a", b"1", ids.Offset(0))
+            await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
 
     _play(act)
 
@@ -153,12 +153,12 @@
             "store:1", timeout=datetime.timedelta(seconds=1.5)
         )
         # Two calls side by side, so that two connections are kept.
-        await asyncio.gather(*(client.newest(TOPIC) for _ in range(2)))
+        await asyncio.gather(*(client.read_newest(TOPIC) for _ in range(2)))
         store.silence_connections()
         with pytest.raises(errors.LogUnavailableError, match="on a kept"):
-            await client.newest(TOPIC)
+            await client.read_newest(TOPIC)
         before = asyncio.get_running_loop().time()
-        await client.newest(TOPIC)
+        await client.read_newest(TOPIC)
         return asyncio.get_running_loop().time() - before
 
     assert virtual_time.run(main()) < 0.1
@@ -202,10 +202,12 @@
 
     async def main() -> platform.ReadResult:
         client = _client_of(monkeypatch, answer)
-        return await client.tail("t", ids.Offset(0), wait=datetime.timedelta())
+        return await client.read_from(
+            "t", ids.Offset(0), wait=datetime.timedelta()
+        )
 
     tail = virtual_time.run(main())
-    assert (tail.records[1].key, tail.records[1].offset) == ("a", 1)
+    assert (tail.records[1].key, tail.records[1].position) == ("a", 1)
     assert tail.records[0].value
 
 
@@ -218,7 +220,7 @@
 
     async def main() -> platform.ReadResult:
         client = _client_of(monkeypatch, page.encode())
-        return await client.newest("t")
+        return await client.read_newest("t")
 
     tail = virtual_time.run(main())
     assert [one.key for one in tail.records] == ["a", "b"]
--- a/testing/platform/test_store_records.py
+++ b/testing/platform/test_store_records.py
@@ -265,7 +265,7 @@
 )
 def test_answer_head_is_decoded(status, headers, not_run, load):
     head = platform.parse_backend_response_head(status, headers)
-    assert (head.not_run, head.load) == (not_run, load)
+    assert (head.not_executed, head.load) == (not_run, load)
 
 
 def test_headers_that_a_connection_names_stay_on_it():
