--- a/bench/procs.py
+++ b/bench/procs.py
@@ -328,7 +328,7 @@
         return sum(self._ran_of(engine).values())
 
     def _ran_of(self, name: str) -> dict[str, int]:
-        url = f"{self.standin_url(name)}{standin.RAN_PATH}"
+        url = f"{self.standin_url(name)}{standin.RUN_COUNTS_PATH}"
         counts: dict[str, int] = self.control.request("GET", url).json()
         return counts
 
--- a/src/lugcross/cli/standin.py
+++ b/src/lugcross/cli/standin.py
@@ -28,7 +28,7 @@
         self.name = name
 
     def run(
-        self, app: faults.App, *hooks: app_lib.Hook
+        self, app: faults.WsgiApp, *hooks: app_lib.Hook
     ) -> standin_lib.StandinServer:
         """Serve ``app`` until the process is asked to stop."""
         server = standin_lib.StandinServer(app, host=self.host, port=self.port)
@@ -50,7 +50,9 @@
 @click.pass_obj
 def log(place: _Place, rate: float, retention: float) -> None:
     """Run the platform's append-only log."""
-    place.run(standin_lib.LogStandin(rate=rate, retention_s=retention))
+    place.run(
+        standin_lib.LogStandin(appends_per_s=rate, retention_s=retention)
+    )
 
 
 @standin.command()
@@ -66,7 +68,7 @@
 @click.pass_obj
 def weights(place: _Place, rate: float) -> None:
     """Run the platform's rate-limited weight store."""
-    place.run(standin_lib.WeightsStandin(bytes_a_s=rate * 1_048_576))
+    place.run(standin_lib.WeightsStandin(bytes_per_s=rate * 1_048_576))
 
 
 @standin.command()
@@ -84,7 +86,7 @@
     )
     tracer = observe.Tracer(cfg.settings.Traces(exporter=exporter), place.name)
     app = standin_lib.EngineStandin(
-        speed=standin_lib.Speed(step_s=step),
+        speed=standin_lib.EngineSpeed(step_s=step),
         max_batch=batch,
         checks_orders=checks_orders,
         tracer=tracer,
--- a/src/lugcross/demo/calls.py
+++ b/src/lugcross/demo/calls.py
@@ -145,8 +145,8 @@
 
 def expected(prompt: str, tokens: int) -> str:
     """Return the whole answer that a stand-in engine gives."""
-    mark = standin.mark_of(json.dumps(prompt))
-    return "".join(standin.token(mark, num) for num in range(tokens))
+    mark = standin.answer_prefix(json.dumps(prompt))
+    return "".join(standin.answer_token(mark, num) for num in range(tokens))
 
 
 def stream_text(data: bytes) -> str | None:
--- a/src/lugcross/demo/fleet.py
+++ b/src/lugcross/demo/fleet.py
@@ -115,7 +115,7 @@
         """Return an operator's client; close it after use."""
         return rpc.OperatorClient(self.rpc_target, self.token)
 
-    def _serve(self, app: standin.faults.App) -> standin.StandinServer:
+    def _serve(self, app: standin.faults.WsgiApp) -> standin.StandinServer:
         server = standin.StandinServer(app, host=HOST, port=0)
         server.start()
         self._standins.append(server)
@@ -124,7 +124,7 @@
     def _start_domain(self, domain: str, ledger: str) -> None:
         for num in range(_ENGINES):
             engine = standin.EngineStandin(
-                speed=standin.Speed(step_s=_STEP_S), max_batch=_SLOTS
+                speed=standin.EngineSpeed(step_s=_STEP_S), max_batch=_SLOTS
             )
             server = self._serve(engine)
             engine.server = server.app
--- a/src/lugcross/demo/once.py
+++ b/src/lugcross/demo/once.py
@@ -68,7 +68,7 @@
 
     def _charge(self, url: str) -> tuple[bool, str]:
         result = self._sender.charge(url, b'{"rent": 7}', key="notice-1")
-        ran = self._fleet.service.ran["notice-1"]
+        ran = self._fleet.service.run_counts["notice-1"]
         return result.whole and ran == 1, (
             f"{result.body.decode()}, the service ran it {ran} time"
         )
--- a/src/lugcross/standin/__init__.py
+++ b/src/lugcross/standin/__init__.py
@@ -1,34 +1,34 @@
 # SPDX-License-Identifier: Apache-2.0
 """Small stand-ins of the platform and of what backend servers run."""
 
+from lugcross.standin.engine import answer_prefix
+from lugcross.standin.engine import answer_token
+from lugcross.standin.engine import EngineSpeed
 from lugcross.standin.engine import EngineStandin
-from lugcross.standin.engine import mark_of
-from lugcross.standin.engine import Speed
-from lugcross.standin.engine import token
+from lugcross.standin.faults import FaultInjector
 from lugcross.standin.faults import Faults
 from lugcross.standin.faults import FAULTS_PATH
-from lugcross.standin.faults import FaultyApp
 from lugcross.standin.faults import StandinServer
 from lugcross.standin.hosts import HostsStandin
 from lugcross.standin.log import LogStandin
-from lugcross.standin.memory import MemoryLog
-from lugcross.standin.service import RAN_PATH
+from lugcross.standin.memory_log import InMemoryLog
+from lugcross.standin.service import RUN_COUNTS_PATH
 from lugcross.standin.service import ServiceStandin
 from lugcross.standin.weights import WeightsStandin
 
 __all__ = [
     "FAULTS_PATH",
-    "RAN_PATH",
+    "RUN_COUNTS_PATH",
+    "EngineSpeed",
     "EngineStandin",
+    "FaultInjector",
     "Faults",
-    "FaultyApp",
     "HostsStandin",
+    "InMemoryLog",
     "LogStandin",
-    "MemoryLog",
     "ServiceStandin",
-    "Speed",
     "StandinServer",
     "WeightsStandin",
-    "mark_of",
-    "token",
+    "answer_prefix",
+    "answer_token",
 ]
--- a/src/lugcross/standin/engine.py
+++ b/src/lugcross/standin/engine.py
@@ -22,18 +22,18 @@
 from lugcross.standin import faults
 from lugcross.standin import service
 
-_BLOCK = 64
-_CACHED_BLOCKS = 4096
-_EVENTS_KEPT = 1000
-_EVENT_GAP = 17
-_DEFAULT_TOKENS = 16
+_CACHE_BLOCK_CHARS = 64
+_MAX_CACHED_BLOCKS = 4096
+_MAX_CACHE_EVENTS = 1000
+_DROPPED_EVENT_INTERVAL = 17
+_DEFAULT_MAX_TOKENS = 16
 _END_MARK = b"data: [DONE]\n\n"
-_IDLE_S = 0.05
+_IDLE_WAIT_S = 0.05
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Speed:
+class EngineSpeed:
     """How fast an engine is.
 
     :param step_s: a step with an empty batch, in seconds.
@@ -56,18 +56,18 @@
         self.chat = "messages" in fields
         self.model = fields.get("model", "")
         self.priority = int(fields.get("priority", 0))
-        self.most = int(fields.get("max_tokens") or _DEFAULT_TOKENS)
-        self.next = start
-        self.out: queue.SimpleQueue[int | None] = queue.SimpleQueue()
+        self.max_tokens = int(fields.get("max_tokens") or _DEFAULT_MAX_TOKENS)
+        self.next_position = start
+        self.output: queue.SimpleQueue[int | None] = queue.SimpleQueue()
         self.cancelled = False
         self.prefilled = False
 
     @property
-    def mark(self) -> str:
-        return mark_of(self.prompt)
+    def answer_prefix(self) -> str:
+        return answer_prefix(self.prompt)
 
 
-def mark_of(prompt: str) -> str:
+def answer_prefix(prompt: str) -> str:
     """Return what every token of the answer to ``prompt`` begins with.
 
     :param prompt: the JSON text of the prompt or the messages.
@@ -75,9 +75,9 @@
     return hashlib.sha256(prompt.encode()).hexdigest()[:8]
 
 
-def token(mark: str, position: int) -> str:
+def answer_token(prefix: str, position: int) -> str:
     """Return one token of an answer."""
-    return f"{mark}-{position} "
+    return f"{prefix}-{position} "
 
 
 @final
@@ -92,7 +92,7 @@
     def __init__(
         self,
         *,
-        speed: Speed = Speed(),
+        speed: EngineSpeed = EngineSpeed(),
         max_batch: int = 16,
         max_waiting: int = 256,
         checks_orders: bool = True,
@@ -114,7 +114,7 @@
             collections.OrderedDict()
         )
         self._events: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=_EVENTS_KEPT
+            maxlen=_MAX_CACHE_EVENTS
         )
         self._event_count = 0
         self._loads: collections.deque[tuple[float, dict[str, Any]]] = (
@@ -126,7 +126,7 @@
         self._steps = 0
         self._ran: collections.Counter[str] = collections.Counter()
         self._stopping = False
-        self.server: faults.FaultyApp | None = None
+        self.server: faults.FaultInjector | None = None
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def start(self) -> None:
@@ -150,19 +150,19 @@
         """Answer one request."""
         path = environ["PATH_INFO"]
         if path == "/load":
-            return faults.answer(
-                start_response, http.HTTPStatus.OK, self._lagging_load()
+            return faults.json_response(
+                start_response, http.HTTPStatus.OK, self._delayed_load()
             )
-        if path == service.RAN_PATH:
-            return faults.answer(
+        if path == service.RUN_COUNTS_PATH:
+            return faults.json_response(
                 start_response, http.HTTPStatus.OK, dict(self._ran)
             )
         if path == "/events":
-            return faults.answer(
-                start_response, http.HTTPStatus.OK, self._late_events()
+            return faults.json_response(
+                start_response, http.HTTPStatus.OK, self._delayed_events()
             )
         if path == "/orders":
-            return self._order(environ, start_response)
+            return self._accept_order(environ, start_response)
         return self._complete(environ, start_response)
 
     # Completions.
@@ -170,11 +170,11 @@
     def _complete(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        fields = json.loads(faults.body_of(environ))
+        fields = json.loads(faults.read_body(environ))
         seq = _Sequence(fields, int(fields.get("resume_from", 0)))
         with self._wake:
             if len(self._waiting) >= self._max_waiting:
-                return faults.answer(
+                return faults.json_response(
                     start_response, http.HTTPStatus.TOO_MANY_REQUESTS
                 )
             self._ran[environ.get("HTTP_X_REQUEST_ID", "")] += 1
@@ -201,15 +201,15 @@
             seq.cancelled = True
 
     def _tokens(self, seq: _Sequence) -> Iterator[bytes]:
-        early = self.server is not None and self.server.take("close_early")
+        early = self.server is not None and self.server.consume("close_early")
         while True:
-            position = seq.out.get()
+            position = seq.output.get()
             if position is None:
                 yield _END_MARK
                 return
-            last = position + 1 >= seq.most
+            last = position + 1 >= seq.max_tokens
             yield b"data: " + _chunk(seq, position, last=last) + b"\n\n"
-            if early and position >= seq.most // 2:
+            if early and position >= seq.max_tokens // 2:
                 # Cleanly, as far as HTTP can tell: only the end mark is
                 # missing.
                 return
@@ -218,17 +218,19 @@
         while not self._stopping:
             with self._wake:
                 if not self._batch and not self._waiting:
-                    self._wake.wait(_IDLE_S)
+                    self._wake.wait(_IDLE_WAIT_S)
                     continue
                 self._admit()
                 batch = list(self._batch)
             time.sleep(self._step_time(batch))
             for seq in batch:
-                self._advance(seq)
+                self._emit_token(seq)
             with self._wake:
-                self._batch = [s for s in self._batch if s.next < s.most]
+                self._batch = [
+                    s for s in self._batch if s.next_position < s.max_tokens
+                ]
                 self._steps += 1
-                self._report()
+                self._record_load()
 
     def _admit(self) -> None:
         self._batch = [s for s in self._batch if not s.cancelled]
@@ -240,42 +242,44 @@
     def _step_time(self, batch: list[_Sequence]) -> float:
         speed = self._speed
         fresh = [seq for seq in batch if not seq.prefilled]
-        prefill = sum(self._prefill(seq) for seq in fresh)
+        prefill = sum(self._fill_cache(seq) for seq in fresh)
         return (
             speed.step_s + speed.seq_s * len(batch) + speed.prefill_s * prefill
         )
 
-    def _prefill(self, seq: _Sequence) -> int:
+    def _fill_cache(self, seq: _Sequence) -> int:
         """Fill the prefix cache; return the bytes that were not there."""
         seq.prefilled = True
         missing = len(seq.prompt)
-        for end in range(_BLOCK, len(seq.prompt) + 1, _BLOCK):
+        for end in range(
+            _CACHE_BLOCK_CHARS, len(seq.prompt) + 1, _CACHE_BLOCK_CHARS
+        ):
             block = hashlib.sha256(seq.prompt[:end].encode()).hexdigest()
             if block in self._cache:
                 self._cache.move_to_end(block)
                 missing = len(seq.prompt) - end
                 continue
             self._cache[block] = None
-            self._publish("stored", block)
-            if len(self._cache) > _CACHED_BLOCKS:
+            self._publish_cache_event("stored", block)
+            if len(self._cache) > _MAX_CACHED_BLOCKS:
                 old, _ = self._cache.popitem(last=False)
-                self._publish("removed", old)
+                self._publish_cache_event("removed", old)
         return missing
 
-    def _advance(self, seq: _Sequence) -> None:
+    def _emit_token(self, seq: _Sequence) -> None:
         if seq.cancelled:
             return
-        if seq.next < seq.most:
-            seq.out.put(seq.next)
-            seq.next += 1
-        if seq.next >= seq.most:
-            seq.out.put(None)
+        if seq.next_position < seq.max_tokens:
+            seq.output.put(seq.next_position)
+            seq.next_position += 1
+        if seq.next_position >= seq.max_tokens:
+            seq.output.put(None)
 
     # Reports, which come late.
 
-    def _publish(self, what: str, block: str) -> None:
+    def _publish_cache_event(self, what: str, block: str) -> None:
         self._event_count += 1
-        if self._event_count % _EVENT_GAP == 0:
+        if self._event_count % _DROPPED_EVENT_INTERVAL == 0:
             return  # The published stream has gaps; so has this one.
         self._events.append(
             {
@@ -286,11 +290,11 @@
             }
         )
 
-    def _late_events(self) -> list[dict[str, Any]]:
+    def _delayed_events(self) -> list[dict[str, Any]]:
         until = time.monotonic() - self._event_lag_s
         return [event for event in self._events if event["at"] <= until]
 
-    def _report(self) -> None:
+    def _record_load(self) -> None:
         report = {
             "running": len(self._batch),
             "waiting": len(self._waiting),
@@ -298,32 +302,32 @@
         }
         self._loads.append((time.monotonic() + self._load_lag_s, report))
 
-    def _lagging_load(self) -> dict[str, Any]:
+    def _delayed_load(self) -> dict[str, Any]:
         while self._loads and self._loads[0][0] <= time.monotonic():
             _, self._load = self._loads.popleft()
         return self._load
 
     # Orders.
 
-    def _order(
+    def _accept_order(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        order = json.loads(faults.body_of(environ))
+        order = json.loads(faults.read_body(environ))
         if self._checks_orders and order["fence"] < self._fence:
-            return faults.answer(
+            return faults.json_response(
                 start_response,
                 http.HTTPStatus.CONFLICT,
                 {"fence": self._fence},
             )
         self._fence = max(self._fence, order["fence"])
         self._orders.append(order)
-        return faults.answer(
+        return faults.json_response(
             start_response, http.HTTPStatus.OK, {"orders": len(self._orders)}
         )
 
 
 def _chunk(seq: _Sequence, position: int, *, last: bool) -> bytes:
-    text = token(seq.mark, position)
+    text = answer_token(seq.answer_prefix, position)
     part: dict[str, Any] = {
         "index": 0,
         "finish_reason": "length" if last else None,
@@ -333,7 +337,7 @@
     else:
         part["text"] = text
     chunk: dict[str, Any] = {
-        "id": f"cmpl-{seq.mark}",
+        "id": f"cmpl-{seq.answer_prefix}",
         "object": "chat.completion.chunk" if seq.chat else "text_completion",
         "created": 0,
         "model": seq.model,
@@ -342,7 +346,7 @@
     if last:
         chunk["usage"] = {
             "prompt_tokens": len(seq.prompt) // 4,
-            "completion_tokens": seq.most,
-            "total_tokens": len(seq.prompt) // 4 + seq.most,
+            "completion_tokens": seq.max_tokens,
+            "total_tokens": len(seq.prompt) // 4 + seq.max_tokens,
         }
     return json.dumps(chunk).encode()
--- a/src/lugcross/standin/faults.py
+++ b/src/lugcross/standin/faults.py
@@ -15,14 +15,14 @@
 from cheroot import wsgi
 import msgspec
 
-_THREADS = 128
-_BACKLOG = 256
+_SERVER_THREADS = 128
+_LISTEN_BACKLOG = 256
 #: Path on which every stand-in takes its switches.
 FAULTS_PATH = "/faults"
 
 Environ = dict[str, Any]
 StartResponse = Callable[[str, list[tuple[str, str]]], object]
-App = Callable[[Environ, StartResponse], Iterable[bytes]]
+WsgiApp = Callable[[Environ, StartResponse], Iterable[bytes]]
 
 
 @final
@@ -50,14 +50,14 @@
     """Makes the server close a connection without an answer."""
 
 
-_POLL_S = 0.01
+_FROZEN_POLL_S = 0.01
 
 
 @final
-class FaultyApp:
+class FaultInjector:
     """Puts switches before a stand-in's own application."""
 
-    def __init__(self, app: App) -> None:
+    def __init__(self, app: WsgiApp) -> None:
         self._app = app
         self._lock = threading.Lock()
         self.faults = Faults()
@@ -67,18 +67,20 @@
     ) -> Iterable[bytes]:
         """Answer one request, or misbehave."""
         if environ["PATH_INFO"] == FAULTS_PATH:
-            return self._set(environ, start_response)
-        self._misbehave()
+            return self._set_faults(environ, start_response)
+        self._apply_faults()
         if self.faults.down:
-            return answer(start_response, http.HTTPStatus.SERVICE_UNAVAILABLE)
-        lost = self.take("lose_answers")
+            return json_response(
+                start_response, http.HTTPStatus.SERVICE_UNAVAILABLE
+            )
+        lost = self.consume("lose_answers")
         body = self._app(environ, start_response)
         if lost:
-            _use_up(body)
+            _drain(body)
             raise DroppedConnectionError
         return body
 
-    def take(self, name: str) -> bool:
+    def consume(self, name: str) -> bool:
         """Use up one of a counted fault; tell whether there was one."""
         with self._lock:
             left = getattr(self.faults, name)
@@ -86,22 +88,22 @@
                 setattr(self.faults, name, left - 1)
             return bool(left)
 
-    def _misbehave(self) -> None:
+    def _apply_faults(self) -> None:
         if self.faults.delay_s:
             time.sleep(self.faults.delay_s)
         while self.faults.frozen:
-            time.sleep(_POLL_S)
+            time.sleep(_FROZEN_POLL_S)
         if self.faults.cut:
             raise DroppedConnectionError
 
-    def _set(
+    def _set_faults(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        self.faults = msgspec.json.decode(body_of(environ), type=Faults)
-        return answer(start_response, http.HTTPStatus.OK, {})
+        self.faults = msgspec.json.decode(read_body(environ), type=Faults)
+        return json_response(start_response, http.HTTPStatus.OK, {})
 
 
-def _use_up(body: Iterable[bytes]) -> None:
+def _drain(body: Iterable[bytes]) -> None:
     iterator: Iterator[bytes] = iter(body)
     for _ in iterator:
         pass
@@ -114,14 +116,14 @@
     :param port: 0 lets the system choose.
     """
 
-    def __init__(self, app: App, *, host: str, port: int) -> None:
-        self.app = FaultyApp(app)
+    def __init__(self, app: WsgiApp, *, host: str, port: int) -> None:
+        self.app = FaultInjector(app)
         self._server = wsgi.Server(
             (host, port),
             self.app,
-            numthreads=_THREADS,
-            max=_THREADS,
-            request_queue_size=_BACKLOG,
+            numthreads=_SERVER_THREADS,
+            max=_SERVER_THREADS,
+            request_queue_size=_LISTEN_BACKLOG,
         )
         self._server.shutdown_timeout = 1
         self._server.error_log = _no_log  # type: ignore[method-assign]
@@ -153,13 +155,13 @@
     logging.debug("standin: %s", msg)
 
 
-def body_of(environ: Environ) -> bytes:
+def read_body(environ: Environ) -> bytes:
     """Return the whole body of a request."""
     body: bytes = environ["wsgi.input"].read()
     return body
 
 
-def answer(
+def json_response(
     start_response: StartResponse,
     status: http.HTTPStatus,
     fields: object = None,
--- a/src/lugcross/standin/hosts.py
+++ b/src/lugcross/standin/hosts.py
@@ -12,7 +12,7 @@
 from lugcross import logservice
 from lugcross.standin import faults
 
-_LAG_S = 1.0
+_DEFAULT_LAG_S = 1.0
 
 
 @final
@@ -22,10 +22,10 @@
     :param lag_s: how far the list is behind, in seconds.
     """
 
-    def __init__(self, *, lag_s: float = _LAG_S) -> None:
+    def __init__(self, *, lag_s: float = _DEFAULT_LAG_S) -> None:
         self._lag_s = lag_s
-        self._shown: dict[str, logservice.Host] = {}
-        self._coming: collections.deque[tuple[float, logservice.Host]] = (
+        self._visible: dict[str, logservice.Host] = {}
+        self._pending: collections.deque[tuple[float, logservice.Host]] = (
             collections.deque()
         )
 
@@ -34,10 +34,10 @@
     ) -> Iterable[bytes]:
         """``GET`` answers the list; ``POST`` sets one host."""
         if environ["REQUEST_METHOD"] == "POST":
-            body = faults.body_of(environ)
+            body = faults.read_body(environ)
             self.set(msgspec.json.decode(body, type=logservice.Host))
-            return faults.answer(start_response, http.HTTPStatus.OK, {})
-        return faults.answer(
+            return faults.json_response(start_response, http.HTTPStatus.OK, {})
+        return faults.json_response(
             start_response,
             http.HTTPStatus.OK,
             msgspec.to_builtins(self._list()),
@@ -45,10 +45,10 @@
 
     def set(self, host: logservice.Host) -> None:
         """Let the list show ``host`` after the lag."""
-        self._coming.append((time.monotonic() + self._lag_s, host))
+        self._pending.append((time.monotonic() + self._lag_s, host))
 
     def _list(self) -> list[logservice.Host]:
-        while self._coming and self._coming[0][0] <= time.monotonic():
-            _, host = self._coming.popleft()
-            self._shown[host.name] = host
-        return list(self._shown.values())
+        while self._pending and self._pending[0][0] <= time.monotonic():
+            _, host = self._pending.popleft()
+            self._visible[host.name] = host
+        return list(self._visible.values())
--- a/src/lugcross/standin/log.py
+++ b/src/lugcross/standin/log.py
@@ -17,12 +17,12 @@
 #: Path that answers how many appends and reads there were.
 COUNTS_PATH = "/counts"
 
-_RATE = 100.0
-_RETENTION_S = 24 * 3600.0
+_DEFAULT_APPENDS_PER_S = 100.0
+_DEFAULT_RETENTION_S = 24 * 3600.0
 
 
-class _Kept(NamedTuple):
-    at: float
+class _StoredRecord(NamedTuple):
+    appended_at: float
     data: bytes
 
 
@@ -30,14 +30,14 @@
 class _Stream:
     def __init__(self) -> None:
         self.first = 1
-        self.records: collections.deque[_Kept] = collections.deque()
+        self.records: collections.deque[_StoredRecord] = collections.deque()
 
     @property
     def end(self) -> int:
         return self.first + len(self.records)
 
     def expire(self, before: float) -> None:
-        while self.records and self.records[0].at < before:
+        while self.records and self.records[0].appended_at < before:
             self.records.popleft()
             self.first += 1
 
@@ -46,16 +46,19 @@
 class LogStandin:
     """Streams in memory, with a rate limit and a retention.
 
-    :param rate: appends a second, all streams together.
+    :param appends_per_s: appends a second, all streams together.
     :param retention_s: how long a record is kept, in seconds.
     """
 
     def __init__(
-        self, *, rate: float = _RATE, retention_s: float = _RETENTION_S
+        self,
+        *,
+        appends_per_s: float = _DEFAULT_APPENDS_PER_S,
+        retention_s: float = _DEFAULT_RETENTION_S,
     ) -> None:
-        self._rate = rate
+        self._appends_per_s = appends_per_s
         self._retention_s = retention_s
-        self._tokens = rate
+        self._tokens = appends_per_s
         self._refilled = time.monotonic()
         self._streams: dict[str, _Stream] = {}
         self._changed = threading.Condition()
@@ -68,7 +71,9 @@
         """Answer one request."""
         if environ["PATH_INFO"] == COUNTS_PATH:
             counts = {"appends": self.appends, "reads": self.reads}
-            return faults.answer(start_response, http.HTTPStatus.OK, counts)
+            return faults.json_response(
+                start_response, http.HTTPStatus.OK, counts
+            )
         name = environ["PATH_INFO"].split("/")[2]
         if environ["REQUEST_METHOD"] == "POST":
             return self._append(name, environ, start_response)
@@ -78,7 +83,7 @@
         """Append one record, past the rate limit."""
         with self._changed:
             stream = self._streams.setdefault(name, _Stream())
-            stream.records.append(_Kept(time.monotonic(), data))
+            stream.records.append(_StoredRecord(time.monotonic(), data))
             self.appends += 1
             self._changed.notify_all()
             return stream.end - 1
@@ -97,15 +102,15 @@
         environ: faults.Environ,
         start_response: faults.StartResponse,
     ) -> Iterable[bytes]:
-        data = faults.body_of(environ)
+        data = faults.read_body(environ)
         if not self._take_token():
-            return faults.answer(
+            return faults.json_response(
                 start_response,
                 http.HTTPStatus.TOO_MANY_REQUESTS,
                 headers=[("Retry-After", "1")],
             )
         offset = self.append(name, data)
-        return faults.answer(
+        return faults.json_response(
             start_response, http.HTTPStatus.OK, {"offset": offset}
         )
 
@@ -117,7 +122,7 @@
     ) -> Iterable[bytes]:
         query = dict(urllib.parse.parse_qsl(environ["QUERY_STRING"]))
         start = int(query["from"])
-        most = int(query.get("max", logservice.READ_MAX))
+        max_records = int(query.get("max", logservice.READ_MAX))
         with self._changed:
             self.reads += 1
             stream = self._streams.setdefault(name, _Stream())
@@ -126,19 +131,19 @@
             )
             stream.expire(time.monotonic() - self._retention_s)
             if start < stream.first:
-                return faults.answer(
+                return faults.json_response(
                     start_response,
                     http.HTTPStatus.GONE,
                     {"first": stream.first},
                 )
-            batch = _batch(stream, start, most)
-        return faults.answer(start_response, http.HTTPStatus.OK, batch)
+            batch = _batch(stream, start, max_records)
+        return faults.json_response(start_response, http.HTTPStatus.OK, batch)
 
     def _take_token(self) -> bool:
         with self._changed:
             now = time.monotonic()
-            earned = (now - self._refilled) * self._rate
-            self._tokens = min(self._rate, self._tokens + earned)
+            earned = (now - self._refilled) * self._appends_per_s
+            self._tokens = min(self._appends_per_s, self._tokens + earned)
             self._refilled = now
             if self._tokens < 1:
                 return False
@@ -146,8 +151,8 @@
             return True
 
 
-def _batch(stream: _Stream, start: int, most: int) -> dict[str, object]:
-    last = min(stream.end, start + most)
+def _batch(stream: _Stream, start: int, max_records: int) -> dict[str, object]:
+    last = min(stream.end, start + max_records)
     return {
         "first": stream.first,
         "end": stream.end,
--- a/src/lugcross/standin/memory.py
+++ b/src/lugcross/standin/memory_log.py
@@ -9,19 +9,19 @@
 
 
 @final
-class MemoryLog:
+class InMemoryLog:
     """Implements :class:`logservice.Log` without waiting or sockets.
 
     :ivar down: appends and reads fail; nothing is kept.
     :ivar lose_answers: next appends that are kept and look failed.
-    :ivar waits: how long each read asked to wait for news, in seconds.
+    :ivar read_waits_s: how long each read asked to wait for news, in seconds.
     """
 
     def __init__(self) -> None:
         self.down = False
         self.lose_answers = 0
         self.appends = 0
-        self.waits: list[float] = []
+        self.read_waits_s: list[float] = []
         self._streams: dict[str, list[bytes]] = {}
         self._first: dict[str, int] = {}
 
@@ -51,7 +51,7 @@
         :raises errors.LogUnavailableError: while the log is down.
         :raises errors.OffsetExpiredError: when ``start`` is too old.
         """
-        self.waits.append(wait_s)
+        self.read_waits_s.append(wait_s)
         if self.down:
             raise errors.LogUnavailableError(
                 "the log is down", remedy="try again"
--- a/src/lugcross/standin/service.py
+++ b/src/lugcross/standin/service.py
@@ -11,7 +11,7 @@
 from lugcross.standin import faults
 
 #: Path that answers how often each request ran, by its id.
-RAN_PATH = "/ran"
+RUN_COUNTS_PATH = "/ran"
 
 
 @final
@@ -24,23 +24,23 @@
     def __init__(self, *, work_s: float = 0.002) -> None:
         self._work_s = work_s
         self._lock = threading.Lock()
-        self.ran: collections.Counter[str] = collections.Counter()
+        self.run_counts: collections.Counter[str] = collections.Counter()
 
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
         """Run one request and answer its receipt."""
-        if environ["PATH_INFO"] == RAN_PATH:
-            return faults.answer(
-                start_response, http.HTTPStatus.OK, dict(self.ran)
+        if environ["PATH_INFO"] == RUN_COUNTS_PATH:
+            return faults.json_response(
+                start_response, http.HTTPStatus.OK, dict(self.run_counts)
             )
-        body = faults.body_of(environ)
+        body = faults.read_body(environ)
         time.sleep(self._work_s)
         name = environ.get("HTTP_IDEMPOTENCY_KEY") or environ.get(
             "HTTP_X_REQUEST_ID", ""
         )
         with self._lock:
-            self.ran[name] += 1
-            receipt = self.ran.total()
+            self.run_counts[name] += 1
+            receipt = self.run_counts.total()
         fields = {"receipt": receipt, "for": name, "bytes": len(body)}
-        return faults.answer(start_response, http.HTTPStatus.OK, fields)
+        return faults.json_response(start_response, http.HTTPStatus.OK, fields)
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -18,8 +18,8 @@
 from lugcross import desired
 from lugcross import http1
 
-_WORD = struct.Struct(">I")
-_BOUNDS = struct.Struct(">QQ")
+_RECORD_LENGTH = struct.Struct(">I")
+_READ_BOUNDS = struct.Struct(">QQ")
 _LIMITS = desired.Limits(
     head_bytes=16_384,
     body_bytes=4_194_304,
@@ -55,8 +55,8 @@
 class StoreStandin:
     """A store in memory.
 
-    :ivar busy: whether every call gets 503.
-    :ivar page: keys of one page of newest records.
+    :ivar unavailable: whether every call gets 503.
+    :ivar page_size: keys of one page of newest records.
     :ivar era: what it tells in all answers; none where it tells nothing.
     """
 
@@ -64,10 +64,10 @@
         self._topics: dict[str, _Topic] = {}
         self._server: asyncio.Server | None = None
         self._clock = clock_lib.SystemClock()
-        self.busy = False
+        self.unavailable = False
         self.era: str | None = None
-        self.page = 500
-        self.calls: list[str] = []
+        self.page_size = 500
+        self.called_paths: list[str] = []
 
     async def start(self, host: str) -> str:
         """Listen on a free port; return the address."""
@@ -84,11 +84,11 @@
         """Append one record; return its offset."""
         return self._topic(topic).append(key, value)
 
-    def drop_history(self, topic: str) -> None:
+    def compact(self, topic: str) -> None:
         """Drop all records but the newest of each key."""
         self._topic(topic).first = self._topic(topic).end
 
-    def copied(self) -> "StoreStandin":
+    def copy(self) -> "StoreStandin":
         """Return a store that has what this one has now."""
         made = StoreStandin()
         for name, topic in self._topics.items():
@@ -98,12 +98,12 @@
             one.newest = dict(topic.newest)
         return made
 
-    def come_back(self, older: "StoreStandin") -> None:
+    def restore_from(self, older: "StoreStandin") -> None:
         """Go on from an older copy of this store, in a new era.
 
         Reads that wait go on waiting, at ends that now are others.
         """
-        self._topics = older.copied()._topics
+        self._topics = older.copy()._topics
         self.era = str(int(self.era or 0) + 1)
 
     def headers(self) -> list[tuple[bytes, bytes]]:
@@ -138,8 +138,8 @@
         """
         parts = urllib.parse.urlsplit(target)
         query = dict(urllib.parse.parse_qsl(parts.query))
-        self.calls.append(parts.path)
-        if self.busy:
+        self.called_paths.append(parts.path)
+        if self.unavailable:
             return http.HTTPStatus.SERVICE_UNAVAILABLE, b""
         if parts.path == "/log-newest":
             return self._newest(query)
@@ -162,9 +162,9 @@
                 "value": base64.b64encode(topic.newest[key][1]).decode(),
                 "offset": topic.newest[key][0],
             }
-            for key in keys[: self.page]
+            for key in keys[: self.page_size]
         ]
-        more = len(keys) > self.page
+        more = len(keys) > self.page_size
         page = {"items": items, "has_more": more, "end": topic.end}
         return http.HTTPStatus.OK, json.dumps(page).encode()
 
@@ -186,11 +186,11 @@
                 pass
             query = {**query, "wait_ms": "0"}
             return await self._read(query)
-        body = _BOUNDS.pack(topic.end, topic.first)
+        body = _READ_BOUNDS.pack(topic.end, topic.first)
         for key, value in topic.records[start:]:
             name = key.encode()
             record = bytes((len(name),)) + name + value
-            body += _WORD.pack(len(record)) + record
+            body += _RECORD_LENGTH.pack(len(record)) + record
         return http.HTTPStatus.OK, body
 
     def _append(
@@ -203,9 +203,11 @@
             return http.HTTPStatus.PRECONDITION_FAILED, body
         at = 0
         while at < len(body):
-            (size,) = _WORD.unpack_from(body, at)
-            record = body[at + _WORD.size : at + _WORD.size + size]
-            at += _WORD.size + size
+            (size,) = _RECORD_LENGTH.unpack_from(body, at)
+            record = body[
+                at + _RECORD_LENGTH.size : at + _RECORD_LENGTH.size + size
+            ]
+            at += _RECORD_LENGTH.size + size
             key_end = 1 + record[0]
             topic.append(record[1:key_end].decode(), record[key_end:])
         answer = {"offset": first, "end": topic.end}
--- a/src/lugcross/standin/weights.py
+++ b/src/lugcross/standin/weights.py
@@ -11,19 +11,19 @@
 
 from lugcross.standin import faults
 
-_BYTES_A_S = 100 * 1_048_576.0
-_PIECE = 65_536
+_DEFAULT_BYTES_PER_S = 100 * 1_048_576.0
+_CHUNK_BYTES = 65_536
 
 
 @final
 class WeightsStandin:
     """``GET /weights/NAME?bytes=N`` answers N bytes, all readers metered.
 
-    :param bytes_a_s: what all readers get together.
+    :param bytes_per_s: what all readers get together.
     """
 
-    def __init__(self, *, bytes_a_s: float = _BYTES_A_S) -> None:
-        self._bytes_a_s = bytes_a_s
+    def __init__(self, *, bytes_per_s: float = _DEFAULT_BYTES_PER_S) -> None:
+        self._bytes_per_s = bytes_per_s
         self._free_at = time.monotonic()
         self._lock = threading.Lock()
         self.served = 0
@@ -38,18 +38,18 @@
         start_response(
             f"{status.value} {status.phrase}", [("Content-Length", str(size))]
         )
-        return self._pieces(size)
+        return self._chunks(size)
 
-    def _pieces(self, size: int) -> Iterator[bytes]:
-        for start in range(0, size, _PIECE):
-            piece = min(_PIECE, size - start)
-            time.sleep(self._reserve(piece))
-            yield bytes(piece)
+    def _chunks(self, size: int) -> Iterator[bytes]:
+        for start in range(0, size, _CHUNK_BYTES):
+            chunk = min(_CHUNK_BYTES, size - start)
+            time.sleep(self._reserve(chunk))
+            yield bytes(chunk)
 
     def _reserve(self, size: int) -> float:
         """Reserve a part of the rate; return how long to wait for it."""
         with self._lock:
             now = time.monotonic()
-            self._free_at = max(self._free_at, now) + size / self._bytes_a_s
+            self._free_at = max(self._free_at, now) + size / self._bytes_per_s
             self.served += size
             return self._free_at - now
--- a/testing/agent/test_claims.py
+++ b/testing/agent/test_claims.py
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        log: standin.MemoryLog,
+        log: standin.InMemoryLog,
         clock: clock_lib.Clock,
         name: str,
         life: int,
@@ -107,16 +107,16 @@
 ) -> None:
     # Sent into an outage, it would hang past its end, and keyed requests
     # would be refused for as long.
-    log = standin.MemoryLog()
+    log = standin.InMemoryLog()
     claimer = AgentModel(log, manual_clock, "a", 1, poll_s=9.0).claimer
     claimer.read_once()
-    log.waits.clear()
+    log.read_waits_s.clear()
     for log.down in (True, True, False, False):
         try:
             claimer.read_once()
         except errors.LogUnavailableError:
             assert log.down
-    assert log.waits == [9.0, 0.0, 0.0, 9.0]
+    assert log.read_waits_s == [9.0, 0.0, 0.0, 9.0]
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
@@ -127,7 +127,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = standin.MemoryLog()
+        self.log = standin.InMemoryLog()
         self.clock = clock_lib.ManualClock()
         self.lives = {"a": 1, "b": 1, "c": 1}
         self.agents = {name: self.begin(name) for name in self.lives}
@@ -213,7 +213,7 @@
 
 
 def test_claims_that_gather_during_an_append_go_in_one_record() -> None:
-    log = standin.MemoryLog()
+    log = standin.InMemoryLog()
     agent = AgentModel(log, clock_lib.ManualClock(), "a", 1)
     agent.claimer.read_once()
     for num in range(50):
@@ -225,7 +225,7 @@
 
 
 def test_no_claim_is_decided_before_the_stream_was_read() -> None:
-    log = standin.MemoryLog()
+    log = standin.InMemoryLog()
     other = AgentModel(log, clock_lib.ManualClock(), "b", 1)
     other.claimer.read_once()
     other.claimer.ask("u0", KEY)
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -59,9 +59,9 @@
         return found
 
 
-def filled(count: int) -> tuple[standin.MemoryLog, cfg.Config]:
+def filled(count: int) -> tuple[standin.InMemoryLog, cfg.Config]:
     """Return a log with ``count`` changes, and what they lead to."""
-    log = standin.MemoryLog()
+    log = standin.InMemoryLog()
     config = cfg.Config()
     for num in range(1, count + 1):
         data = cfg.encode(change(num, num - 1, share=float(num)))
@@ -171,11 +171,11 @@
     log, _ = filled(3)
     node = Node(log, clock, "e1", poll_s=9.0)
     node.follower.read_next()
-    log.waits.clear()
+    log.read_waits_s.clear()
     rests = []
     for log.down in (False, True, True, False, False):
         rests.append(bool(node.follower.read_next()))
-    assert log.waits == [9.0, 9.0, 0.0, 0.0, 9.0]
+    assert log.read_waits_s == [9.0, 9.0, 0.0, 0.0, 9.0]
     assert rests == [False, True, True, False, False]
 
 
@@ -294,7 +294,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = standin.MemoryLog()
+        self.log = standin.InMemoryLog()
         self.clock = clock_lib.ManualClock()
         self.nodes = {name: self.begin(name) for name in NAMES}
         self.links: set[tuple[str, str]] = set()
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -155,7 +155,7 @@
     watch = _Watch(fleet, servers)
     cut = set()
     for _ in range(times):
-        copy = fleet.store.standin.copied()
+        copy = fleet.store.standin.copy()
         servers.change(servers.version + 1)
         servers.write("i-left", b"")
         servers.write("i-drains", _entry("draining"))
@@ -171,7 +171,7 @@
         hit = rng.choice(list(fleet.nodes))
         if fault == "cut":
             cut.add(hit)
-        fleet.store.standin.come_back(copy)
+        fleet.store.standin.restore_from(copy)
         fleet.store.silent = False
         strikes = asyncio.create_task(_strike(fleet, fault, hit, rng))
         await servers.write_again(rng)
@@ -320,14 +320,14 @@
         fleet = fleet_rig.Fleet(monkeypatch, 2, 2)
         fleet.store.standin.era = "1"
         fleet.change(1)
-        copy = fleet.store.standin.copied()
+        copy = fleet.store.standin.copy()
         fleet.start()
         await asyncio.sleep(ago_s)
-        fleet.store.standin.come_back(copy)
-        before = len(fleet.store.standin.calls)
+        fleet.store.standin.restore_from(copy)
+        before = len(fleet.store.standin.called_paths)
         await asyncio.sleep(8.0)
         nodes = fleet.store.standin._topic(platform.NODES_TOPIC).newest
-        calls = fleet.store.standin.calls[before:]
+        calls = fleet.store.standin.called_paths[before:]
         await fleet.stop()
         return len(nodes), calls.count("/log-append")
 
@@ -342,10 +342,10 @@
         fleet.change(1)
         fleet.start()
         await asyncio.sleep(4.0)
-        copy = fleet.store.standin.copied()
+        copy = fleet.store.standin.copy()
         fleet.change(2)
         await asyncio.sleep(2.0)
-        fleet.store.standin.come_back(copy)
+        fleet.store.standin.restore_from(copy)
         await fleet.restart("n0-0")
         # As its settings name it.
         fleet.nodes["n0-0"].knowledge.peers.add("n0-1:9")
--- a/testing/edge/test_duty.py
+++ b/testing/edge/test_duty.py
@@ -99,7 +99,7 @@
         assert duty.may_order(None)
         claimants.is_first = False
         assert not duty.mine()
-        assert not rig.store.calls
+        assert not rig.store.called_paths
 
     run(act)
 
@@ -167,7 +167,7 @@
     async def act(rig: Rig) -> None:
         duty, _ = rig.process("a")
         await rounds(duty)
-        rig.store.busy = True
+        rig.store.unavailable = True
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
             await rounds(duty)
@@ -178,7 +178,7 @@
 
 def test_process_without_the_lease_rests_while_the_store_is_busy():
     async def act(rig: Rig) -> None:
-        rig.store.busy = True
+        rig.store.unavailable = True
         duty, _ = rig.process("a")
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
@@ -222,10 +222,10 @@
 def test_process_that_the_store_turns_away_says_that_it_cannot_claim():
     async def act(rig: Rig) -> None:
         duty, _ = rig.process("a")
-        rig.store.busy = True
+        rig.store.unavailable = True
         await rounds(duty)
         assert not duty.can_claim()
-        rig.store.busy = False
+        rig.store.unavailable = False
         rig.clock.advance(lease_lib.RETRY_AFTER)
         await rounds(duty)
         assert duty.can_claim()
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_knowledge.py
@@ -126,7 +126,7 @@
             platform.ReadResult(end=ids.Offset(5), records=(row,)),
             store_was_away=False,
         )
-        store.busy = True
+        store.unavailable = True
         two = _Node("n2", address, (one.state,))
         await two.knowledge.start()
         task = asyncio.create_task(two.knowledge.run())
@@ -188,7 +188,7 @@
         await _until(lambda: len(taken) >= 2)
         store.append("keyed.t", "a", b"2")
         store.append("keyed.t", "b", b"3")
-        store.drop_history("keyed.t")
+        store.compact("keyed.t")
         await _until(lambda: (True, [b"2", b"3"]) in taken)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
--- a/testing/edge/test_news_soak.py
+++ b/testing/edge/test_news_soak.py
@@ -105,9 +105,9 @@
 
 
 async def store_is_busy(day: _Day, span_s: float) -> None:
-    day.fleet.store.standin.busy = True
+    day.fleet.store.standin.unavailable = True
     await asyncio.sleep(span_s)
-    day.fleet.store.standin.busy = False
+    day.fleet.store.standin.unavailable = False
 
 
 async def connections_go_silent(day: _Day, span_s: float) -> None:
@@ -118,7 +118,7 @@
 async def history_is_dropped(day: _Day, span_s: float) -> None:
     del span_s
     for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC):
-        day.fleet.store.standin.drop_history(topic)
+        day.fleet.store.standin.compact(topic)
 
 
 async def some_are_cut_off(day: _Day, span_s: float) -> None:
--- a/testing/observe/test_export.py
+++ b/testing/observe/test_export.py
@@ -41,8 +41,8 @@
     def collect(
         environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        bodies.append(faults.body_of(environ))
-        return faults.answer(start_response, http.HTTPStatus.OK, {})
+        bodies.append(faults.read_body(environ))
+        return faults.json_response(start_response, http.HTTPStatus.OK, {})
 
     server = standin.StandinServer(collect, host="127.0.0.1", port=0)
     server.start()
--- a/testing/platform/test_store_client.py
+++ b/testing/platform/test_store_client.py
@@ -40,7 +40,7 @@
 
 def test_newest_records_come_from_all_pages_and_follow_the_first_end():
     async def act(store, client):
-        store.page = 2
+        store.page_size = 2
         for key in ("a", "b", "c", "a"):
             store.append(TOPIC, key, key.encode())
         tail = await client.read_newest(TOPIC)
@@ -69,7 +69,7 @@
         read = asyncio.create_task(
             client.read_from(TOPIC, ids.Offset(0), wait=LONG)
         )
-        while not store.calls:
+        while not store.called_paths:
             await asyncio.sleep(0)
         store.append(TOPIC, "a", b"1")
         return len((await read).records)
@@ -80,10 +80,10 @@
 def test_dropped_history_is_told_apart_from_an_outage():
     async def act(store, client):
         store.append(TOPIC, "a", b"1")
-        store.drop_history(TOPIC)
+        store.compact(TOPIC)
         with pytest.raises(errors.OffsetExpiredError):
             await client.read_from(TOPIC, ids.Offset(0), wait=NO_WAIT)
-        store.busy = True
+        store.unavailable = True
         with pytest.raises(errors.LogUnavailableError):
             await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
         return True
@@ -134,7 +134,7 @@
 
 def test_conditional_write_to_a_busy_store_is_unclear():
     async def act(store, client):
-        store.busy = True
+        store.unavailable = True
         with pytest.raises(errors.AppendUnknownError):
             await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
 
--- a/testing/soak/test_soak.py
+++ b/testing/soak/test_soak.py
@@ -136,9 +136,9 @@
 
 
 async def store_turns_all_away(day: _Day) -> None:
-    day.fleet.store.busy = True
+    day.fleet.store.unavailable = True
     await day.half()
-    day.fleet.store.busy = False
+    day.fleet.store.unavailable = False
 
 
 async def store_is_silent_to_one(day: _Day) -> None:
@@ -151,7 +151,7 @@
 
 
 async def store_comes_back_from_a_copy(day: _Day) -> None:
-    copy = day.fleet.store.copied()
+    copy = day.fleet.store.copy()
     day.fleet.change()
     await day.half()
     day.fleet.come_back(copy)
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -318,7 +318,7 @@
 
     def come_back(self, older: standin.StoreStandin) -> None:
         """Bring the store back from a copy; who wrote to it does so again."""
-        self.store.come_back(older)
+        self.store.restore_from(older)
         for num in range(len(self.servers)):
             self._write(num)
         self._write_state()
