--- a/bench/http_edge.py
+++ b/bench/http_edge.py
@@ -66,7 +66,9 @@
     port_box: list[int] = []
     ready = threading.Event()
 
-    async def handler(exchange: http1.Exchange, req: http1.Request) -> None:
+    async def handler(
+        exchange: http1.ResponseWriter, req: http1.Request
+    ) -> None:
         del exchange, req
         begun.set()
         try:
@@ -82,7 +84,7 @@
             writer,
             handler,
             limits=lambda: _LIMITS,
-            leaving=lambda: False,
+            draining=lambda: False,
             clock=clock_lib.SystemClock(),
         )
         await conn.run()
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -202,7 +202,7 @@
             writer,
             self._runner.handle,
             limits=self._limits,
-            leaving=lambda: self._leaving_since is not None,
+            draining=lambda: self._leaving_since is not None,
             clock=self._clock,
         )
         self._conns.add(conn)
@@ -252,7 +252,7 @@
             writer,
             handler,
             limits=lambda: _FIRST_LIMITS,
-            leaving=lambda: self._leaving_since is not None,
+            draining=lambda: self._leaving_since is not None,
             clock=self._clock,
         )
         await conn.run()
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        exchange: http1.Exchange,
+        exchange: http1.ResponseWriter,
         plan: plan_lib.Plan,
         clock: clock_lib.Clock,
     ) -> None:
@@ -54,17 +54,19 @@
         self._clock = clock
         self.first_at: clock_lib.Instant | None = None
         self.status = 0
-        self._held: tuple[http1.Answer, bytes] | None = None
+        self._held: tuple[http1.ResponseHead, bytes] | None = None
         self.begun = False
         self.last_id = plan.head.last_event_id
 
-    async def give(self, answer: http1.Answer, body: bytes) -> None:
+    async def give(self, answer: http1.ResponseHead, body: bytes) -> None:
         """Give a whole answer."""
         self._begin(answer)
-        headers = platform.headers_to_caller(answer.raw)
-        await self._exchange.head(answer.status, headers, body, whole=True)
+        headers = platform.headers_to_caller(answer.raw_headers)
+        await self._exchange.write_head(
+            answer.status, headers, body, whole=True
+        )
 
-    def hold(self, answer: http1.Answer, body: bytes) -> None:
+    def hold(self, answer: http1.ResponseHead, body: bytes) -> None:
         """Keep a failure, for the case that there is nothing better."""
         self._held = (answer, body)
 
@@ -73,29 +75,31 @@
         assert self._held is not None
         await self.give(*self._held)
 
-    async def events(self, answer: http1.Answer, some: list[bytes]) -> None:
+    async def events(
+        self, answer: http1.ResponseHead, some: list[bytes]
+    ) -> None:
         """Give events; before the first of them the head."""
         data = b"".join(some)
         for event in some:
             self.last_id = events.event_id(event) or self.last_id
         if self.begun:
-            await self._exchange.data(data)
+            await self._exchange.write_data(data)
             return
         self._begin(answer)
-        headers = platform.headers_to_caller(answer.raw)
-        await self._exchange.head(answer.status, headers, data)
+        headers = platform.headers_to_caller(answer.raw_headers)
+        await self._exchange.write_head(answer.status, headers, data)
 
-    def _begin(self, answer: http1.Answer) -> None:
+    def _begin(self, answer: http1.ResponseHead) -> None:
         self.begun = True
         self.status = answer.status
         self.first_at = self._clock.monotonic()
 
-    async def end(self, answer: http1.Answer) -> None:
+    async def end(self, answer: http1.ResponseHead) -> None:
         """Mark a stream as whole."""
         if not self.begun:
             await self.give(answer, b"")
             return
-        await self._exchange.end()
+        await self._exchange.finish()
 
 
 @final
@@ -135,7 +139,7 @@
     async def run(self) -> lifecycle.Event | None:
         """Return none once the caller has the whole answer.
 
-        :raises http1.CallerGoneError: when nobody reads it.
+        :raises http1.CallerDisconnectedError: when nobody reads it.
         """
         world = self._world
         plan = self._plan
@@ -170,8 +174,8 @@
             self._send(conn)
             event = await self._receive(conn)
             whole = conn.reusable
-        except (http1.BrokenError, _BadAnswerError) as exc:
-            ended = isinstance(exc, http1.BrokenError)
+        except (http1.ConnectionBrokenError, _BadAnswerError) as exc:
+            ended = isinstance(exc, http1.ConnectionBrokenError)
             self.cut_off = ended and not self._unheard
             unheard = "no byte of the request was acknowledged"
             self._failed(unheard if self._unheard else str(exc))
@@ -189,7 +193,7 @@
         resumed = self._delivery.begun
         left = plan.deadline - self._clock.monotonic() - _ON_THE_WAY
         headers = platform.headers_to_backend(
-            plan.req.raw,
+            plan.req.raw_headers,
             backend=self._backend.id,
             workspace=plan.space,
             time_left=left,
@@ -205,7 +209,7 @@
         self._keep = head.keep_alive
         self._world.heard(self._backend, head)
         if head.not_executed:
-            await conn.body()
+            await conn.read_body()
             return self._not_run(head)
         self._check(head)
         types = [v for n, v in answer.headers if n == b"content-type"]
@@ -217,7 +221,7 @@
 
     async def _heard_answer(
         self, conn: http1.ClientConn
-    ) -> tuple[http1.Answer, platform.BackendResponseHead]:
+    ) -> tuple[http1.ResponseHead, platform.BackendResponseHead]:
         """Return the answer to this request, unless it was not heard.
 
         Where it cannot go elsewhere, as what must not be repeated and may
@@ -232,7 +236,7 @@
             look.cancel()
 
     def _end_if_unheard(self, conn: http1.ClientConn) -> None:
-        if not conn.unheard() or not self._again():
+        if not conn.nothing_acknowledged() or not self._again():
             return
         self._unheard = True
         self._world.pool.drop(self._backend.key)
@@ -240,10 +244,10 @@
 
     async def _own_answer(
         self, conn: http1.ClientConn
-    ) -> tuple[http1.Answer, platform.BackendResponseHead]:
+    ) -> tuple[http1.ResponseHead, platform.BackendResponseHead]:
         """Return the answer to this request, past any to earlier ones."""
         while True:
-            answer = await conn.answer()
+            answer = await conn.read_head()
             head = platform.parse_backend_response_head(
                 answer.status, answer.headers
             )
@@ -259,8 +263,8 @@
             )
             # Late, but the same server's word about itself.
             self._world.heard(self._backend, head)
-            await conn.body()
-            conn.skip_answer(self._plan.req.method)
+            await conn.read_body()
+            conn.expect_another_response(self._plan.req.method)
 
     def _not_run(self, head: platform.BackendResponseHead) -> lifecycle.Event:
         if head.wrong_instance:
@@ -282,10 +286,10 @@
     async def _pass_whole(
         self,
         conn: http1.ClientConn,
-        answer: http1.Answer,
+        answer: http1.ResponseHead,
         head: platform.BackendResponseHead,
     ) -> lifecycle.Event | None:
-        body = await conn.body()
+        body = await conn.read_body()
         failed = head.status >= http.HTTPStatus.INTERNAL_SERVER_ERROR
         if failed or head.status in platform.NOT_EXECUTED_STATUSES:
             self._failed(f"status {head.status}")
@@ -301,12 +305,12 @@
         return None
 
     async def _pass_events(
-        self, conn: http1.ClientConn, answer: http1.Answer
+        self, conn: http1.ClientConn, answer: http1.ResponseHead
     ) -> lifecycle.Event | None:
         splitter = events.Splitter()
         after = self._delivery.last_id if self._delivery.begun else ""
         last: clock_lib.Instant | None = None
-        while (data := await conn.data()) is not None:
+        while (data := await conn.read_data()) is not None:
             some = splitter.feed(data)
             if some:
                 last = self._note_pause(last)
--- a/src/lugcross/edge/engines.py
+++ b/src/lugcross/edge/engines.py
@@ -47,7 +47,7 @@
         """Return status and body of the answer.
 
         :raises http1.NoConnectionError: when nothing was sent.
-        :raises http1.BrokenError: when it may have been read.
+        :raises http1.ConnectionBrokenError: when it may have been read.
         """
         conn = await self._pool.take(backend)
         if not self._may_send(backend.key):
@@ -62,11 +62,11 @@
         try:
             async with asyncio.timeout(self._answer_s):
                 conn.send(method.encode(), target.encode(), headers, body)
-                answer = await conn.answer()
-                got = await conn.body()
+                answer = await conn.read_head()
+                got = await conn.read_body()
         except TimeoutError as exc:
             conn.close()
-            raise http1.BrokenError(
+            raise http1.ConnectionBrokenError(
                 f"no answer within {self._answer_s} s", remedy="ask again"
             ) from exc
         except BaseException:
--- a/src/lugcross/edge/figures.py
+++ b/src/lugcross/edge/figures.py
@@ -168,7 +168,7 @@
 
 async def give(
     figures: Figures,
-    exchange: http1.Exchange,
+    exchange: http1.ResponseWriter,
     req: http1.Request,
     *,
     listing: Callable[[], bytes],
@@ -178,7 +178,7 @@
     :param listing: tells which requests are suspect.
     """
     if req.target.partition(b"?")[0] == LISTING_PATH:
-        await exchange.head(
+        await exchange.write_head(
             http.HTTPStatus.OK,
             [(b"Content-Type", b"application/json")],
             listing(),
@@ -186,6 +186,6 @@
         )
         return
     headers = [(b"Content-Type", b"text/plain; version=0.0.4")]
-    await exchange.head(
+    await exchange.write_head(
         http.HTTPStatus.OK, headers, figures.text(), whole=True
     )
--- a/src/lugcross/edge/pool.py
+++ b/src/lugcross/edge/pool.py
@@ -69,7 +69,7 @@
                 # All others have rested longer.
                 break
             one = idle.pop()
-            usable = not one.conn.closing and not one.conn.pending
+            usable = not one.conn.closing and not one.conn.has_unread_data
             if usable and now < one.until:
                 return one.conn
             one.conn.close()
--- a/src/lugcross/edge/ready.py
+++ b/src/lugcross/edge/ready.py
@@ -11,19 +11,23 @@
 
 def handler(
     unready: Callable[[], str],
-) -> Callable[[http1.Exchange, http1.Request], Coroutine[Any, Any, None]]:
+) -> Callable[
+    [http1.ResponseWriter, http1.Request], Coroutine[Any, Any, None]
+]:
     """Return a handler that answers 200, or 503 with the reason.
 
     :param unready: reason why none should come; empty if they may.
     """
 
-    async def answer(exchange: http1.Exchange, req: http1.Request) -> None:
+    async def answer(
+        exchange: http1.ResponseWriter, req: http1.Request
+    ) -> None:
         del req
         why = unready()
         status = (
             http.HTTPStatus.SERVICE_UNAVAILABLE if why else http.HTTPStatus.OK
         )
         headers = [(b"Content-Type", b"text/plain")]
-        await exchange.head(status, headers, why.encode(), whole=True)
+        await exchange.write_head(status, headers, why.encode(), whole=True)
 
     return answer
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -46,7 +46,7 @@
         self._rng = rng
 
     async def handle(
-        self, exchange: http1.Exchange, req: http1.Request
+        self, exchange: http1.ResponseWriter, req: http1.Request
     ) -> None:
         """Answer one request."""
         head = platform.parse_caller_request_head(req.headers)
@@ -63,9 +63,9 @@
             ).run()
         except refusal.RefusedError as exc:
             self._log_refusal(head, plan, exc)
-            if exchange.started:
+            if exchange.head_written:
                 return
-            await exchange.head(
+            await exchange.write_head(
                 exc.status, exc.headers(), exc.body(), whole=True
             )
 
@@ -86,7 +86,7 @@
             route=route,
             service=self._service(route),
             workspace=workspace,
-            deadline=req.at + wait,
+            deadline=req.received_at + wait,
             version=state.version,
         )
 
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -33,7 +33,7 @@
         self,
         world: world_lib.World,
         clock: clock_lib.Clock,
-        exchange: http1.Exchange,
+        exchange: http1.ResponseWriter,
         plan: plan_lib.Plan,
         changed: Callable[[], None],
         rng: random.Random,
@@ -48,7 +48,7 @@
         #: Whether the last attempt's server ended its connection.
         self._cut_off = False
         #: When the last attempt was sent.
-        self._sent_at = plan.req.at
+        self._sent_at = plan.req.received_at
         self._state = lifecycle.State(
             repeatable=plan.route.repeatable, attempts=plan.route.attempts
         )
@@ -234,10 +234,10 @@
         """Tell how a request that has its answer came by it."""
         plan = self._plan
         first = self._answer.first_at
-        took = None if first is None else first - plan.req.at
+        took = None if first is None else first - plan.req.received_at
         status = self._answer.status
         self._world.figures.answered(plan.service, status, took)
-        whole = self._clock.monotonic() - plan.req.at
+        whole = self._clock.monotonic() - plan.req.received_at
         logging.info(
             "answered",
             extra={
--- a/src/lugcross/http1/client.py
+++ b/src/lugcross/http1/client.py
@@ -16,21 +16,21 @@
 from lugcross import errors
 
 #: Bytes that a socket holds until they are acknowledged.
-_QUEUED = struct.Struct("i")
+_QUEUED_BYTES = struct.Struct("i")
 #: Bytes taken from the socket at once.
-_READ = 65_536
+_READ_BYTES = 65_536
 #: Bytes that may wait for a peer that does not read, per connection.
-_BUFFER = 262_144
+_MAX_BUFFERED_BYTES = 262_144
 #: Largest head of an answer, in bytes.
-_MAX_HEAD = 65_536
+_MAX_HEAD_BYTES = 65_536
 #: A peer that acknowledges nothing for this long is taken as cut off.
 #: Longer than a lost packet's few retransmissions, shorter than the
 #: time that a caller would wait in vain.
-_SILENT_MS = 3_000
+_UNACKNOWLEDGED_TIMEOUT_MS = 3_000
 #: Rest after which keep-alive probes go out, and the time between two.
-_PROBE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
 #: Probes without an answer after which a peer is taken as cut off.
-_PROBES = 3
+_MAX_KEEPALIVE_PROBES = 3
 
 
 class NoConnectionError(errors.LugcrossError):
@@ -42,21 +42,21 @@
         return isinstance(self.__cause__, ConnectionRefusedError)
 
 
-class BrokenError(errors.LugcrossError):
+class ConnectionBrokenError(errors.LugcrossError):
     """A connection that broke once a request may have been read."""
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Answer:
+class ResponseHead:
     """Head of an answer.
 
-    :param raw: headers with their names as they were spelled.
+    :param raw_headers: headers with their names as they were spelled.
     :param headers: headers with their names in lower case.
     """
 
     status: int
-    raw: list[tuple[bytes, bytes]]
+    raw_headers: list[tuple[bytes, bytes]]
     headers: list[tuple[bytes, bytes]]
 
 
@@ -68,14 +68,14 @@
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(
-                host, port, limit=_BUFFER
+                host, port, limit=_MAX_BUFFERED_BYTES
             )
     except (OSError, TimeoutError) as exc:
         raise NoConnectionError(
             f"no connection to {host}:{port} ({exc or 'timed out'})",
             remedy="send to another backend server",
         ) from exc
-    _watch_peer(writer)
+    _detect_dead_peer(writer)
     return ClientConn(reader, writer)
 
 
@@ -88,10 +88,10 @@
     ) -> None:
         self._reader = reader
         self._writer = writer
-        self._h11 = _machine()
-        self.used = 0
+        self._h11 = _h11_connection()
+        self.request_count = 0
         #: Bytes of the request that was sent last.
-        self._sent = 0
+        self._last_request_bytes = 0
 
     @property
     def reusable(self) -> bool:
@@ -108,7 +108,7 @@
             # Answered before the request was read; what the server makes
             # of the rest is not known.
             return False
-        return not self._h11.trailing_data[0] and not self.pending
+        return not self._h11.trailing_data[0] and not self.has_unread_data
 
     @property
     def closing(self) -> bool:
@@ -116,12 +116,12 @@
         return self._reader.at_eof() or self._writer.is_closing()
 
     @property
-    def pending(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether bytes have come that nobody asked for."""
         # The reader offers no look at what it holds but this.
         return bool(self._reader._buffer)  # type: ignore[attr-defined]
 
-    def unheard(self) -> bool:
+    def nothing_acknowledged(self) -> bool:
         """Tell whether no byte of the last request was acknowledged.
 
         What the peer's host has acknowledged it has, whether or not the
@@ -130,14 +130,16 @@
         """
         sock: socket.socket = self._writer.get_extra_info("socket")
         try:
-            raw = fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(_QUEUED.size))
+            raw = fcntl.ioctl(
+                sock, termios.TIOCOUTQ, bytes(_QUEUED_BYTES.size)
+            )
         except (OSError, ValueError) as exc:
             # A platform that lacks the call: the answer is waited for.
             logging.debug("cannot see what is queued: %s", exc)
             return False
-        queued: int = _QUEUED.unpack(raw)[0]
+        queued: int = _QUEUED_BYTES.unpack(raw)[0]
         waiting = self._writer.transport.get_write_buffer_size()
-        return queued + waiting >= self._sent
+        return queued + waiting >= self._last_request_bytes
 
     def send(
         self,
@@ -147,9 +149,9 @@
         body: bytes,
     ) -> None:
         """Begin to send one request; its bytes go out in order."""
-        if self.used:
+        if self.request_count:
             self._h11.start_next_cycle()
-        self.used += 1
+        self.request_count += 1
         head = h11.Request(method=method, target=target, headers=headers)
         data = self._h11.send(head) or b""
         if body:
@@ -158,55 +160,55 @@
         # Not waited for: the server may answer before it has read a long
         # body, and the answer must be read then. A connection that is lost
         # shows when the answer is read.
-        self._sent = len(data)
+        self._last_request_bytes = len(data)
         self._writer.write(data)
 
-    async def answer(self) -> Answer:
+    async def read_head(self) -> ResponseHead:
         """Return the head of the answer, past any provisional ones.
 
-        :raises BrokenError: when it does not come whole.
+        :raises ConnectionBrokenError: when it does not come whole.
         """
         while True:
-            event = await self._next()
+            event = await self._next_event()
             if isinstance(event, h11.Response):
-                return Answer(
+                return ResponseHead(
                     event.status_code,
                     list(event.headers.raw_items()),
                     list(event.headers),
                 )
             if not isinstance(event, h11.InformationalResponse):
-                raise _broken(f"{type(event).__name__} before any head")
+                raise _broken_error(f"{type(event).__name__} before any head")
 
-    async def data(self) -> bytes | None:
+    async def read_data(self) -> bytes | None:
         """Return more of the body; none at its end.
 
-        :raises BrokenError: when the body is not whole.
+        :raises ConnectionBrokenError: when the body is not whole.
         """
-        event = await self._next()
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise _broken(f"{type(event).__name__} within a body")
+        raise _broken_error(f"{type(event).__name__} within a body")
 
-    async def body(self) -> bytes:
+    async def read_body(self) -> bytes:
         """Return all that is left of the body.
 
-        :raises BrokenError: when it is not whole.
+        :raises ConnectionBrokenError: when it is not whole.
         """
         parts = []
-        while (data := await self.data()) is not None:
+        while (data := await self.read_data()) is not None:
             parts.append(data)
         return b"".join(parts)
 
-    def skip_answer(self, method: bytes) -> None:
+    def expect_another_response(self, method: bytes) -> None:
         """Wait for one more answer to the same request.
 
         Called after a whole answer that belongs to an earlier request:
         the one that is due may still follow.
         """
         rest, _ = self._h11.trailing_data
-        self._h11 = _machine()
+        self._h11 = _h11_connection()
         # Nothing is written: this only tells the new machine that a
         # request is out.
         self._h11.send(
@@ -220,50 +222,60 @@
         """Close at once; what was not yet sent is dropped."""
         self._writer.transport.abort()
 
-    async def _next(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while True:
             try:
                 event = self._h11.next_event()
             except h11.RemoteProtocolError as exc:
-                raise _broken(str(exc)) from exc
+                raise _broken_error(str(exc)) from exc
             if event is h11.NEED_DATA:
                 await self._receive()
                 continue
             if isinstance(event, h11.Event):
                 return event
-            raise _broken("the peer closed")
+            raise _broken_error("the peer closed")
 
     async def _receive(self) -> None:
         try:
-            data = await self._reader.read(_READ)
+            data = await self._reader.read(_READ_BYTES)
         except OSError as exc:
-            raise _broken(str(exc)) from exc
+            raise _broken_error(str(exc)) from exc
         try:
             self._h11.receive_data(data)
         except RuntimeError as exc:
-            raise _broken("the peer closed") from exc
+            raise _broken_error("the peer closed") from exc
 
 
-def _machine() -> h11.Connection:
-    return h11.Connection(h11.CLIENT, max_incomplete_event_size=_MAX_HEAD)
+def _h11_connection() -> h11.Connection:
+    return h11.Connection(
+        h11.CLIENT, max_incomplete_event_size=_MAX_HEAD_BYTES
+    )
 
 
-def _watch_peer(writer: asyncio.StreamWriter) -> None:
+def _detect_dead_peer(writer: asyncio.StreamWriter) -> None:
     """Make the kernel notice a peer that is cut off."""
     sock: socket.socket = writer.get_extra_info("socket")
     # A platform that lacks an option still serves without it.
     with contextlib.suppress(OSError):
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _SILENT_MS
+            socket.IPPROTO_TCP,
+            socket.TCP_USER_TIMEOUT,
+            _UNACKNOWLEDGED_TIMEOUT_MS,
         )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_INTERVAL_S
+        )
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S
+        )
+        sock.setsockopt(
+            socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _MAX_KEEPALIVE_PROBES
+        )
 
 
-def _broken(why: str) -> BrokenError:
-    return BrokenError(
+def _broken_error(why: str) -> ConnectionBrokenError:
+    return ConnectionBrokenError(
         f"the connection broke ({why})",
         remedy="whether the request ran is not known",
     )
--- a/src/lugcross/http1/server.py
+++ b/src/lugcross/http1/server.py
@@ -18,15 +18,15 @@
 from lugcross import errors
 
 #: Bytes taken from the socket at once.
-_READ = 65_536
+_READ_BYTES = 65_536
 #: Bytes that may wait for a caller that does not read.
-_BUFFER = 262_144
+_MAX_BUFFERED_BYTES = 262_144
 #: Bytes of later requests that are read while one is being served;
 #: past that, a caller that leaves is noticed by the next write.
-_PIPELINED = 131_072
+_MAX_PIPELINED_BYTES = 131_072
 
 
-class CallerGoneError(errors.LugcrossError):
+class CallerDisconnectedError(errors.LugcrossError):
     """A caller that closed its connection."""
 
 
@@ -36,23 +36,23 @@
     """One whole request of a caller.
 
     :param headers: names in lower case.
-    :param raw: names as the caller spelled them.
+    :param raw_headers: names as the caller spelled them.
     :param body: none where the request had no body at all.
-    :param at: when its head was read.
+    :param received_at: when its head was read.
     """
 
     method: bytes
     target: bytes
     headers: list[tuple[bytes, bytes]]
-    raw: list[tuple[bytes, bytes]]
+    raw_headers: list[tuple[bytes, bytes]]
     body: bytes | None
-    at: clock_lib.Instant
+    received_at: clock_lib.Instant
 
 
-Handler = Callable[["Exchange", Request], Coroutine[Any, Any, None]]
+Handler = Callable[["ResponseWriter", Request], Coroutine[Any, Any, None]]
 
 
-class _RefusedError(errors.LugcrossError):
+class _BadRequestError(errors.LugcrossError):
     """Input that is answered with an error of our own."""
 
     def __init__(self, status: http.HTTPStatus, what: str) -> None:
@@ -61,15 +61,15 @@
 
 
 @final
-class Exchange:
+class ResponseWriter:
     """Where the answer to one request goes."""
 
     def __init__(self, conn: "ServerConn") -> None:
         self._conn = conn
-        self.started = False
-        self.ended = False
+        self.head_written = False
+        self.finished = False
 
-    async def head(
+    async def write_head(
         self,
         status: int,
         headers: list[tuple[bytes, bytes]],
@@ -80,20 +80,20 @@
         """Give the head and the first part of the body.
 
         :param whole: whether ``body`` is all there is.
-        :raises CallerGoneError: when nobody is there to read it.
+        :raises CallerDisconnectedError: when nobody is there to read it.
         """
-        self.started = True
+        self.head_written = True
         await self._conn.write_head(status, headers, body, whole=whole)
-        self.ended = whole
+        self.finished = whole
 
-    async def data(self, data: bytes) -> None:
+    async def write_data(self, data: bytes) -> None:
         """Give more of the body."""
         await self._conn.write_event(h11.Data(data=data))
 
-    async def end(self) -> None:
+    async def finish(self) -> None:
         """Mark the answer as whole."""
         await self._conn.write_event(h11.EndOfMessage())
-        self.ended = True
+        self.finished = True
 
 
 @final
@@ -101,7 +101,7 @@
     """Serves one connection until either side ends it.
 
     :param limits: bounds on what a caller may send, as they are now.
-    :param leaving: whether connections should end with their answer.
+    :param draining: whether connections should end with their answer.
     """
 
     def __init__(
@@ -111,27 +111,27 @@
         handler: Handler,
         *,
         limits: Callable[[], desired.Limits],
-        leaving: Callable[[], bool],
+        draining: Callable[[], bool],
         clock: clock_lib.Clock,
     ) -> None:
         self._reader = reader
         self._writer = writer
         self._handler = handler
         self._limits = limits
-        self._leaving = leaving
+        self._draining = draining
         self._clock = clock
-        self._h11 = _machine(limits())
+        self._h11 = _h11_connection(limits())
         self._method = b""
-        self._pipelined = 0
+        self._pipelined_bytes = 0
         self.busy = False
-        writer.transport.set_write_buffer_limits(high=_BUFFER)
+        writer.transport.set_write_buffer_limits(high=_MAX_BUFFERED_BYTES)
 
     async def run(self) -> None:
         """Serve until the connection is over."""
         try:
             while await self._serve_one():
                 pass
-        except (CallerGoneError, OSError):
+        except (CallerDisconnectedError, OSError):
             # The caller has left; what it had asked for was cancelled.
             self._writer.transport.abort()
         finally:
@@ -157,7 +157,7 @@
             body = b""
         elif whole:
             headers.append((b"Content-Length", str(len(body)).encode()))
-        if self._leaving():
+        if self._draining():
             headers.append((b"Connection", b"close"))
         out = self._send(
             h11.Response(
@@ -179,25 +179,25 @@
 
     async def _write(self, data: bytes) -> None:
         if self._writer.is_closing():
-            raise _gone("it closed its connection")
+            raise _disconnected_error("it closed its connection")
         try:
             self._writer.write(data)
             await self._writer.drain()
         except OSError as exc:
-            raise _gone(str(exc)) from exc
+            raise _disconnected_error(str(exc)) from exc
 
     async def _serve_one(self) -> bool:
         """Read and answer one request; tell whether more may follow."""
         try:
             req = await self._read_request()
-        except _RefusedError as exc:
+        except _BadRequestError as exc:
             await self._refuse(exc)
             return False
         if req is None:
             return False
-        exchange = Exchange(self)
-        await self._answer(exchange, req)
-        if not exchange.ended:
+        response = ResponseWriter(self)
+        await self._answer(response, req)
+        if not response.finished:
             # Closing without the mark of an end shows that it is broken.
             self._writer.transport.abort()
             return False
@@ -209,44 +209,48 @@
         self.busy = False
         return True
 
-    async def _answer(self, exchange: Exchange, req: Request) -> None:
+    async def _answer(self, response: ResponseWriter, req: Request) -> None:
         """Run the handler; stop it as soon as the caller leaves."""
-        work = asyncio.create_task(self._handler(exchange, req))
-        watch = asyncio.create_task(self._until_gone())
+        work = asyncio.create_task(self._handler(response, req))
+        watch = asyncio.create_task(self._wait_for_disconnect())
         try:
             await asyncio.wait(
                 (work, watch), return_when=asyncio.FIRST_COMPLETED
             )
             if not work.done():
-                raise _gone("it left before its answer was whole")
+                raise _disconnected_error(
+                    "it left before its answer was whole"
+                )
         finally:
             work.cancel()
             watch.cancel()
             await asyncio.gather(work, watch, return_exceptions=True)
         error = work.exception()
         if error is not None:
-            if not isinstance(error, CallerGoneError):
+            if not isinstance(error, CallerDisconnectedError):
                 logging.error("a request failed here", exc_info=error)
-            raise _gone("its answer could not be given") from error
+            raise _disconnected_error(
+                "its answer could not be given"
+            ) from error
 
-    async def _until_gone(self) -> None:
+    async def _wait_for_disconnect(self) -> None:
         """Return when the caller closes; keep what it sends meanwhile."""
-        while self._pipelined < _PIPELINED:
-            data = await self._reader.read(_READ)
+        while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
+            data = await self._reader.read(_READ_BYTES)
             if not data:
                 return
-            self._pipelined += len(data)
+            self._pipelined_bytes += len(data)
             self._h11.receive_data(data)
         await asyncio.get_running_loop().create_future()
 
     async def _read_request(self) -> Request | None:
         limits = self._limits()
-        self._pipelined = 0
+        self._pipelined_bytes = 0
         head = await self._read_head(limits)
         if head is None:
             return None
         self._method = head.method
-        at = self._clock.monotonic()
+        received_at = self._clock.monotonic()
         headers = list(head.headers)
         _check_framing(headers, limits)
         if self._h11.they_are_waiting_for_100_continue:
@@ -261,9 +265,9 @@
             method=head.method,
             target=head.target,
             headers=headers,
-            raw=list(head.headers.raw_items()),
+            raw_headers=list(head.headers.raw_items()),
             body=body if framed else None,
-            at=at,
+            received_at=received_at,
         )
 
     async def _read_head(self, limits: desired.Limits) -> h11.Request | None:
@@ -279,7 +283,7 @@
             if not await self._receive(max(left, datetime.timedelta())):
                 if self._reader.at_eof():
                     return None
-                raise _RefusedError(
+                raise _BadRequestError(
                     http.HTTPStatus.REQUEST_TIMEOUT,
                     "the head of the request took too long",
                 )
@@ -297,15 +301,15 @@
                 if await self._receive(limits.idle_time):
                     continue
                 if self._reader.at_eof():
-                    raise _gone("it left within its request")
-                raise _RefusedError(
+                    raise _disconnected_error("it left within its request")
+                raise _BadRequestError(
                     http.HTTPStatus.REQUEST_TIMEOUT,
                     "the body of the request rested for too long",
                 )
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > limits.body_bytes:
-                    raise _too_large(limits)
+                    raise _too_large_error(limits)
                 parts.append(bytes(event.data))
                 continue
             return b"".join(parts)
@@ -314,7 +318,7 @@
         try:
             return self._h11.next_event()
         except h11.RemoteProtocolError as exc:
-            raise _RefusedError(
+            raise _BadRequestError(
                 http.HTTPStatus(exc.error_status_hint), str(exc)
             ) from exc
 
@@ -322,14 +326,14 @@
         """Take more bytes; tell whether any came in time."""
         try:
             async with asyncio.timeout(wait.total_seconds()):
-                data = await self._reader.read(_READ)
+                data = await self._reader.read(_READ_BYTES)
         except TimeoutError:
             return False
         if data:
             self._h11.receive_data(data)
         return bool(data)
 
-    async def _refuse(self, exc: _RefusedError) -> None:
+    async def _refuse(self, exc: _BadRequestError) -> None:
         logging.warning(
             "bad request",
             extra={"status": exc.status.value, "why": exc.what},
@@ -356,7 +360,7 @@
         await self._receive(datetime.timedelta(milliseconds=200))
 
 
-def _machine(limits: desired.Limits) -> h11.Connection:
+def _h11_connection(limits: desired.Limits) -> h11.Connection:
     return h11.Connection(
         h11.SERVER, max_incomplete_event_size=limits.head_bytes
     )
@@ -369,16 +373,16 @@
     length = found.get(b"content-length")
     if length is not None and b"transfer-encoding" in found:
         # Two lengths: whoever reads the other one sees another request.
-        raise _RefusedError(
+        raise _BadRequestError(
             http.HTTPStatus.BAD_REQUEST,
             "a request with both a length and a transfer encoding",
         )
     if length is not None and int(length) > limits.body_bytes:
-        raise _too_large(limits)
+        raise _too_large_error(limits)
 
 
-def _too_large(limits: desired.Limits) -> _RefusedError:
-    return _RefusedError(
+def _too_large_error(limits: desired.Limits) -> _BadRequestError:
+    return _BadRequestError(
         http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
         f"the body is over {limits.body_bytes} bytes",
     )
@@ -391,7 +395,7 @@
         return b"Unknown"
 
 
-def _gone(why: str) -> CallerGoneError:
-    return CallerGoneError(
+def _disconnected_error(why: str) -> CallerDisconnectedError:
+    return CallerDisconnectedError(
         f"the caller is gone: {why}", remedy="nothing to do"
     )
--- a/src/lugcross/platform/engine_client.py
+++ b/src/lugcross/platform/engine_client.py
@@ -185,7 +185,7 @@
         body = msgspec.json.encode(fields)
         try:
             status, _ = await self._give(backend, "POST", _ORDER_PATH, body)
-        except http1.BrokenError:
+        except http1.ConnectionBrokenError:
             return experts.Verdict.UNKNOWN
         except http1.NoConnectionError:
             # Not sent; asked again like one that may have been.
@@ -203,7 +203,7 @@
     ) -> _T:
         try:
             status, body = await self._ask(backend, "GET", path, b"")
-        except (http1.BrokenError, http1.NoConnectionError) as exc:
+        except (http1.ConnectionBrokenError, http1.NoConnectionError) as exc:
             raise _query_error(backend, str(exc)) from exc
         if status != http.HTTPStatus.OK:
             raise _query_error(backend, f"status {status}")
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -156,7 +156,7 @@
             raise _log_unavailable_error(f"status {status}")
         return _decode_records(body, start)
 
-    def _update_era(self, answer: http1.Answer) -> None:
+    def _update_era(self, answer: http1.ResponseHead) -> None:
         """Take over the era that an answer tells.
 
         :raises errors.LogUnavailableError: when it is an earlier one.
@@ -240,7 +240,7 @@
     ) -> tuple[int, bytes]:
         limit = (wait + (answer or self._timeout)).total_seconds()
         conn = await self._acquire_connection()
-        kept = bool(conn.used)
+        kept = bool(conn.request_count)
         try:
             async with asyncio.timeout(limit):
                 target = f"{path}?{urllib.parse.urlencode(query)}"
@@ -249,9 +249,9 @@
                     length = str(len(body)).encode()
                     headers.append((b"Content-Length", length))
                 conn.send(method.encode(), target.encode(), headers, body)
-                head = await conn.answer()
-                answered = await conn.body()
-        except (http1.BrokenError, TimeoutError) as exc:
+                head = await conn.read_head()
+                answered = await conn.read_body()
+        except (http1.ConnectionBrokenError, TimeoutError) as exc:
             conn.close()
             if isinstance(exc, TimeoutError):
                 # Silence mostly strikes all connections of one path: the
@@ -275,7 +275,7 @@
     async def _acquire_connection(self) -> http1.ClientConn:
         while self._idle:
             conn = self._idle.pop()
-            if not conn.closing and not conn.pending:
+            if not conn.closing and not conn.has_unread_data:
                 return conn
             conn.close()
         try:
@@ -288,7 +288,7 @@
             raise _log_unavailable_error(str(exc)) from exc
 
 
-def _parse_era(answer: http1.Answer) -> positions.Era | None:
+def _parse_era(answer: http1.ResponseHead) -> positions.Era | None:
     """Return the era that an answer tells; none if it tells none."""
     found = dict(answer.headers)
     text = header_names.header_text(found, header_names.STORE_ERA)
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -118,16 +118,16 @@
             writer,
             self._answer,
             limits=lambda: _LIMITS,
-            leaving=lambda: False,
+            draining=lambda: False,
             clock=self._clock,
         )
         await conn.run()
 
     async def _answer(
-        self, exchange: http1.Exchange, req: http1.Request
+        self, exchange: http1.ResponseWriter, req: http1.Request
     ) -> None:
         status, body = await self.call(req.target.decode(), req.body or b"")
-        await exchange.head(status, self.headers(), body, whole=True)
+        await exchange.write_head(status, self.headers(), body, whole=True)
 
     async def call(
         self, target: str, sent: bytes
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -307,7 +307,7 @@
     async def connect_unheard(host, to, *, timeout_s):
         conn = await connect(host, to, timeout_s=timeout_s)
         if to == port:
-            conn.unheard = lambda: True
+            conn.nothing_acknowledged = lambda: True
         return conn
 
     monkeypatch.setattr(http1, "connect", connect_unheard)
@@ -359,8 +359,8 @@
         kept = await r.world.pool.take(backend)
         idle = await r.world.pool.take(backend)
         idle.send(b"GET", b"/", [(b"Host", b"h")], b"")
-        await idle.answer()
-        await idle.body()
+        await idle.read_head()
+        await idle.read_body()
         r.world.pool.give(backend, idle, None)
         kept.close()
         await r.ask()
--- a/testing/edge/test_copies.py
+++ b/testing/edge/test_copies.py
@@ -211,19 +211,19 @@
     left = list(eras)
 
     class Conn:
-        closing = pending = False
+        closing = has_unread_data = False
         reusable = True
-        used = 0
+        request_count = 0
 
         def send(self, *args):
             del args
 
-        async def answer(self):
+        async def read_head(self):
             era = left.pop(0)
             headers = [] if era is None else [(b"store-era", era)]
-            return http1.Answer(200, headers, headers)
+            return http1.ResponseHead(200, headers, headers)
 
-        async def body(self):
+        async def read_body(self):
             return answer or b'{"items": [], "has_more": false, "end": 7}'
 
         def close(self):
@@ -286,7 +286,7 @@
 def test_same_end_in_a_new_era_is_no_place_to_write_at():
     async def main():
         client = _client(b"1", b"2", answer=b'{"end": 8}')
-        client._update_era(await client._idle[0].answer())
+        client._update_era(await client._idle[0].read_head())
         at = positions.place(positions.Era(1), ids.Offset(7))
         client._idle.pop(0)
         with pytest.raises(errors.AppendConflictError):
--- a/testing/edge/test_pool.py
+++ b/testing/edge/test_pool.py
@@ -19,7 +19,7 @@
     """Takes the place of a connection."""
 
     closing = False
-    pending = False
+    has_unread_data = False
     reusable = True
 
     def close(self) -> None:
--- a/testing/http1/test_bad_input.py
+++ b/testing/http1/test_bad_input.py
@@ -18,9 +18,9 @@
 def _talk(data: bytes, *, limits: desired.Limits = edge_rig.LIMITS) -> bytes:
     """Send bytes to an echoing server; return all that comes back."""
 
-    async def echo(exchange: http1.Exchange, req: http1.Request) -> None:
+    async def echo(exchange: http1.ResponseWriter, req: http1.Request) -> None:
         body = req.method + b" " + req.target + b" " + (req.body or b"-")
-        await exchange.head(200, [], body, whole=True)
+        await exchange.write_head(200, [], body, whole=True)
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -30,7 +30,7 @@
             writer,
             echo,
             limits=lambda: limits,
-            leaving=lambda: False,
+            draining=lambda: False,
             clock=clock_lib.SystemClock(),
         )
         await conn.run()
--- a/testing/http1/test_client.py
+++ b/testing/http1/test_client.py
@@ -44,9 +44,9 @@
 
 async def _get(conn: http1.ClientConn) -> tuple[int, bytes]:
     conn.send(b"GET", b"/", HEADERS, b"")
-    answer = await conn.answer()
+    answer = await conn.read_head()
     body = b""
-    while (data := await conn.data()) is not None:
+    while (data := await conn.read_data()) is not None:
         body += data
     return answer.status, body
 
@@ -57,8 +57,8 @@
     async def act(conn):
         headers = [*HEADERS, (b"Content-Length", b"%d" % size)]
         conn.send(b"POST", b"/", headers, b"x" * size)
-        answer = await conn.answer()
-        while await conn.data() is not None:
+        answer = await conn.read_head()
+        while await conn.read_data() is not None:
             pass
         return answer.status, conn.reusable
 
@@ -86,11 +86,11 @@
 
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
-        await conn.answer()
-        part = await conn.data()
+        await conn.read_head()
+        part = await conn.read_data()
         conn._writer.write(b"xy" * 100_000)
-        with pytest.raises(http1.BrokenError):
-            while await conn.data() is not None:
+        with pytest.raises(http1.ConnectionBrokenError):
+            while await conn.read_data() is not None:
                 pass
         return part
 
@@ -112,7 +112,7 @@
 )
 def test_connection_that_ends_early_is_broken(data):
     async def act(conn):
-        with pytest.raises(http1.BrokenError):
+        with pytest.raises(http1.ConnectionBrokenError):
             await _get(conn)
         return conn.reusable
 
@@ -134,8 +134,8 @@
 def test_request_that_the_peer_took_is_heard():
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
-        await conn.answer()
-        return conn.unheard()
+        await conn.read_head()
+        return conn.nothing_acknowledged()
 
     assert _play(_says(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
 
@@ -146,10 +146,10 @@
         # What the kernel holds is all that was sent.
         held = struct.pack("i", len(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
         monkeypatch.setattr(fcntl, "ioctl", lambda *args: held)
-        unheard = conn.unheard()
+        unheard = conn.nothing_acknowledged()
         part = struct.pack("i", 1)
         monkeypatch.setattr(fcntl, "ioctl", lambda *args: part)
-        return unheard, conn.unheard()
+        return unheard, conn.nothing_acknowledged()
 
     assert _play(_says(b"HTTP/1.1 200 X\r\n\r\n"), act) == (True, False)
 
@@ -158,7 +158,7 @@
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
         monkeypatch.setattr(fcntl, "ioctl", _no_ioctl)
-        return conn.unheard()
+        return conn.nothing_acknowledged()
 
     assert _play(_says(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
 
--- a/testing/platform/test_engine_client.py
+++ b/testing/platform/test_engine_client.py
@@ -103,7 +103,7 @@
     [
         {"step": 9, "epoch": 1, "counts": [1, 2]},
         {"step": 9},
-        http1.BrokenError("cut", remedy=""),
+        http1.ConnectionBrokenError("cut", remedy=""),
         http1.NoConnectionError("none", remedy=""),
     ],
     ids=["short", "malformed", "cut", "unreached"],
@@ -228,7 +228,11 @@
         (409, {}, experts.Verdict.REFUSED),
         (412, {}, experts.Verdict.FENCED),
         (503, {}, experts.Verdict.UNKNOWN),
-        (200, http1.BrokenError("cut", remedy=""), experts.Verdict.UNKNOWN),
+        (
+            200,
+            http1.ConnectionBrokenError("cut", remedy=""),
+            experts.Verdict.UNKNOWN,
+        ),
         (
             200,
             http1.NoConnectionError("none", remedy=""),
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -319,7 +319,7 @@
             writer,
             self.runner.handle,
             limits=lambda: LIMITS,
-            leaving=lambda: self.leaving,
+            draining=lambda: self.leaving,
             clock=self.clock,
         )
         await conn.run()
--- a/testing/support/ending_rig.py
+++ b/testing/support/ending_rig.py
@@ -117,7 +117,7 @@
     """Takes the place of :class:`lugcross.http1.ClientConn`."""
 
     closing = False
-    pending = False
+    has_unread_data = False
 
     def __init__(self, fleet: "Fleet", server: Server) -> None:
         self._fleet = fleet
@@ -125,7 +125,7 @@
         self._life = server.name
         self.reusable = True
 
-    def unheard(self) -> bool:
+    def nothing_acknowledged(self) -> bool:
         return False
 
     def send(self, method, target, headers, body):
@@ -133,7 +133,7 @@
         self._headers = {name.lower(): value for name, value in headers}
         self._body = body
 
-    async def answer(self) -> http1.Answer:
+    async def read_head(self) -> http1.ResponseHead:
         await asyncio.sleep(_WAY_S)
         server = self._server
         if not server.up or server.name != self._life:
@@ -160,25 +160,25 @@
             raise self._broken()
         return self._answer(200, (b"response-seal", b"s"))
 
-    def _turn_away(self, rest_s: float | None) -> http1.Answer:
+    def _turn_away(self, rest_s: float | None) -> http1.ResponseHead:
         proof = (b"not-executed", b"1")
         if rest_s is None:
             return self._answer(503, proof)
         self._fleet.turned_away(self._body, self._server)
         return self._answer(503, proof, (b"retry-after", b"%g" % rest_s))
 
-    def _broken(self) -> http1.BrokenError:
+    def _broken(self) -> http1.ConnectionBrokenError:
         self.reusable = False
-        return http1.BrokenError("reset by peer", remedy="not known")
+        return http1.ConnectionBrokenError("reset by peer", remedy="not known")
 
     def _answer(self, status: int, *headers: tuple[bytes, bytes]):
         attempt = self._headers[b"attempt-identifier"]
         found = [(b"attempt-identifier", attempt), *headers]
         if self._server.leaving:
             found.append((b"server-leaving", b"1"))
-        return http1.Answer(status, found, found)
+        return http1.ResponseHead(status, found, found)
 
-    async def body(self) -> bytes:
+    async def read_body(self) -> bytes:
         return b"whole"
 
     def close(self) -> None:
@@ -190,11 +190,11 @@
 
     def __init__(self, answer: Answer) -> None:
         self._answer = answer
-        self.started = False
+        self.head_written = False
 
-    async def head(self, status, headers, body=b"", *, whole=False):
+    async def write_head(self, status, headers, body=b"", *, whole=False):
         del headers, whole
-        self.started = True
+        self.head_written = True
         self._answer.status = int(status)
         self._answer.text = body
 
@@ -329,9 +329,9 @@
             method=b"POST",
             target=b"/r/x",
             headers=headers,
-            raw=headers,
+            raw_headers=headers,
             body=body,
-            at=clock.monotonic(),
+            received_at=clock.monotonic(),
         )
         answer = Answer(asyncio.get_running_loop().time(), body)
         runner = runner_lib.Runner(
--- a/testing/support/silent_store.py
+++ b/testing/support/silent_store.py
@@ -53,21 +53,21 @@
     """Takes the place of :class:`lugcross.http1.ClientConn`."""
 
     closing = False
-    pending = False
+    has_unread_data = False
     reusable = True
 
     def __init__(self, store: SilentStore, host: str) -> None:
         self._store = store
         self.host = host
         self.silent = False
-        self.used = 0
+        self.request_count = 0
 
     def send(self, method, target, headers, body):
         del method, headers
-        self.used += 1
+        self.request_count += 1
         self._sent = target.decode(), body
 
-    async def answer(self) -> http1.Answer:
+    async def read_head(self) -> http1.ResponseHead:
         await self._nothing_if_silent()
         status, self._body = await self._store.standin.call(*self._sent)
         await asyncio.sleep(_ANSWER_S)
@@ -76,9 +76,9 @@
             (name.lower(), value)
             for name, value in self._store.standin.headers()
         ]
-        return http1.Answer(status, headers, headers)
+        return http1.ResponseHead(status, headers, headers)
 
-    async def body(self) -> bytes:
+    async def read_body(self) -> bytes:
         return self._body
 
     def close(self) -> None:
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -191,8 +191,8 @@
         )
         headers = [(b"Host", b"h"), (b"Connection", b"close")]
         conn.send(b"GET", b"/suspects", headers, b"")
-        await conn.answer()
-        listed = json.loads(await conn.body())["suspects"]
+        await conn.read_head()
+        listed = json.loads(await conn.read_body())["suspects"]
         conn.close()
         return max((len(one["ends"]) for one in listed), default=0)
 
@@ -414,11 +414,15 @@
                     headers.append((b"Content-Length", b"0"))
                 target = f"/{kind.value}/{last}".encode()
                 conn.send(method, target, headers, b"")
-                status = (await conn.answer()).status
-                while (data := await conn.data()) is not None:
+                status = (await conn.read_head()).status
+                while (data := await conn.read_data()) is not None:
                     parts.append(data)
                 whole = True
-        except (http1.BrokenError, http1.NoConnectionError, TimeoutError):
+        except (
+            http1.ConnectionBrokenError,
+            http1.NoConnectionError,
+            TimeoutError,
+        ):
             self.close()
         if self._conn is not None and not self._conn.reusable:
             self.close()
