--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -61,7 +61,7 @@
         self.port = settings.link.port
         self.store = cfg.Store(clock)
         node = settings.node.name
-        self.journal = observe.Journal(clock, node)
+        self.journal = observe.DecisionJournal(clock, node)
         self._tracer = observe.Tracer(settings.observe.traces, node)
         self._metrics = observe.open_metrics(settings.observe, node)
         self._loop = wire.LoopThread(name=f"{node}-links")
@@ -263,8 +263,8 @@
         after = self._dispatcher.leaving
         if after == before:
             return
-        self.journal.note(
-            observe.Topic.LIFE,
+        self.journal.record(
+            observe.DecisionTopic.LIFE,
             self._settings.backend,
             rule="any reason to leave suffices",
             result=f"leaving: {after}" if after else "taking work",
@@ -293,8 +293,8 @@
             self._act(
                 self._dispatcher.on_link_lost(link_id, self._clock.monotonic())
             )
-            self.journal.note(
-                observe.Topic.LINK,
+            self.journal.record(
+                observe.DecisionTopic.LINK,
                 hello.node,
                 rule="links end when either side goes",
                 result="link lost",
--- a/src/lugcross/agent/runner.py
+++ b/src/lugcross/agent/runner.py
@@ -152,7 +152,7 @@
         dispatch = call.dispatch
         headers = dict(dispatch.headers)
         if trace:
-            headers[observe.HEADER] = trace
+            headers[observe.TRACEPARENT_HEADER] = trace
         conn.request(
             dispatch.method,
             dispatch.path,
--- a/src/lugcross/cli/daemon.py
+++ b/src/lugcross/cli/daemon.py
@@ -17,7 +17,7 @@
     from lugcross import entry as entry_lib
 
     settings = yamlfile.load(file, cfg.settings.Entry)
-    observe.set_up(settings.node.name, settings.observe.level)
+    observe.set_up_logging(settings.node.name, settings.observe.level)
     program = entry_lib.Entry(settings, clock=clock.SystemClock())
     program.application().run()
 
@@ -29,7 +29,7 @@
     from lugcross import agent as agent_lib
 
     settings = yamlfile.load(file, cfg.settings.Agent)
-    observe.set_up(settings.node.name, settings.observe.level)
+    observe.set_up_logging(settings.node.name, settings.observe.level)
     program = agent_lib.Agent(settings, clock=clock.SystemClock())
     program.application().run()
 
--- a/src/lugcross/cli/demo.py
+++ b/src/lugcross/cli/demo.py
@@ -15,7 +15,7 @@
 @click.option("--seconds", type=float, help="End after so long.")
 def demo(once: bool, seconds: float | None) -> None:
     """Run a small fleet in this process, with traffic of three rivals."""
-    observe.set_up("demo", "error")
+    observe.set_up_logging("demo", "error")
     fleet = demo_lib.Fleet()
     fleet.start()
     good = True
--- a/src/lugcross/cli/edge.py
+++ b/src/lugcross/cli/edge.py
@@ -24,6 +24,8 @@
     from lugcross.edge import settings as settings_lib
 
     settings = settings_lib.load(os.fspath(file))
-    logs.set_up_bounded(settings.node, settings.level, sys.stdout.fileno())
+    logs.set_up_nonblocking_logging(
+        settings.node, settings.level, sys.stdout.fileno()
+    )
     program = edge_lib.Edge(settings, clock=clock.SystemClock(), file=file)
     program.run()
--- a/src/lugcross/cli/explain.py
+++ b/src/lugcross/cli/explain.py
@@ -6,7 +6,7 @@
 
 import click
 
-from lugcross.observe import story
+from lugcross.observe import request_timeline
 
 
 @click.command()
@@ -18,14 +18,16 @@
     Lines of the request are marked; the others are what the processes that
     touched it believed then. Seconds count from its first line.
     """
-    reader = story.Reader()
+    reader = request_timeline.LogReader()
     lines = [line for log in logs for line in reader.read(log)]
-    found = story.tell(lines, request)
-    if reader.broken:
-        click.echo(f"{reader.broken} lines are broken or not ours", err=True)
-    if reader.left_out:
+    found = request_timeline.build_timeline(lines, request)
+    if reader.malformed_count:
         click.echo(
-            f"{reader.left_out} lines were left out by their processes",
+            f"{reader.malformed_count} lines are broken or not ours", err=True
+        )
+    if reader.dropped_count:
+        click.echo(
+            f"{reader.dropped_count} lines were left out by their processes",
             err=True,
         )
     if not found:
@@ -38,7 +40,7 @@
         click.echo(_text(line, first, own=line.request == request))
 
 
-def _text(line: story.Line, first: float, *, own: bool) -> str:
+def _text(line: request_timeline.LogLine, first: float, *, own: bool) -> str:
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
--- a/src/lugcross/cli/standin.py
+++ b/src/lugcross/cli/standin.py
@@ -17,7 +17,7 @@
 @click.pass_context
 def standin(ctx: click.Context, host: str, port: int, name: str) -> None:
     """Run a stand-in of the platform or of a backend server."""
-    observe.set_up(name, "info")
+    observe.set_up_logging(name, "info")
     ctx.obj = _Place(host, port, name)
 
 
--- a/src/lugcross/entry/app.py
+++ b/src/lugcross/entry/app.py
@@ -52,7 +52,7 @@
         self._domain = ids.DomainName(settings.node.domain)
         self._node = ids.NodeName(settings.node.name)
         self.store = cfg.Store(clock)
-        self.journal = observe.Journal(clock, self._node)
+        self.journal = observe.DecisionJournal(clock, self._node)
         self._tracer = observe.Tracer(settings.observe.traces, self._node)
         self._loop = wire.LoopThread(name=f"{self._node}-links")
         self.upstream = upstream_lib.Upstream(
@@ -263,8 +263,8 @@
 
     def _on_neighbours(self, relay: bool) -> None:
         if relay != self.follower.relay:
-            self.journal.note(
-                observe.Topic.DUTY,
+            self.journal.record(
+                observe.DecisionTopic.DUTY,
                 self._node,
                 rule="first by hash among the entry hosts that are seen",
                 result="relay of the log" if relay else "no relay",
@@ -278,8 +278,8 @@
         applied: Sequence[cfg.Applied],
     ) -> None:
         for one in applied:
-            self.journal.note(
-                observe.Topic.CONFIG,
+            self.journal.record(
+                observe.DecisionTopic.CONFIG,
                 str(one.ref or one.offset),
                 rule=one.reason or "valid at its place in the log",
                 result=one.verdict.value,
--- a/src/lugcross/entry/caller.py
+++ b/src/lugcross/entry/caller.py
@@ -85,7 +85,7 @@
         *,
         domain: ids.DomainName,
         clock: clock_lib.Clock,
-        journal: observe.Journal,
+        journal: observe.DecisionJournal,
         rng: random.Random,
     ) -> None:
         self._upstream = upstream
@@ -121,23 +121,29 @@
         )
         if choice is None:
             return None
-        self._journal.note(
-            observe.Topic.CHOICE,
+        self._journal.record(
+            observe.DecisionTopic.CHOICE,
             req.id,
             rule="least load of two near and two far",
             result=choice.best.name,
             inputs=tuple(
-                observe.Input(c.name, f"load {c.load:.2f} in {c.domain}")
+                observe.DecisionInput(
+                    c.name, f"load {c.load:.2f} in {c.domain}"
+                )
                 for c in choice.looked_at
             ),
         )
         return self._upstream.peer(choice.best.name)
 
     def note(
-        self, topic: observe.Topic, req: Request, rule: str, result: str
+        self,
+        topic: observe.DecisionTopic,
+        req: Request,
+        rule: str,
+        result: str,
     ) -> None:
         """Record a decision about ``req``."""
-        self._journal.note(topic, req.id, rule=rule, result=result)
+        self._journal.record(topic, req.id, rule=rule, result=result)
 
     def may_retry(self, req: Request) -> bool:
         """Take a retry from the budget of the request's service."""
@@ -159,7 +165,10 @@
         for name in req.homes:
             if name in usable and name not in tried:
                 self.note(
-                    observe.Topic.CHOICE, req, "first home of its key", name
+                    observe.DecisionTopic.CHOICE,
+                    req,
+                    "first home of its key",
+                    name,
                 )
                 return self._upstream.peer(name)
         return None
@@ -222,7 +231,7 @@
         if action.costs and not self._caller.may_retry(self._req):
             self._refuse(action.otherwise, rule="the retry budget is spent")
         self._caller.note(
-            observe.Topic.RETRY,
+            observe.DecisionTopic.RETRY,
             self._req,
             rule=action.otherwise.what,
             result="sent to another backend server",
@@ -308,7 +317,7 @@
         self, error: errors.RequestError, *, rule: str = ""
     ) -> NoReturn:
         self._caller.note(
-            observe.Topic.REFUSAL,
+            observe.DecisionTopic.REFUSAL,
             self._req,
             rule=rule or error.what,
             result=f"{error.kind.value}, {error.outcome.value}",
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -148,7 +148,7 @@
         node: ids.NodeName,
         domain: ids.DomainName,
         clock: clock_lib.Clock,
-        journal: observe.Journal,
+        journal: observe.DecisionJournal,
         store: cfg.Store,
     ) -> None:
         self._loop = loop
@@ -249,8 +249,8 @@
     def fault(self, peer: Peer) -> None:
         """Note that a backend server failed a request."""
         if peer.health.failed(self._clock.monotonic()):
-            self._journal.note(
-                observe.Topic.EJECTION,
+            self._journal.record(
+                observe.DecisionTopic.EJECTION,
                 peer.name,
                 rule=f"{routing.health.FAULTS} faults in a row",
                 result="ejected",
--- a/src/lugcross/logs.py
+++ b/src/lugcross/logs.py
@@ -13,7 +13,9 @@
 
 from lugcross import clock as clock_lib
 
-_STANDARD = frozenset(vars(std_logging.makeLogRecord({}))) | {"message"}
+_STANDARD_ATTRIBUTES = frozenset(vars(std_logging.makeLogRecord({}))) | {
+    "message"
+}
 
 
 @final
@@ -34,7 +36,7 @@
             "message": record.getMessage(),
         }
         for name, value in vars(record).items():
-            if name not in _STANDARD and not name.startswith("_"):
+            if name not in _STANDARD_ATTRIBUTES and not name.startswith("_"):
                 line[name] = value
         if record.exc_info:
             line["error"] = self.formatException(record.exc_info)
@@ -43,15 +45,15 @@
 
 #: Lines that a process may write in a second, and in a burst; several
 #: times what a busy process needs. Past that they are counted.
-LINES_PER_S = 300.0
-_BURST = 600.0
+MAX_LINES_PER_S = 300.0
+_MAX_BURST_LINES = 600.0
 #: Longest line. A pipe takes up to this in one piece, so that a line
 #: whose pipe has room is written without waiting.
-_LONGEST = 4096
+_MAX_LINE_BYTES = 4096
 
 
 @final
-class BoundedHandler(std_logging.Handler):
+class NonBlockingHandler(std_logging.Handler):
     """Writes lines to a descriptor; drops and counts what would wait.
 
     A reader that has stopped, or a flood of lines, must hold up no
@@ -66,43 +68,45 @@
         self._clock = clock
         self._poll = select.poll()
         self._poll.register(fd, select.POLLOUT)
-        self._tokens = _BURST
-        self._filled = clock.monotonic()
-        self.left_out = 0
+        self._tokens = _MAX_BURST_LINES
+        self._refilled_at = clock.monotonic()
+        self.dropped_lines = 0
 
     def emit(self, record: std_logging.LogRecord) -> None:
         """Write one record, unless that would wait."""
         if not self._take_token() or not self._poll.poll(0):
-            self.left_out += 1
+            self.dropped_lines += 1
             return
-        if self.left_out:
-            record.left_out = self.left_out
-        line = self.format(record).encode()[: _LONGEST - 1] + b"\n"
+        if self.dropped_lines:
+            record.left_out = self.dropped_lines
+        line = self.format(record).encode()[: _MAX_LINE_BYTES - 1] + b"\n"
         try:
             os.write(self._fd, line)
-            self.left_out = 0
+            self.dropped_lines = 0
         except OSError:
             # Nobody reads any more; there is nowhere to tell it.
-            self.left_out += 1
+            self.dropped_lines += 1
 
     def _take_token(self) -> bool:
         now = self._clock.monotonic()
-        earned = (now - self._filled).total_seconds() * LINES_PER_S
-        self._tokens = min(_BURST, self._tokens + earned)
-        self._filled = now
+        earned = (now - self._refilled_at).total_seconds() * MAX_LINES_PER_S
+        self._tokens = min(_MAX_BURST_LINES, self._tokens + earned)
+        self._refilled_at = now
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
         return True
 
 
-def set_up_bounded(node: str, level: str, fd: int) -> BoundedHandler:
+def set_up_nonblocking_logging(
+    node: str, level: str, fd: int
+) -> NonBlockingHandler:
     """Send all logs of this process to ``fd``, bounded.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
     """
     flags.FLAGS.mark_as_parsed()
-    handler = BoundedHandler(fd, clock_lib.SystemClock())
+    handler = NonBlockingHandler(fd, clock_lib.SystemClock())
     handler.setFormatter(JsonFormatter(node))
     root = std_logging.getLogger()
     root.handlers = [handler]
@@ -115,7 +119,7 @@
     return handler
 
 
-def set_up(node: str, level: str) -> None:
+def set_up_logging(node: str, level: str) -> None:
     """Send all logs of this process to standard error as JSON lines.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
--- a/src/lugcross/observe/__init__.py
+++ b/src/lugcross/observe/__init__.py
@@ -2,31 +2,31 @@
 """Logs, metrics, traces and the journal of decisions."""
 
 from lugcross.logs import JsonFormatter
-from lugcross.logs import set_up
-from lugcross.observe.journal import Decision
-from lugcross.observe.journal import Input
-from lugcross.observe.journal import Journal
-from lugcross.observe.journal import KEPT
-from lugcross.observe.journal import Topic
+from lugcross.logs import set_up_logging
+from lugcross.observe.decision_journal import Decision
+from lugcross.observe.decision_journal import DecisionInput
+from lugcross.observe.decision_journal import DecisionJournal
+from lugcross.observe.decision_journal import DecisionTopic
+from lugcross.observe.decision_journal import JOURNAL_CAPACITY
 from lugcross.observe.metrics import Metrics
 from lugcross.observe.metrics import NullMetrics
 from lugcross.observe.metrics import open_metrics
 from lugcross.observe.metrics import StatsdMetrics
-from lugcross.observe.spans import HEADER
-from lugcross.observe.spans import Tracer
+from lugcross.observe.tracing import TRACEPARENT_HEADER
+from lugcross.observe.tracing import Tracer
 
 __all__ = [
-    "HEADER",
-    "KEPT",
+    "JOURNAL_CAPACITY",
+    "TRACEPARENT_HEADER",
     "Decision",
-    "Input",
-    "Journal",
+    "DecisionInput",
+    "DecisionJournal",
+    "DecisionTopic",
     "JsonFormatter",
     "Metrics",
     "NullMetrics",
     "StatsdMetrics",
-    "Topic",
     "Tracer",
     "open_metrics",
-    "set_up",
+    "set_up_logging",
 ]
--- a/src/lugcross/observe/journal.py
+++ b/src/lugcross/observe/decision_journal.py
@@ -13,10 +13,10 @@
 from lugcross import clock as clock_lib
 
 #: Records that one process keeps.
-KEPT = 2048
+JOURNAL_CAPACITY = 2048
 
 
-class Topic(enum.Enum):
+class DecisionTopic(enum.Enum):
     """What a decision was about."""
 
     CHOICE = "choice"
@@ -29,7 +29,7 @@
     DUTY = "duty"
 
 
-class Input(NamedTuple):
+class DecisionInput(NamedTuple):
     """One thing that a decision went by."""
 
     name: str
@@ -46,39 +46,43 @@
 
     at: float
     node: str
-    topic: Topic
+    topic: DecisionTopic
     subject: str
     rule: str
     result: str
-    inputs: tuple[Input, ...] = ()
+    inputs: tuple[DecisionInput, ...] = ()
 
 
 @final
-class Journal:
+class DecisionJournal:
     """Ring of the newest decisions of one process.
 
-    :param kept: decisions kept; older ones are overwritten.
+    :param capacity: decisions kept; older ones are overwritten.
     """
 
     def __init__(
-        self, clock: clock_lib.Clock, node: str, *, kept: int = KEPT
+        self,
+        clock: clock_lib.Clock,
+        node: str,
+        *,
+        capacity: int = JOURNAL_CAPACITY,
     ) -> None:
         self._clock = clock
         self._node = node
         self._ring: collections.deque[Decision] = collections.deque(
-            maxlen=kept
+            maxlen=capacity
         )
         self._lock = threading.Lock()
         self.overwritten = 0
 
-    def note(
+    def record(
         self,
-        topic: Topic,
+        topic: DecisionTopic,
         subject: str,
         *,
         rule: str,
         result: str,
-        inputs: tuple[Input, ...] = (),
+        inputs: tuple[DecisionInput, ...] = (),
     ) -> None:
         """Record one decision."""
         decision = Decision(
@@ -99,7 +103,7 @@
                 "decision", extra={"decision": msgspec.to_builtins(decision)}
             )
 
-    def about(self, subject: str) -> list[Decision]:
+    def decisions_about(self, subject: str) -> list[Decision]:
         """Return what is still kept about ``subject``, oldest first."""
         with self._lock:
             return [item for item in self._ring if item.subject == subject]
--- a/src/lugcross/observe/story.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -18,7 +18,7 @@
 
 #: Messages by which a process tells what it believes; the last of each
 #: before a request came still held when it did.
-BELIEFS = frozenset(
+STATE_MESSAGES = frozenset(
     {
         "desired state",
         "duty of expert maps",
@@ -37,17 +37,17 @@
     }
 )
 #: Messages that replace each other: the later of them is what holds.
-_SAME = {
+_SUPERSEDES = {
     "group opened": "group broken",
     "store regained": "store lost",
 }
 #: Fields that stand in each line's own columns.
-_COLUMNS = frozenset({"at", "node", "level", "module", "message"})
+_COLUMN_FIELDS = frozenset({"at", "node", "level", "module", "message"})
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Line:
+class LogLine:
     """One log line.
 
     :param at: seconds since 1970, by the clock of its host.
@@ -65,53 +65,53 @@
         return str(self.fields.get("request", ""))
 
     @property
-    def same(self) -> str:
+    def shared_id(self) -> str:
         """What all tries of the request share; empty if not told."""
         return str(self.fields.get("same") or "")
 
 
 @final
-class Reader:
+class LogReader:
     """Reads log lines; what is none is counted and never fatal.
 
-    :ivar broken: lines that hold no whole JSON object of ours.
-    :ivar left_out: lines that processes say they have left out.
+    :ivar malformed_count: lines that hold no whole JSON object of ours.
+    :ivar dropped_count: lines that processes say they have left out.
     """
 
     def __init__(self) -> None:
-        self.broken = 0
-        self.left_out = 0
+        self.malformed_count = 0
+        self.dropped_count = 0
 
-    def read(self, texts: Iterable[str]) -> Iterator[Line]:
+    def read(self, texts: Iterable[str]) -> Iterator[LogLine]:
         """Return the lines; whatever stands before an object is skipped."""
         for text in texts:
             if not text.strip():
                 continue
             line = _decode(text)
             if line is None:
-                self.broken += 1
+                self.malformed_count += 1
                 continue
-            self.left_out += int(line.fields.get("left_out", 0))
+            self.dropped_count += int(line.fields.get("left_out", 0))
             yield line
 
 
-def _decode(text: str) -> Line | None:
+def _decode(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
     try:
         raw = json.loads(text[start:])
-        return Line(
+        return LogLine(
             at=float(raw["at"]),
             node=str(raw["node"]),
             message=str(raw["message"]),
-            fields={k: v for k, v in raw.items() if k not in _COLUMNS},
+            fields={k: v for k, v in raw.items() if k not in _COLUMN_FIELDS},
         )
     except (ValueError, KeyError, TypeError):
         return None
 
 
-def tell(lines: Iterable[Line], request: str) -> list[Line]:
+def build_timeline(lines: Iterable[LogLine], request: str) -> list[LogLine]:
     """Return what concerns a request, in order of time.
 
     :param request: the caller's id of one attempt.
@@ -120,29 +120,29 @@
     own = [line for line in ordered if line.request == request]
     if not own:
         return []
-    shared = {line.same for line in own if line.same}
+    shared = {line.shared_id for line in own if line.shared_id}
     tries = [
         line
         for line in ordered
-        if line.same in shared and line.request != request
+        if line.shared_id in shared and line.request != request
     ]
     nodes = {line.node for line in own}
-    beliefs = [
+    states = [
         line
         for line in ordered
-        if line.node in nodes and line.message in BELIEFS
+        if line.node in nodes and line.message in STATE_MESSAGES
     ]
-    before = _last_of_each(beliefs, own[0].at)
-    during = [one for one in beliefs if own[0].at <= one.at <= own[-1].at]
+    before = _latest_states(states, own[0].at)
+    during = [one for one in states if own[0].at <= one.at <= own[-1].at]
     found = [*before, *own, *tries, *during]
     return sorted(found, key=lambda line: line.at)
 
 
-def _last_of_each(lines: Sequence[Line], until: float) -> list[Line]:
+def _latest_states(lines: Sequence[LogLine], until: float) -> list[LogLine]:
     """Return what each node believed at a moment."""
-    newest: dict[tuple[str, str], Line] = {}
+    newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.at < until:
-            kind = _SAME.get(line.message, line.message)
+            kind = _SUPERSEDES.get(line.message, line.message)
             newest[line.node, kind] = line
     return list(newest.values())
--- a/src/lugcross/observe/spans.py
+++ b/src/lugcross/observe/tracing.py
@@ -16,7 +16,7 @@
 from lugcross.cfg import settings
 
 #: Header that carries a span to the next hop.
-HEADER = "traceparent"
+TRACEPARENT_HEADER = "traceparent"
 
 _PROPAGATOR = tracecontext.TraceContextTextMapPropagator()
 
@@ -62,13 +62,13 @@
         if not self.enabled:
             yield parent
             return
-        context = _PROPAGATOR.extract({HEADER: parent})
+        context = _PROPAGATOR.extract({TRACEPARENT_HEADER: parent})
         with self._tracer.start_as_current_span(
             name, context=context, attributes=attributes
         ) as span:
             carrier: dict[str, str] = {}
             _PROPAGATOR.inject(carrier, trace.set_span_in_context(span))
-            yield carrier.get(HEADER, parent)
+            yield carrier.get(TRACEPARENT_HEADER, parent)
 
     def close(self) -> None:
         """Send what waits."""
--- a/src/lugcross/rpc/servicer.py
+++ b/src/lugcross/rpc/servicer.py
@@ -37,7 +37,7 @@
         store: cfg.Store,
         publisher: cfg.Publisher,
         roles: roles_lib.Roles,
-        journal: observe.Journal,
+        journal: observe.DecisionJournal,
         *,
         status: Callable[[], pb.NodeStatus],
         clock: clock_lib.Clock,
@@ -144,7 +144,7 @@
     ) -> pb.ExplainReply:
         """Return what this process decided about a subject."""
         self._roles.check(context, _VIEWER)
-        decisions = self._journal.about(request.subject)
+        decisions = self._journal.decisions_about(request.subject)
         return pb.ExplainReply(
             decisions=[_decision(item) for item in decisions],
             overwritten=self._journal.overwritten,
--- a/testing/observe/test_export.py
+++ b/testing/observe/test_export.py
@@ -63,10 +63,16 @@
 
 
 def test_journal_keeps_the_newest_and_counts_what_it_overwrote() -> None:
-    journal = observe.Journal(clock.ManualClock(), "e1", kept=2)
+    journal = observe.DecisionJournal(clock.ManualClock(), "e1", capacity=2)
     for num in range(3):
-        journal.note(
-            observe.Topic.CHOICE, "r1", rule="least load", result=f"b{num}"
+        journal.record(
+            observe.DecisionTopic.CHOICE,
+            "r1",
+            rule="least load",
+            result=f"b{num}",
         )
-    assert [one.result for one in journal.about("r1")] == ["b1", "b2"]
+    assert [one.result for one in journal.decisions_about("r1")] == [
+        "b1",
+        "b2",
+    ]
     assert journal.overwritten == 1
--- a/testing/observe/test_story.py
+++ b/testing/observe/test_request_timeline.py
@@ -7,7 +7,7 @@
 import click.testing
 
 from lugcross.cli import explain
-from lugcross.observe import story
+from lugcross.observe import request_timeline
 
 
 def _text(at: float, node: str, message: str, **fields: object) -> str:
@@ -29,8 +29,8 @@
 
 
 def _tell(texts: list[str], request: str) -> list[tuple[float, str]]:
-    reader = story.Reader()
-    found = story.tell(reader.read(texts), request)
+    reader = request_timeline.LogReader()
+    found = request_timeline.build_timeline(reader.read(texts), request)
     return [(line.at, line.message) for line in found]
 
 
@@ -67,18 +67,18 @@
 
 
 def test_broken_lines_are_counted_and_left_out() -> None:
-    reader = story.Reader()
+    reader = request_timeline.LogReader()
     texts = ["", "no line", '{"at": 1', "[1]", '{"at": "x"}', LOG[0]]
     lines = list(reader.read(texts))
     assert [line.message for line in lines] == ["desired state"]
-    assert reader.broken == 4
+    assert reader.malformed_count == 4
 
 
 def test_text_before_a_line_is_skipped_and_lost_lines_are_summed() -> None:
-    reader = story.Reader()
+    reader = request_timeline.LogReader()
     text = "  12.3 n1 " + _text(1.0, "n1", "answered", left_out=7)
     assert len(list(reader.read([text]))) == 1
-    assert reader.left_out == 7
+    assert reader.dropped_count == 7
 
 
 def test_command_marks_the_requests_own_lines(tmp_path: pathlib.Path) -> None:
--- a/testing/test_logs.py
+++ b/testing/test_logs.py
@@ -13,8 +13,8 @@
     return logging.LogRecord("x", logging.INFO, "f", 1, text, None, None)
 
 
-def _handler(fd: int) -> logs.BoundedHandler:
-    handler = logs.BoundedHandler(fd, clock_lib.ManualClock())
+def _handler(fd: int) -> logs.NonBlockingHandler:
+    handler = logs.NonBlockingHandler(fd, clock_lib.ManualClock())
     handler.setFormatter(logs.JsonFormatter("n1"))
     return handler
 
@@ -25,12 +25,12 @@
     # Would block for good at a full pipe if a line were written.
     for _ in range(500):
         handler.emit(_record("x" * 1000))
-    assert handler.left_out > 0
+    assert handler.dropped_lines > 0
     os.read(out, 1 << 20)
     handler.emit(_record("after"))
     last = os.read(out, 1 << 20).decode().splitlines()[-1]
     assert json.loads(last)["left_out"] > 0
-    assert handler.left_out == 0
+    assert handler.dropped_lines == 0
 
 
 def test_flood_is_cut_off_and_counted():
@@ -39,10 +39,10 @@
     written = 0
     for _ in range(2000):
         handler.emit(_record("x"))
-        if not handler.left_out:
+        if not handler.dropped_lines:
             written += os.read(out, 1 << 20).count(b"\n")
-    assert written + handler.left_out == 2000
-    assert handler.left_out > 1000
+    assert written + handler.dropped_lines == 2000
+    assert handler.dropped_lines > 1000
 
 
 def test_reader_that_is_gone_harms_nothing():
@@ -50,4 +50,4 @@
     handler = _handler(into)
     os.close(out)
     handler.emit(_record("x"))
-    assert handler.left_out == 1
+    assert handler.dropped_lines == 1
