--- a/bench/edge_cfg.py
+++ b/bench/edge_cfg.py
@@ -7,11 +7,11 @@
 from lugcross.edge import settings as settings_lib
 
 #: Bounds for callers, far off.
-LIMITS = desired.Limits(
-    head_bytes=4096,
-    body_bytes=4096,
-    head_time=datetime.timedelta(seconds=30),
-    idle_time=datetime.timedelta(seconds=30),
+LIMITS = desired.RequestLimits(
+    max_head_bytes=4096,
+    max_body_bytes=4096,
+    head_timeout=datetime.timedelta(seconds=30),
+    idle_timeout=datetime.timedelta(seconds=30),
 )
 
 
--- a/bench/http_edge.py
+++ b/bench/http_edge.py
@@ -24,11 +24,11 @@
 #: is waited for, in seconds.
 IDLE = 1500
 PATIENCE_S = 2.0
-_LIMITS = desired.Limits(
-    head_bytes=16_384,
-    body_bytes=1_048_576,
-    head_time=datetime.timedelta(seconds=30),
-    idle_time=datetime.timedelta(seconds=60),
+_LIMITS = desired.RequestLimits(
+    max_head_bytes=16_384,
+    max_body_bytes=1_048_576,
+    head_timeout=datetime.timedelta(seconds=30),
+    idle_timeout=datetime.timedelta(seconds=60),
 )
 _REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -30,11 +30,11 @@
 ROUTE = desired.Route(
     name="r",
     host="h",
-    prefix="/",
-    kind=desired.Kind.STREAM,
-    shares=(desired.Share(SERVICE, 1.0),),
+    path_prefix="/",
+    kind=desired.RouteKind.STREAM,
+    weighted_services=(desired.WeightedService(SERVICE, 1.0),),
     timeout=datetime.timedelta(seconds=8),
-    target=datetime.timedelta(seconds=0.5),
+    latency_target=datetime.timedelta(seconds=0.5),
     resumable=True,
 )
 
@@ -116,13 +116,13 @@
             for name in self.load.rates
         }
         world.adopt(
-            desired.Desired(
+            desired.DesiredState(
                 version=1,
                 routes={"h": (ROUTE,)},
                 services={SERVICE: desired.Service(name=SERVICE)},
                 limits=edge_cfg.LIMITS,
-                keys=spaces,
-                keyed=True,
+                workspaces_by_key=spaces,
+                keys_required=True,
             ),
             b"",
         )
--- a/src/lugcross/desired/__init__.py
+++ b/src/lugcross/desired/__init__.py
@@ -1,30 +1,30 @@
 # SPDX-License-Identifier: Apache-2.0
 """What the operators want and which backend servers there are."""
 
-from lugcross.desired.backends import Backend
-from lugcross.desired.backends import BackendId
-from lugcross.desired.backends import BackendKey
-from lugcross.desired.backends import BackendState
-from lugcross.desired.model import Desired
-from lugcross.desired.model import Engine
-from lugcross.desired.model import Kind
-from lugcross.desired.model import Limits
-from lugcross.desired.model import Route
-from lugcross.desired.model import Service
-from lugcross.desired.model import Share
-from lugcross.desired.model import Workspace
+from lugcross.desired.backend import Backend
+from lugcross.desired.backend import BackendId
+from lugcross.desired.backend import BackendKey
+from lugcross.desired.backend import BackendState
+from lugcross.desired.state import DesiredState
+from lugcross.desired.state import EngineSpec
+from lugcross.desired.state import RequestLimits
+from lugcross.desired.state import Route
+from lugcross.desired.state import RouteKind
+from lugcross.desired.state import Service
+from lugcross.desired.state import WeightedService
+from lugcross.desired.state import Workspace
 
 __all__ = [
     "Backend",
     "BackendId",
     "BackendKey",
     "BackendState",
-    "Desired",
-    "Engine",
-    "Kind",
-    "Limits",
+    "DesiredState",
+    "EngineSpec",
+    "RequestLimits",
     "Route",
+    "RouteKind",
     "Service",
-    "Share",
+    "WeightedService",
     "Workspace",
 ]
--- a/src/lugcross/desired/backends.py
+++ b/src/lugcross/desired/backend.py
@@ -28,29 +28,29 @@
 class Backend:
     """One life of a backend server.
 
-    :param born: when this life began, in milliseconds since 1970; none where
-        its id is never used again.
+    :param started_at_ms: when this life began, in milliseconds since 1970;
+        none where its id is never used again.
     :param host: IP number.
     :param slots: requests that it works on at once.
-    :param software: version of the service that it runs.
+    :param software_version: version of the service that it runs.
     """
 
     id: BackendId
-    born: int | None = None
+    started_at_ms: int | None = None
     service: ids.ServiceName
     host: str
     port: int
     domain: ids.DomainName
     slots: int
     state: BackendState
-    software: str = ""
+    software_version: str = ""
 
     @functools.cached_property
     def key(self) -> BackendKey:
         """What tells this life from all others; ids hold no blanks."""
-        if self.born is None:
+        if self.started_at_ms is None:
             return BackendKey(self.id)
-        return BackendKey(f"{self.id} {self.born}")
+        return BackendKey(f"{self.id} {self.started_at_ms}")
 
     @property
     def address(self) -> str:
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -51,11 +51,11 @@
 #: What a list of unknown age is shown as, in seconds.
 _AGE_MOST_S = 1e6
 #: Bounds for callers until a desired state tells them.
-_FIRST_LIMITS = desired.Limits(
-    head_bytes=16_384,
-    body_bytes=1_048_576,
-    head_time=datetime.timedelta(seconds=3),
-    idle_time=datetime.timedelta(seconds=15),
+_FIRST_LIMITS = desired.RequestLimits(
+    max_head_bytes=16_384,
+    max_body_bytes=1_048_576,
+    head_timeout=datetime.timedelta(seconds=3),
+    idle_timeout=datetime.timedelta(seconds=15),
 )
 
 
@@ -257,7 +257,7 @@
         )
         await conn.run()
 
-    def _limits(self) -> desired.Limits:
+    def _limits(self) -> desired.RequestLimits:
         state = self.world.desired
         return state.limits if state else _FIRST_LIMITS
 
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -326,7 +326,7 @@
 
     def _note_pause(self, last: clock_lib.Instant | None) -> clock_lib.Instant:
         now = self._clock.monotonic()
-        limit = self._plan.route.max_gap
+        limit = self._plan.route.max_event_gap
         if last is not None and limit is not None:
             self._world.paused(self._backend, now - last, limit)
         return now
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -289,11 +289,13 @@
         :raises errors.ChangeError: when it is no server's entry.
         """
         backend = platform.decode_backend(record.key, record.value)
-        if life is None or life.born is None:
+        if life is None or life.started_at_ms is None:
             return backend
-        if backend.born is None:
-            return dataclasses.replace(backend, born=life.born)
-        return None if backend.born < life.born else backend
+        if backend.started_at_ms is None:
+            return dataclasses.replace(
+                backend, started_at_ms=life.started_at_ms
+            )
+        return None if backend.started_at_ms < life.started_at_ms else backend
 
     def _pass_over(
         self, record: platform.KeyedRecord, known: _Known | None
--- a/src/lugcross/edge/endings.py
+++ b/src/lugcross/edge/endings.py
@@ -142,7 +142,9 @@
         now = self._clock.monotonic()
         if self._ended_at.setdefault(backend.key, now) < since:
             return
-        end = suspects.End(backend.key, backend.software, now, now - since)
+        end = suspects.End(
+            backend.key, backend.software_version, now, now - since
+        )
         if not self.ledger.ended(plan.fingerprint, end, now):
             return
         standing = self.standing(plan)
--- a/src/lugcross/edge/groups.py
+++ b/src/lugcross/edge/groups.py
@@ -244,7 +244,7 @@
         self,
         backend: desired.Backend,
         report: experts.Report,
-        engine: desired.Engine,
+        engine: desired.EngineSpec,
     ) -> None:
         """Note which rank of which group a backend server is."""
         limits = engine.experts
--- a/src/lugcross/edge/looks.py
+++ b/src/lugcross/edge/looks.py
@@ -44,7 +44,7 @@
         self._placed_at: dict[ids.ServiceName, clock_lib.Instant] = {}
 
     async def place(
-        self, backends: list[desired.Backend], engine: desired.Engine
+        self, backends: list[desired.Backend], engine: desired.EngineSpec
     ) -> None:
         """Learn which ranks of which groups some servers are."""
         backends = [one for one in backends if not self._rests.rests(one.key)]
--- a/src/lugcross/edge/maps.py
+++ b/src/lugcross/edge/maps.py
@@ -149,7 +149,7 @@
     async def _serve(
         self,
         service: ids.ServiceName,
-        engine: desired.Engine,
+        engine: desired.EngineSpec,
         limits: experts.Limits,
     ) -> None:
         backends = [
--- a/src/lugcross/edge/pace.py
+++ b/src/lugcross/edge/pace.py
@@ -64,7 +64,7 @@
         pause: datetime.timedelta,
         now: clock_lib.Instant,
         *,
-        engine: desired.Engine,
+        engine: desired.EngineSpec,
         per_engine: float,
         limit: datetime.timedelta,
     ) -> None:
@@ -90,7 +90,7 @@
 
     def full(
         self,
-        engine: desired.Engine,
+        engine: desired.EngineSpec,
         limit: datetime.timedelta | None,
         *,
         slow: bool = False,
@@ -113,7 +113,7 @@
         held = self._per_request_ms
         if held is None or limit is None:
             return engine.slots * _FIRST_PART
-        each = max(held, engine.per_seq_ms, 0.001)
+        each = max(held, engine.ms_per_sequence, 0.001)
         always = _fixed_ms(engine) + (self._held_back_ms or 0.0)
         in_time = (limit / _MS * _MEAN_PART - always) / each
         least = engine.slots * _LEAST_PART
@@ -129,10 +129,10 @@
     return seen if held is None else held + _WEIGHT * (seen - held)
 
 
-def _request_most_ms(engine: desired.Engine) -> float:
+def _request_most_ms(engine: desired.EngineSpec) -> float:
     """Return what one request adds to a pass at most; 0 if not known."""
-    return engine.stride * engine.per_seq_ms * _REQUEST_MOST
+    return engine.steps_per_pass * engine.ms_per_sequence * _REQUEST_MOST
 
 
-def _fixed_ms(engine: desired.Engine) -> float:
-    return engine.stride * engine.step_ms
+def _fixed_ms(engine: desired.EngineSpec) -> float:
+    return engine.steps_per_pass * engine.step_ms
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -91,12 +91,12 @@
         )
 
     def _route(
-        self, state: desired.Desired, req: http1.Request
+        self, state: desired.DesiredState, req: http1.Request
     ) -> desired.Route:
         hosts = [value for name, value in req.headers if name == b"host"]
         host = hosts[0].decode("latin-1") if hosts else ""
         path = req.target.decode("latin-1").partition("?")[0]
-        route = state.route(host, path) or state.route(
+        route = state.find_route(host, path) or state.find_route(
             host.rpartition(":")[0], path
         )
         if route is None:
@@ -105,22 +105,22 @@
 
     def _workspace(
         self,
-        state: desired.Desired,
+        state: desired.DesiredState,
         route: desired.Route,
         head: platform.CallerRequestHead,
     ) -> desired.Workspace | None:
-        if not state.keyed or route.public:
+        if not state.keys_required or route.public:
             return None
-        workspace = state.keys.get(head.key)
+        workspace = state.workspaces_by_key.get(head.key)
         if workspace is None:
             raise refusal.bad_key()
         return workspace
 
     def _service(self, route: desired.Route) -> ids.ServiceName:
-        if len(route.shares) == 1:
-            return route.shares[0].service
-        weights = [share.weight for share in route.shares]
-        return self._rng.choices(route.shares, weights)[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        weights = [share.weight for share in route.weighted_services]
+        return self._rng.choices(route.weighted_services, weights)[0].service
 
     def _log_refusal(
         self,
--- a/src/lugcross/edge/sending.py
+++ b/src/lugcross/edge/sending.py
@@ -50,7 +50,7 @@
         #: When the last attempt was sent.
         self._sent_at = plan.req.received_at
         self._state = lifecycle.State(
-            repeatable=plan.route.repeatable, attempts=plan.route.attempts
+            repeatable=plan.route.repeatable, attempts=plan.route.max_attempts
         )
 
     async def run(self) -> None:
--- a/src/lugcross/edge/world.py
+++ b/src/lugcross/edge/world.py
@@ -85,7 +85,7 @@
         ] = lambda key, pause: None
         #: How many peers may exist, set by whoever listens to them.
         self.known_peers: Callable[[], int] = lambda: 0
-        self.desired: desired.Desired | None = None
+        self.desired: desired.DesiredState | None = None
         self.records = records_lib.Records()
         self.backends = backends_lib.Backends(
             clock, drain=lambda: self.bounds.drain
@@ -106,21 +106,23 @@
 
     def software(self, service: ids.ServiceName) -> frozenset[str]:
         """Return the versions that servers of ``service`` run now."""
-        return frozenset(one.software for one in self.backends.of(service))
+        return frozenset(
+            one.software_version for one in self.backends.of(service)
+        )
 
     @property
     def version(self) -> int:
         """Version of the desired state in force; 0 without one."""
         return self.desired.version if self.desired else 0
 
-    def adopt(self, state: desired.Desired, record: bytes) -> bool:
+    def adopt(self, state: desired.DesiredState, record: bytes) -> bool:
         """Put a desired state in force, unless it is not newer."""
         held = self.desired
         if held is not None and state.version <= held.version:
             return False
         self.desired = state
         self.records.add(record)
-        self.uses.adopt(state.services, state.workspaces())
+        self.uses.adopt(state.services, state.workspace_names())
         logging.info(
             "desired state",
             extra={
@@ -143,7 +145,7 @@
                 slack=bounds.repeat_slack,
             )
 
-    def engine(self, service: ids.ServiceName) -> desired.Engine | None:
+    def engine(self, service: ids.ServiceName) -> desired.EngineSpec | None:
         """Return how the engines of ``service`` work, if it has any."""
         if self.desired is None:
             return None
@@ -230,7 +232,7 @@
             slow = self.slow.servers()
             return self.pace(service).full(
                 engine,
-                route.max_gap,
+                route.max_event_gap,
                 slow=any(
                     self.backends.service_of(key) == service for key in slow
                 ),
@@ -257,7 +259,7 @@
             if workspace.priority is not None:
                 priority = workspace.priority
         state = self.desired
-        behind = state.behind(service, priority) if state else 0
+        behind = state.priorities_ahead(service, priority) if state else 0
         return admission.Asking(claim=claim, back=back, behind=behind)
 
     def pace(self, service: ids.ServiceName) -> pace_lib.Pace:
--- a/src/lugcross/http1/server.py
+++ b/src/lugcross/http1/server.py
@@ -110,7 +110,7 @@
         writer: asyncio.StreamWriter,
         handler: Handler,
         *,
-        limits: Callable[[], desired.Limits],
+        limits: Callable[[], desired.RequestLimits],
         draining: Callable[[], bool],
         clock: clock_lib.Clock,
     ) -> None:
@@ -270,14 +270,16 @@
             received_at=received_at,
         )
 
-    async def _read_head(self, limits: desired.Limits) -> h11.Request | None:
+    async def _read_head(
+        self, limits: desired.RequestLimits
+    ) -> h11.Request | None:
         event = self._next_event()
         if event is h11.NEED_DATA and not self._h11.trailing_data[0]:
-            if not await self._receive(limits.idle_time):
+            if not await self._receive(limits.idle_timeout):
                 return None
             event = self._next_event()
         self.busy = True
-        deadline = self._clock.monotonic() + limits.head_time
+        deadline = self._clock.monotonic() + limits.head_timeout
         while event is h11.NEED_DATA:
             left = deadline - self._clock.monotonic()
             if not await self._receive(max(left, datetime.timedelta())):
@@ -292,13 +294,13 @@
             return event
         return None
 
-    async def _read_body(self, limits: desired.Limits) -> bytes:
+    async def _read_body(self, limits: desired.RequestLimits) -> bytes:
         parts: list[bytes] = []
         size = 0
         while True:
             event = self._next_event()
             if event is h11.NEED_DATA:
-                if await self._receive(limits.idle_time):
+                if await self._receive(limits.idle_timeout):
                     continue
                 if self._reader.at_eof():
                     raise _disconnected_error("it left within its request")
@@ -308,7 +310,7 @@
                 )
             if isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > limits.body_bytes:
+                if size > limits.max_body_bytes:
                     raise _too_large_error(limits)
                 parts.append(bytes(event.data))
                 continue
@@ -360,14 +362,14 @@
         await self._receive(datetime.timedelta(milliseconds=200))
 
 
-def _h11_connection(limits: desired.Limits) -> h11.Connection:
+def _h11_connection(limits: desired.RequestLimits) -> h11.Connection:
     return h11.Connection(
-        h11.SERVER, max_incomplete_event_size=limits.head_bytes
+        h11.SERVER, max_incomplete_event_size=limits.max_head_bytes
     )
 
 
 def _check_framing(
-    headers: list[tuple[bytes, bytes]], limits: desired.Limits
+    headers: list[tuple[bytes, bytes]], limits: desired.RequestLimits
 ) -> None:
     found = {name: value for name, value in headers}
     length = found.get(b"content-length")
@@ -377,14 +379,14 @@
             http.HTTPStatus.BAD_REQUEST,
             "a request with both a length and a transfer encoding",
         )
-    if length is not None and int(length) > limits.body_bytes:
+    if length is not None and int(length) > limits.max_body_bytes:
         raise _too_large_error(limits)
 
 
-def _too_large_error(limits: desired.Limits) -> _BadRequestError:
+def _too_large_error(limits: desired.RequestLimits) -> _BadRequestError:
     return _BadRequestError(
         http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-        f"the body is over {limits.body_bytes} bytes",
+        f"the body is over {limits.max_body_bytes} bytes",
     )
 
 
--- a/src/lugcross/platform/engine_client.py
+++ b/src/lugcross/platform/engine_client.py
@@ -211,8 +211,8 @@
             told = msgspec.json.decode(body, type=kind)
         except (msgspec.DecodeError, RecursionError) as exc:
             raise _query_error(backend, str(exc)) from exc
-        if None not in (told.born, backend.born) and (
-            told.born != backend.born
+        if None not in (told.born, backend.started_at_ms) and (
+            told.born != backend.started_at_ms
         ):
             raise _query_error(backend, "another life of it answers")
         return told
--- a/src/lugcross/platform/store_records.py
+++ b/src/lugcross/platform/store_records.py
@@ -30,9 +30,9 @@
 SUSPECTS_TOPIC = "keyed.lugcross.suspects"
 
 _ROUTE_KINDS = {
-    "safe": desired.Kind.SAFE,
-    "unsafe": desired.Kind.UNSAFE,
-    "streaming": desired.Kind.STREAM,
+    "safe": desired.RouteKind.SAFE,
+    "unsafe": desired.RouteKind.UNSAFE,
+    "streaming": desired.RouteKind.STREAM,
 }
 _BACKEND_STATES = {
     "ready": desired.BackendState.READY,
@@ -146,7 +146,7 @@
     born: Annotated[int, msgspec.Meta(ge=0, le=_MAX_BORN_MS)] | None = None
 
 
-def decode_desired(data: bytes) -> desired.Desired:
+def decode_desired(data: bytes) -> desired.DesiredState:
     """Return the desired state in one record of the operator.
 
     :raises errors.ChangeError: when it is not one.
@@ -172,14 +172,14 @@
         _check_address(host, port)
         return desired.Backend(
             id=_backend_id(key),
-            born=raw.born,
+            started_at_ms=raw.born,
             service=ids.ServiceName(raw.service),
             host=host,
             port=port,
             domain=ids.DomainName(raw.zone),
             slots=raw.slots,
             state=_BACKEND_STATES[raw.state],
-            software=raw.version,
+            software_version=raw.version,
         )
     except _DECODE_ERRORS as exc:
         raise errors.ChangeError(
@@ -202,7 +202,7 @@
         raise ValueError(f"no port: {port}")
 
 
-def _desired(raw: _Desired) -> desired.Desired:
+def _desired(raw: _Desired) -> desired.DesiredState:
     by_host: dict[str, list[desired.Route]] = {}
     for one in raw.routes:
         by_host.setdefault(one.host, []).append(_route(one))
@@ -212,42 +212,42 @@
             name=ids.WorkspaceName(space.name), priority=space.priority
         )
         keys.update(dict.fromkeys(space.api_keys, workspace))
-    return desired.Desired(
+    return desired.DesiredState(
         version=raw.version,
         routes={
-            host: tuple(sorted(routes, key=lambda r: -len(r.prefix)))
+            host: tuple(sorted(routes, key=lambda r: -len(r.path_prefix)))
             for host, routes in by_host.items()
         },
         services={
             ids.ServiceName(one.name): _service(one) for one in raw.services
         },
-        limits=desired.Limits(
-            head_bytes=raw.limits.header_bytes,
-            body_bytes=raw.limits.body_bytes,
-            head_time=_milliseconds(raw.limits.header_ms),
-            idle_time=_milliseconds(raw.limits.idle_ms),
+        limits=desired.RequestLimits(
+            max_head_bytes=raw.limits.header_bytes,
+            max_body_bytes=raw.limits.body_bytes,
+            head_timeout=_milliseconds(raw.limits.header_ms),
+            idle_timeout=_milliseconds(raw.limits.idle_ms),
         ),
-        keys=keys,
-        keyed=raw.tenants is not None,
+        workspaces_by_key=keys,
+        keys_required=raw.tenants is not None,
     )
 
 
 def _route(raw: _Route) -> desired.Route:
     shares = [
-        desired.Share(ids.ServiceName(one.service), one.weight)
+        desired.WeightedService(ids.ServiceName(one.service), one.weight)
         for one in raw.split
-    ] or [desired.Share(ids.ServiceName(raw.service), 1.0)]
+    ] or [desired.WeightedService(ids.ServiceName(raw.service), 1.0)]
     gap_ms = raw.gap_target_ms
     return desired.Route(
         name=raw.name,
         host=raw.host,
-        prefix=raw.path_prefix,
+        path_prefix=raw.path_prefix,
         kind=_ROUTE_KINDS[raw.kind],
-        shares=tuple(shares),
+        weighted_services=tuple(shares),
         timeout=_milliseconds(raw.timeout_ms),
-        target=_milliseconds(raw.latency_target_ms),
-        max_gap=_milliseconds(gap_ms) if gap_ms else None,
-        attempts=max(1, raw.attempts),
+        latency_target=_milliseconds(raw.latency_target_ms),
+        max_event_gap=_milliseconds(gap_ms) if gap_ms else None,
+        max_attempts=max(1, raw.attempts),
         priority=raw.priority,
         public=raw.public,
         resumable=raw.resumable,
@@ -258,20 +258,20 @@
     return desired.Service(
         name=ids.ServiceName(raw.name),
         health_path=raw.health_path,
-        connections=raw.connection_limit,
+        max_connections=raw.connection_limit,
         engine=_engine(raw.engine) if raw.engine else None,
     )
 
 
-def _engine(raw: _Engine) -> desired.Engine:
-    return desired.Engine(
+def _engine(raw: _Engine) -> desired.EngineSpec:
+    return desired.EngineSpec(
         slots=raw.slots,
-        kv_tokens=raw.kv_cache_tokens,
-        stride=raw.stride,
+        kv_cache_tokens=raw.kv_cache_tokens,
+        steps_per_pass=raw.stride,
         step_ms=raw.step_ms,
-        per_seq_ms=raw.per_seq_ms,
-        context_ms=raw.context_per_k,
-        read_per_s=raw.read_per_s,
+        ms_per_sequence=raw.per_seq_ms,
+        ms_per_1k_context_tokens=raw.context_per_k,
+        prefill_tokens_per_s=raw.read_per_s,
         report_lag=_milliseconds(raw.report_lag_ms),
         experts=_expert_limits(raw),
     )
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -20,11 +20,11 @@
 
 _RECORD_LENGTH = struct.Struct(">I")
 _READ_BOUNDS = struct.Struct(">QQ")
-_LIMITS = desired.Limits(
-    head_bytes=16_384,
-    body_bytes=4_194_304,
-    head_time=datetime.timedelta(seconds=10),
-    idle_time=datetime.timedelta(seconds=60),
+_LIMITS = desired.RequestLimits(
+    max_head_bytes=16_384,
+    max_body_bytes=4_194_304,
+    head_timeout=datetime.timedelta(seconds=10),
+    idle_timeout=datetime.timedelta(seconds=60),
 )
 
 
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -320,7 +320,7 @@
         (rig.SAFE, 1),
         (rig.STREAM, 1),
         (rig.UNSAFE_TWICE, 0),
-        (rig.route(desired.Kind.SAFE, attempts=1), 0),
+        (rig.route(desired.RouteKind.SAFE, attempts=1), 0),
     ],
     ids=["repeatable", "resumable", "not-repeatable", "one-attempt"],
 )
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -19,8 +19,12 @@
 from lugcross.edge import serving
 from lugcross import ids
 
-ENGINE = desired.Engine(
-    slots=6, kv_tokens=1000, stride=6, step_ms=5.0, per_seq_ms=0.5
+ENGINE = desired.EngineSpec(
+    slots=6,
+    kv_cache_tokens=1000,
+    steps_per_pass=6,
+    step_ms=5.0,
+    ms_per_sequence=0.5,
 )
 LIMIT = datetime.timedelta(milliseconds=120)
 FIRST = admission.Asking()
@@ -176,7 +180,9 @@
     learned = pace.Pace()
     full = [learned.full(ENGINE, LIMIT)]
     for num, times in enumerate(slowness):
-        pause_ms = ENGINE.stride * ENGINE.step_ms * times + 10.0 * full[-1]
+        pause_ms = (
+            ENGINE.steps_per_pass * ENGINE.step_ms * times + 10.0 * full[-1]
+        )
         learned.paused(
             datetime.timedelta(milliseconds=pause_ms),
             num * SECOND,
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_maps.py
@@ -151,15 +151,17 @@
         self.news += 1
 
     def _adopt(self) -> None:
-        engine = desired.Engine(slots=6, kv_tokens=1000, experts=LIMITS)
+        engine = desired.EngineSpec(
+            slots=6, kv_cache_tokens=1000, experts=LIMITS
+        )
         service = desired.Service(name=SERVICE, engine=engine)
-        state = desired.Desired(
+        state = desired.DesiredState(
             version=1,
             routes={},
             services={SERVICE: service},
             limits=edge_rig.LIMITS,
-            keys={},
-            keyed=False,
+            workspaces_by_key={},
+            keys_required=False,
         )
         self.world.adopt(state, b"")
         rows = tuple(
--- a/testing/edge/test_reload.py
+++ b/testing/edge/test_reload.py
@@ -82,7 +82,7 @@
 
 def test_repeats_that_were_spent_stay_counted_under_other_bounds():
     rig = edge_rig.Rig()
-    service = edge_rig.SAFE.shares[0].service
+    service = edge_rig.SAFE.weighted_services[0].service
     budget = rig.world.budget(service)
     now = rig.clock.monotonic()
     while budget.spend(now):
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -206,27 +206,27 @@
     assert admission.admit(_picture(47), 3.0, _asking(behind=9)) is None
 
 
-def _state(*priorities: int) -> desired.Desired:
+def _state(*priorities: int) -> desired.DesiredState:
     routes = tuple(
         desired.Route(
             name=f"r{num}",
             host="h",
-            prefix=f"/{num}/",
-            kind=desired.Kind.SAFE,
-            shares=(desired.Share(SERVICE, 1.0),),
+            path_prefix=f"/{num}/",
+            kind=desired.RouteKind.SAFE,
+            weighted_services=(desired.WeightedService(SERVICE, 1.0),),
             timeout=datetime.timedelta(seconds=1),
-            target=datetime.timedelta(seconds=1),
+            latency_target=datetime.timedelta(seconds=1),
             priority=priority,
         )
         for num, priority in enumerate(priorities)
     )
-    return desired.Desired(
+    return desired.DesiredState(
         version=1,
         routes={"h": routes},
         services={},
         limits=edge_rig.LIMITS,
-        keys={},
-        keyed=False,
+        workspaces_by_key={},
+        keys_required=False,
     )
 
 
@@ -234,8 +234,8 @@
     ("priority", "behind"), [(1, 0), (2, 1), (5, 2), (9, 3), (0, 0)], ids=str
 )
 def test_more_urgent_kinds_of_one_service_are_counted(priority, behind):
-    assert _state(1, 2, 2, 5).behind(SERVICE, priority) == behind
-    assert _state(1).behind(ids.ServiceName("other"), 9) == 0
+    assert _state(1, 2, 2, 5).priorities_ahead(SERVICE, priority) == behind
+    assert _state(1).priorities_ahead(ids.ServiceName("other"), 9) == 0
 
 
 def test_figures_name_the_heaviest_workspaces_only():
--- a/testing/http1/test_bad_input.py
+++ b/testing/http1/test_bad_input.py
@@ -15,7 +15,9 @@
 OK = b"HTTP/1.1 200 "
 
 
-def _talk(data: bytes, *, limits: desired.Limits = edge_rig.LIMITS) -> bytes:
+def _talk(
+    data: bytes, *, limits: desired.RequestLimits = edge_rig.LIMITS
+) -> bytes:
     """Send bytes to an echoing server; return all that comes back."""
 
     async def echo(exchange: http1.ResponseWriter, req: http1.Request) -> None:
@@ -112,14 +114,17 @@
 
 
 def test_slow_head_is_refused_as_not_run():
-    limits = desired.Limits(
-        head_bytes=4096, body_bytes=1024, head_time=NOW, idle_time=NOW
+    limits = desired.RequestLimits(
+        max_head_bytes=4096,
+        max_body_bytes=1024,
+        head_timeout=NOW,
+        idle_timeout=NOW,
     )
-    slow = desired.Limits(
-        head_bytes=4096,
-        body_bytes=1024,
-        head_time=NOW,
-        idle_time=edge_rig.LIMITS.idle_time,
+    slow = desired.RequestLimits(
+        max_head_bytes=4096,
+        max_body_bytes=1024,
+        head_timeout=NOW,
+        idle_timeout=edge_rig.LIMITS.idle_timeout,
     )
     assert _talk(b"GET / HT", limits=slow).startswith(b"HTTP/1.1 408")
     assert _talk(b"", limits=limits) == b""
--- a/testing/platform/test_engine_client.py
+++ b/testing/platform/test_engine_client.py
@@ -43,7 +43,9 @@
     async def exchange(
         self, backend: desired.Backend, method: str, target: str, body: bytes
     ) -> tuple[int, bytes]:
-        assert backend == dataclasses.replace(BACKEND, born=backend.born)
+        assert backend == dataclasses.replace(
+            BACKEND, started_at_ms=backend.started_at_ms
+        )
         self.asked.append((method, target, body))
         if isinstance(self.answer, Exception):
             raise self.answer
@@ -153,7 +155,7 @@
     Its address may stay: without a look at its start a new life's counts
     would be taken off those of the old one.
     """
-    backend = dataclasses.replace(BACKEND, born=1000)
+    backend = dataclasses.replace(BACKEND, started_at_ms=1000)
     answer = {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
     asked, _ = engines(answer if told is None else {**answer, "born": told})
     if told == 2000:
--- a/testing/platform/test_store_records.py
+++ b/testing/platform/test_store_records.py
@@ -59,44 +59,47 @@
 }
 
 
-def _read(**changes: object) -> desired.Desired:
+def _read(**changes: object) -> desired.DesiredState:
     return platform.decode_desired(json.dumps(STATE | changes).encode())
 
 
 def test_longest_prefix_wins():
     state = _read()
-    found = state.route("h", "/a/b/c")
-    assert found is not None and found.kind is desired.Kind.UNSAFE
-    found = state.route("h", "/a/bc")
-    assert found is not None and found.kind is desired.Kind.STREAM
-    assert state.route("h", "/b/") is None
-    assert state.route("other", "/a/") is None
+    found = state.find_route("h", "/a/b/c")
+    assert found is not None and found.kind is desired.RouteKind.UNSAFE
+    found = state.find_route("h", "/a/bc")
+    assert found is not None and found.kind is desired.RouteKind.STREAM
+    assert state.find_route("h", "/b/") is None
+    assert state.find_route("other", "/a/") is None
 
 
 def test_times_shares_keys_and_engine_are_decoded():
     state = _read()
-    stream = state.route("h", "/a/")
-    split = state.route("h", "/a/b/")
+    stream = state.find_route("h", "/a/")
+    split = state.find_route("h", "/a/b/")
     assert stream is not None and split is not None
     assert stream.timeout == datetime.timedelta(seconds=8)
-    assert stream.max_gap == datetime.timedelta(milliseconds=120)
+    assert stream.max_event_gap == datetime.timedelta(milliseconds=120)
     assert stream.repeatable
-    assert [share.weight for share in split.shares] == [90, 10]
-    assert state.keys["k2"].name == "t"
+    assert [share.weight for share in split.weighted_services] == [90, 10]
+    assert state.workspaces_by_key["k2"].name == "t"
     engine = state.services["s1"].engine
-    assert engine is not None and (engine.slots, engine.stride) == (6, 6)
+    assert engine is not None and (engine.slots, engine.steps_per_pass) == (
+        6,
+        6,
+    )
 
 
 def test_stream_that_may_not_resume_is_not_repeatable():
     state = _read(routes=[ROUTE | {"resumable": False}])
-    found = state.route("h", "/a/")
+    found = state.find_route("h", "/a/")
     assert found is not None and not found.repeatable
 
 
 def test_without_workspaces_no_key_is_asked_for():
     raw = {name: one for name, one in STATE.items() if name != "tenants"}
     state = platform.decode_desired(json.dumps(raw).encode())
-    assert not state.keyed
+    assert not state.keys_required
 
 
 @pytest.mark.parametrize(
@@ -143,7 +146,7 @@
 def test_life_is_told_by_its_start(born):
     value = edge_rig.entry("s", "10.1.2.3:80", born=born)
     found = platform.decode_backend("i-1", value)
-    assert (found.id, found.born) == ("i-1", born)
+    assert (found.id, found.started_at_ms) == ("i-1", born)
     assert (found.key == "i-1") == (born is None)
 
 
@@ -206,7 +209,7 @@
     except errors.ChangeError:
         return
     assert found.slots >= 1 and 0 < found.port < 65_536
-    assert found.service and found.domain and found.born != -1
+    assert found.service and found.domain and found.started_at_ms != -1
 
 
 @given(data=strategies.binary(max_size=60))
@@ -229,7 +232,7 @@
         found = platform.decode_desired(json.dumps(state).encode())
     except errors.ChangeError:
         return
-    assert isinstance(found, desired.Desired)
+    assert isinstance(found, desired.DesiredState)
 
 
 def test_caller_head_takes_numbers_and_drops_what_is_none():
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -22,11 +22,11 @@
 HOST = "127.0.0.1"
 KEY = "key-of-a"
 #: Times are far off: no test waits for them.
-LIMITS = desired.Limits(
-    head_bytes=4096,
-    body_bytes=1024,
-    head_time=datetime.timedelta(seconds=30),
-    idle_time=datetime.timedelta(seconds=30),
+LIMITS = desired.RequestLimits(
+    max_head_bytes=4096,
+    max_body_bytes=1024,
+    head_timeout=datetime.timedelta(seconds=30),
+    idle_timeout=datetime.timedelta(seconds=30),
 )
 BOUNDS = settings_lib.Bounds(
     grace_s=8,
@@ -300,13 +300,13 @@
         """Put a desired state with ``routes`` in force."""
         workspace = desired.Workspace(name=ids.WorkspaceName("space-a"))
         self.world.adopt(
-            desired.Desired(
+            desired.DesiredState(
                 version=version,
                 routes={"h": routes},
                 services={},
                 limits=LIMITS,
-                keys={KEY: workspace},
-                keyed=True,
+                workspaces_by_key={KEY: workspace},
+                keys_required=True,
             ),
             b"",
         )
@@ -403,24 +403,26 @@
 
 
 def route(
-    kind: desired.Kind, *, attempts: int = 2, resumable: bool = False
+    kind: desired.RouteKind, *, attempts: int = 2, resumable: bool = False
 ) -> desired.Route:
     """Return a route of ``kind`` to the service ``app``."""
     return desired.Route(
         name="r",
         host="h",
-        prefix="/r/",
+        path_prefix="/r/",
         kind=kind,
-        shares=(desired.Share(ids.ServiceName("app"), 1.0),),
+        weighted_services=(
+            desired.WeightedService(ids.ServiceName("app"), 1.0),
+        ),
         timeout=datetime.timedelta(seconds=5),
-        target=datetime.timedelta(milliseconds=400),
-        attempts=attempts,
+        latency_target=datetime.timedelta(milliseconds=400),
+        max_attempts=attempts,
         resumable=resumable,
     )
 
 
-SAFE = route(desired.Kind.SAFE)
-UNSAFE = route(desired.Kind.UNSAFE, attempts=1)
-UNSAFE_TWICE = route(desired.Kind.UNSAFE, attempts=2)
-STREAM = route(desired.Kind.STREAM, resumable=True)
-STREAM_ONCE = route(desired.Kind.STREAM)
+SAFE = route(desired.RouteKind.SAFE)
+UNSAFE = route(desired.RouteKind.UNSAFE, attempts=1)
+UNSAFE_TWICE = route(desired.RouteKind.UNSAFE, attempts=2)
+STREAM = route(desired.RouteKind.STREAM, resumable=True)
+STREAM_ONCE = route(desired.RouteKind.STREAM)
