--- a/src/lugcross/cli/ctl.py
+++ b/src/lugcross/cli/ctl.py
@@ -10,18 +10,18 @@
 from google.protobuf import message
 
 from lugcross import cfg
-from lugcross.cli import show
+from lugcross.cli import render
 from lugcross import ids
 from lugcross import rpc
 from lugcross.rpc import lugcross_pb2 as pb
 
-_REJECTED = 1
-_NOT_KNOWN = 3
-_STATUS = {
+_EXIT_REJECTED = 1
+_EXIT_NOT_KNOWN = 3
+_EXIT_STATUSES = {
     pb.STANDING_ACCEPTED: 0,
-    pb.STANDING_REJECTED: _REJECTED,
-    pb.STANDING_NOT_KNOWN_YET: _NOT_KNOWN,
-    pb.STANDING_NOT_APPENDED: _REJECTED,
+    pb.STANDING_REJECTED: _EXIT_REJECTED,
+    pb.STANDING_NOT_KNOWN_YET: _EXIT_NOT_KNOWN,
+    pb.STANDING_NOT_APPENDED: _EXIT_REJECTED,
 }
 
 
@@ -34,20 +34,20 @@
 
     def show(self, msg: message.Message, text: Callable[[], None]) -> None:
         if self.as_json:
-            click.echo(json.dumps(show.fields(msg)))
+            click.echo(json.dumps(render.message_fields(msg)))
         else:
             text()
 
     def finish(self, reply: pb.ChangeReply) -> None:
         """Show what became of a change and end with its status."""
-        self.show(reply, lambda: click.echo(show.sentence(reply)))
-        sys.exit(_STATUS.get(reply.standing, _REJECTED))
+        self.show(reply, lambda: click.echo(render.describe_change(reply)))
+        sys.exit(_EXIT_STATUSES.get(reply.standing, _EXIT_REJECTED))
 
     def revision(self, ref: cfg.Ref, expect: int | None) -> int:
         """Return the revision to expect: given, or the one in force."""
         if expect is not None:
             return expect
-        return _current(self.client).get(ref, (None, 0))[1]
+        return _current_objects(self.client).get(ref, (None, 0))[1]
 
     def put(self, obj: cfg.Object, expect: int | None, change_id: str) -> None:
         revision = self.revision(obj.ref, expect)
@@ -309,7 +309,7 @@
 def config(session: _Session) -> None:
     """Show the configuration in force."""
     reply = session.client.config()
-    session.show(reply, lambda: show.config(reply))
+    session.show(reply, lambda: render.print_config(reply))
 
 
 @ctl.command()
@@ -317,7 +317,7 @@
 def status(session: _Session) -> None:
     """Tell how the entry host stands and what it reaches."""
     reply = session.client.status()
-    session.show(reply, lambda: show.status(reply))
+    session.show(reply, lambda: render.print_status(reply))
 
 
 @ctl.command()
@@ -326,7 +326,7 @@
 def explain(session: _Session, subject: str) -> None:
     """Tell what was decided about a request, server or change."""
     reply = session.client.explain(subject)
-    session.show(reply, lambda: show.decisions(reply))
+    session.show(reply, lambda: render.print_decisions(reply))
 
 
 @ctl.command()
@@ -339,7 +339,7 @@
     text = pathlib.Path(file).read_text(encoding="utf-8")
     wanted = cfg.load_wanted(text, source=file)
     found = cfg.compare(
-        _current(session.client), wanted.objects(), prune=prune
+        _current_objects(session.client), wanted.objects(), prune=prune
     )
     for difference in found:
         click.echo(str(difference))
@@ -348,13 +348,13 @@
     if dry_run:
         return
     for difference in found:
-        reply = _carry_out(session.client, difference)
+        reply = _apply_difference(session.client, difference)
         if reply.standing != pb.STANDING_ACCEPTED:
             session.finish(reply)
     click.echo(f"{len(found)} changes in force")
 
 
-def _carry_out(
+def _apply_difference(
     client: rpc.OperatorClient, difference: cfg.Difference
 ) -> pb.ChangeReply:
     op = difference.op
@@ -363,7 +363,7 @@
     return client.remove(op.ref, expect=difference.expect)
 
 
-def _current(
+def _current_objects(
     client: rpc.OperatorClient,
 ) -> dict[cfg.Ref, tuple[cfg.Object, ids.Revision]]:
     found = {}
--- a/src/lugcross/cli/demo.py
+++ b/src/lugcross/cli/demo.py
@@ -23,14 +23,14 @@
         if once:
             good = demo_lib.FixedRun(fleet).run()
         else:
-            _explain(fleet)
-            _show(fleet, seconds)
+            _print_examples(fleet)
+            _show_traffic(fleet, seconds)
     finally:
         fleet.stop()
     sys.exit(0 if good else 1)
 
 
-def _explain(fleet: demo_lib.Fleet) -> None:
+def _print_examples(fleet: demo_lib.Fleet) -> None:
     key = fleet.rivals[0].key
     click.echo(
         "try:\n"
@@ -44,7 +44,7 @@
     )
 
 
-def _show(fleet: demo_lib.Fleet, seconds: float | None) -> None:
+def _show_traffic(fleet: demo_lib.Fleet, seconds: float | None) -> None:
     traffic = demo_lib.Traffic(fleet)
     traffic.start()
     try:
--- a/src/lugcross/cli/edge.py
+++ b/src/lugcross/cli/edge.py
@@ -9,11 +9,11 @@
 from lugcross import clock
 from lugcross import logs
 
-_VARIABLE = "LUGCROSS_CONFIG"
+_CONFIG_VARIABLE = "LUGCROSS_CONFIG"
 
 
 @click.command()
-@click.argument("file", type=click.Path(), envvar=_VARIABLE)
+@click.argument("file", type=click.Path(), envvar=_CONFIG_VARIABLE)
 def edge(file: str) -> None:
     """Serve callers from backend servers directly.
 
--- a/src/lugcross/cli/explain.py
+++ b/src/lugcross/cli/explain.py
@@ -37,10 +37,12 @@
         )
     first = next(line.at for line in found if line.request == request)
     for line in found:
-        click.echo(_text(line, first, own=line.request == request))
+        click.echo(_format_line(line, first, own=line.request == request))
 
 
-def _text(line: request_timeline.LogLine, first: float, *, own: bool) -> str:
+def _format_line(
+    line: request_timeline.LogLine, first: float, *, own: bool
+) -> str:
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
--- a/src/lugcross/cli/main.py
+++ b/src/lugcross/cli/main.py
@@ -48,14 +48,14 @@
 
 @click.group(cls=_LazyGroup)
 @click.version_option(__version__)
-def _group() -> None:
+def _root_command() -> None:
     """Load balancer for expert-parallel model groups."""
 
 
 def main() -> None:
     """Run the program and end the process with its status."""
     try:
-        _group(standalone_mode=True)
+        _root_command(standalone_mode=True)
     except errors.LugcrossError as exc:
         click.echo(f"lugcross: {exc}", err=True)
         sys.exit(1)
--- a/src/lugcross/cli/plan.py
+++ b/src/lugcross/cli/plan.py
@@ -38,14 +38,14 @@
     for row in trial.run(windows, cfg):
         rows.append(row)
         if as_json:
-            click.echo(json.dumps(_fields(row)))
+            click.echo(json.dumps(_row_fields(row)))
     if not as_json:
-        _show(rows)
+        _print_table(rows)
     if plot:
-        _draw(rows, plot)
+        _plot(rows, plot)
 
 
-def _fields(row: trial.Row) -> dict[str, object]:
+def _row_fields(row: trial.Row) -> dict[str, object]:
     moves = [dataclasses.asdict(move) for move in row.moves]
     return {
         **dataclasses.asdict(row),
@@ -54,7 +54,7 @@
     }
 
 
-def _show(rows: list[trial.Row]) -> None:
+def _print_table(rows: list[trial.Row]) -> None:
     table = rich.table.Table()
     for name in ("window", "decision", "moves", "skew", "next", "why"):
         table.add_column(name)
@@ -71,7 +71,7 @@
     rich.console.Console().print(table)
 
 
-def _draw(rows: list[trial.Row], path: str) -> None:
+def _plot(rows: list[trial.Row], path: str) -> None:
     # Imported here: it costs time and memory that only a plot needs.
     import matplotlib
 
--- a/src/lugcross/cli/show.py
+++ b/src/lugcross/cli/render.py
@@ -13,7 +13,7 @@
 from lugcross.rpc import lugcross_pb2 as pb
 
 
-def fields(msg: message.Message) -> dict[str, Any]:
+def message_fields(msg: message.Message) -> dict[str, Any]:
     """Return an answer as JSON has it."""
     found: dict[str, Any] = json_format.MessageToDict(
         msg,
@@ -23,7 +23,7 @@
     return found
 
 
-def sentence(reply: pb.ChangeReply) -> str:
+def describe_change(reply: pb.ChangeReply) -> str:
     """Return what became of a change."""
     name = pb.Standing.Name(reply.standing).removeprefix("STANDING_")
     parts = [f"change {reply.change_id}: {name.lower().replace('_', ' ')}"]
@@ -39,7 +39,7 @@
     return "; ".join(parts)
 
 
-def config(reply: pb.Config) -> None:
+def print_config(reply: pb.Config) -> None:
     """Print the configuration as a table."""
     table = rich.table.Table(title=f"configuration at offset {reply.offset}")
     for name in ("object", "revision", "by", "fields"):
@@ -55,7 +55,7 @@
     rich.console.Console().print(table)
 
 
-def status(reply: pb.NodeStatus) -> None:
+def print_status(reply: pb.NodeStatus) -> None:
     """Print what an entry host knows of itself and of others."""
     state = reply.unready or "ready"
     click.echo(
@@ -96,7 +96,7 @@
     rich.console.Console().print(table)
 
 
-def decisions(reply: pb.ExplainReply) -> None:
+def print_decisions(reply: pb.ExplainReply) -> None:
     """Print decisions about a request or an object, the oldest first."""
     for item in reply.decisions:
         inputs = f" [{'; '.join(item.inputs)}]" if item.inputs else ""
--- a/src/lugcross/cli/shares.py
+++ b/src/lugcross/cli/shares.py
@@ -11,20 +11,20 @@
 import urllib3
 
 #: Longest wait for a process's figures, in seconds; they are there at once.
-_ANSWER_S = 5.0
-_RUNNING = "lugcross_workspace_running"
-_REFUSED = "lugcross_workspace_refused_total"
+_METRICS_TIMEOUT_S = 5.0
+_RUNNING_METRIC = "lugcross_workspace_running"
+_REFUSED_METRIC = "lugcross_workspace_refused_total"
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class _Space:
+class _WorkspaceOfService:
     service: str
     workspace: str
 
 
 @final
-class _Table:
+class _UsageTable:
     """What some processes tell of each workspace.
 
     Each process tells what all of them have running, as far as it has
@@ -32,43 +32,47 @@
     """
 
     def __init__(self) -> None:
-        self.running: dict[_Space, int] = {}
-        self.refused: collections.Counter[_Space] = collections.Counter()
+        self.running: dict[_WorkspaceOfService, int] = {}
+        self.refused: collections.Counter[_WorkspaceOfService] = (
+            collections.Counter()
+        )
 
-    def take(self, text: str) -> None:
+    def add_metrics(self, text: str) -> None:
         """Take over the figures of one process."""
         for family in parser.text_string_to_metric_families(text):
             for sample in family.samples:
-                if sample.name not in (_RUNNING, _REFUSED):
+                if sample.name not in (_RUNNING_METRIC, _REFUSED_METRIC):
                     continue
                 labels = sample.labels
-                space = _Space(labels["service"], labels["workspace"])
+                entry = _WorkspaceOfService(
+                    labels["service"], labels["workspace"]
+                )
                 count = int(sample.value)
-                if sample.name == _RUNNING:
-                    most = max(count, self.running.get(space, 0))
-                    self.running[space] = most
+                if sample.name == _RUNNING_METRIC:
+                    most = max(count, self.running.get(entry, 0))
+                    self.running[entry] = most
                 else:
-                    self.refused[space] += count
+                    self.refused[entry] += count
 
     def rows(self) -> Iterable[str]:
         """Return a line a workspace, the heaviest of each service first."""
-        spaces = sorted(
+        entries = sorted(
             self.running.keys() | self.refused.keys(),
             key=lambda one: (one.service, -self.running.get(one, 0)),
         )
-        for one in spaces:
+        for one in entries:
             running = self.running.get(one, 0)
             refused = self.refused[one]
             names = f"{one.service:20} {one.workspace:20}"
             yield f"{names} {running:8} {refused:8}"
 
 
-def _figures(address: str) -> str:
+def _fetch_metrics(address: str) -> str:
     try:
         answer = urllib3.request(
             "GET",
             f"http://{address}/metrics",
-            timeout=_ANSWER_S,
+            timeout=_METRICS_TIMEOUT_S,
             retries=False,
         )
     except urllib3.exceptions.HTTPError as exc:
@@ -87,9 +91,9 @@
     One process at HOST:PORT (its figures) knows what all of them have in
     progress; refusals are summed over those that are named.
     """
-    table = _Table()
+    table = _UsageTable()
     for address in addresses:
-        table.take(_figures(address))
+        table.add_metrics(_fetch_metrics(address))
     click.echo(
         f"{'service':20} {'workspace':20} {'running':>8} {'refused':>8}"
     )
--- a/src/lugcross/cli/standin.py
+++ b/src/lugcross/cli/standin.py
@@ -18,10 +18,10 @@
 def standin(ctx: click.Context, host: str, port: int, name: str) -> None:
     """Run a stand-in of the platform or of a backend server."""
     observe.set_up_logging(name, "info")
-    ctx.obj = _Place(host, port, name)
+    ctx.obj = _StandinProcess(host, port, name)
 
 
-class _Place:
+class _StandinProcess:
     def __init__(self, host: str, port: int, name: str) -> None:
         self.host = host
         self.port = port
@@ -48,9 +48,9 @@
 @click.option("--rate", default=100.0, help="Appends a second.")
 @click.option("--retention", default=86_400.0, help="Seconds.")
 @click.pass_obj
-def log(place: _Place, rate: float, retention: float) -> None:
+def log(process: _StandinProcess, rate: float, retention: float) -> None:
     """Run the platform's append-only log."""
-    place.run(
+    process.run(
         standin_lib.LogStandin(appends_per_s=rate, retention_s=retention)
     )
 
@@ -58,17 +58,17 @@
 @standin.command()
 @click.option("--lag", default=1.0, help="Seconds.")
 @click.pass_obj
-def hosts(place: _Place, lag: float) -> None:
+def hosts(process: _StandinProcess, lag: float) -> None:
     """Run the platform's lagging host list."""
-    place.run(standin_lib.HostsStandin(lag_s=lag))
+    process.run(standin_lib.HostsStandin(lag_s=lag))
 
 
 @standin.command()
 @click.option("--rate", default=100.0, help="MiB a second.")
 @click.pass_obj
-def weights(place: _Place, rate: float) -> None:
+def weights(process: _StandinProcess, rate: float) -> None:
     """Run the platform's rate-limited weight store."""
-    place.run(standin_lib.WeightsStandin(bytes_per_s=rate * 1_048_576))
+    process.run(standin_lib.WeightsStandin(bytes_per_s=rate * 1_048_576))
 
 
 @standin.command()
@@ -78,25 +78,33 @@
 @click.option("--traces/--no-traces", default=False)
 @click.pass_obj
 def engine(
-    place: _Place, step: float, batch: int, checks_orders: bool, traces: bool
+    process: _StandinProcess,
+    step: float,
+    batch: int,
+    checks_orders: bool,
+    traces: bool,
 ) -> None:
     """Run a model engine."""
     exporter = (
         cfg.settings.Exporter.LOG if traces else cfg.settings.Exporter.NONE
     )
-    tracer = observe.Tracer(cfg.settings.Traces(exporter=exporter), place.name)
+    tracer = observe.Tracer(
+        cfg.settings.Traces(exporter=exporter), process.name
+    )
     app = standin_lib.EngineStandin(
         speed=standin_lib.EngineSpeed(step_s=step),
         max_batch=batch,
         checks_orders=checks_orders,
         tracer=tracer,
     )
-    place.run(app, app_lib.Hook(name="steps", start=app.start, stop=app.stop))
+    process.run(
+        app, app_lib.Hook(name="steps", start=app.start, stop=app.stop)
+    )
 
 
 @standin.command()
 @click.option("--work", default=0.002, help="Seconds a request.")
 @click.pass_obj
-def service(place: _Place, work: float) -> None:
+def service(process: _StandinProcess, work: float) -> None:
     """Run a plain service that records what it ran."""
-    place.run(standin_lib.ServiceStandin(work_s=work))
+    process.run(standin_lib.ServiceStandin(work_s=work))
