--- a/src/lugcross/clock.py
+++ b/src/lugcross/clock.py
@@ -69,17 +69,17 @@
         ),
     ) -> None:
         self._start = start
-        self._passed = datetime.timedelta()
+        self._elapsed = datetime.timedelta()
 
     def now(self) -> datetime.datetime:
-        return self._start + self._passed
+        return self._start + self._elapsed
 
     def monotonic(self) -> Instant:
-        return self._passed
+        return self._elapsed
 
     def advance(self, by: datetime.timedelta) -> None:
         """Move both times forward by ``by``."""
-        self._passed += by
+        self._elapsed += by
 
 
 def seconds(value: float) -> datetime.timedelta:
--- a/src/lugcross/edge/runner.py
+++ b/src/lugcross/edge/runner.py
@@ -111,7 +111,7 @@
     ) -> desired.Workspace | None:
         if not state.keys_required or route.public:
             return None
-        workspace = state.workspaces_by_key.get(head.key)
+        workspace = state.workspaces_by_key.get(head.api_key)
         if workspace is None:
             raise refusal.bad_key()
         return workspace
--- a/src/lugcross/http1/server.py
+++ b/src/lugcross/http1/server.py
@@ -196,7 +196,7 @@
         if req is None:
             return False
         response = ResponseWriter(self)
-        await self._answer(response, req)
+        await self._run_handler(response, req)
         if not response.finished:
             # Closing without the mark of an end shows that it is broken.
             self._writer.transport.abort()
@@ -209,7 +209,9 @@
         self.busy = False
         return True
 
-    async def _answer(self, response: ResponseWriter, req: Request) -> None:
+    async def _run_handler(
+        self, response: ResponseWriter, req: Request
+    ) -> None:
         """Run the handler; stop it as soon as the caller leaves."""
         work = asyncio.create_task(self._handler(response, req))
         watch = asyncio.create_task(self._wait_for_disconnect())
--- a/src/lugcross/observe/request_timeline.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -87,7 +87,7 @@
         for text in texts:
             if not text.strip():
                 continue
-            line = _decode(text)
+            line = _parse_line(text)
             if line is None:
                 self.malformed_count += 1
                 continue
@@ -95,7 +95,7 @@
             yield line
 
 
-def _decode(text: str) -> LogLine | None:
+def _parse_line(text: str) -> LogLine | None:
     start = text.find("{")
     if start < 0:
         return None
--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -159,22 +159,22 @@
     wrong_instance = status == http.HTTPStatus.MISDIRECTED_REQUEST
     return BackendResponseHead(
         status=status,
-        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
-        signed=bool(header_names.header_text(found, header_names.SIGNATURE)),
+        attempt_id=header_names.text_of(found, header_names.ATTEMPT_ID),
+        signed=bool(header_names.text_of(found, header_names.SIGNATURE)),
         not_executed=wrong_instance
-        or bool(header_names.header_text(found, header_names.NOT_EXECUTED)),
+        or bool(header_names.text_of(found, header_names.NOT_EXECUTED)),
         wrong_instance=wrong_instance,
         content_encoded=b"content-encoding" in found,
         load=_parse_load(
-            header_names.header_text(found, header_names.SERVER_LOAD)
+            header_names.text_of(found, header_names.SERVER_LOAD)
         ),
         keep_alive=_parse_keep_alive(
-            header_names.header_text(found, b"Keep-Alive")
+            header_names.text_of(found, b"Keep-Alive")
         ),
         retry_after=_parse_retry_after(headers)
         if _is_server_failure(status)
         else None,
-        leaving=header_names.header_text(found, header_names.SERVER_LEAVING)
+        leaving=header_names.text_of(found, header_names.SERVER_LEAVING)
         == _TRUE,
     )
 
--- a/src/lugcross/platform/caller_headers.py
+++ b/src/lugcross/platform/caller_headers.py
@@ -20,7 +20,7 @@
 
     :param attempt_id: empty if the caller sent none.
     :param time_left: how long the caller will wait, if it said so.
-    :param key: key of its workspace; empty if there is none.
+    :param api_key: key of its workspace; empty if there is none.
     :param prompt_tokens: tokens of the prompt; 0 if not told.
     :param max_tokens: the most tokens to write; 0 if not told.
     :param expected_tokens: estimate of the tokens written; 0 if none.
@@ -28,7 +28,7 @@
 
     attempt_id: str = ""
     time_left: datetime.timedelta | None = None
-    key: str = ""
+    api_key: str = ""
     last_event_id: str = ""
     prompt_tokens: int = 0
     max_tokens: int = 0
@@ -42,21 +42,19 @@
     served as if its caller had not sent it.
     """
     found = {name: value for name, value in headers}
-    tokens = header_names.header_text(
-        found, header_names.TOKEN_COUNTS
-    ).partition(",")
+    tokens = header_names.text_of(found, header_names.TOKEN_COUNTS).partition(
+        ","
+    )
     left_ms = _parse_header_int(found, header_names.TIME_LEFT)
     return CallerRequestHead(
-        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
+        attempt_id=header_names.text_of(found, header_names.ATTEMPT_ID),
         time_left=(
             None
             if left_ms is None
             else datetime.timedelta(milliseconds=left_ms)
         ),
-        key=header_names.header_text(found, header_names.API_KEY),
-        last_event_id=header_names.header_text(
-            found, header_names.LAST_EVENT_ID
-        ),
+        api_key=header_names.text_of(found, header_names.API_KEY),
+        last_event_id=header_names.text_of(found, header_names.LAST_EVENT_ID),
         prompt_tokens=_parse_int(tokens[0], header_names.TOKEN_COUNTS) or 0,
         max_tokens=_parse_int(tokens[2], header_names.TOKEN_COUNTS) or 0,
         expected_tokens=_parse_header_int(found, header_names.LENGTH_HINT)
@@ -65,7 +63,7 @@
 
 
 def _parse_header_int(found: dict[bytes, bytes], name: bytes) -> int | None:
-    return _parse_int(header_names.header_text(found, name), name)
+    return _parse_int(header_names.text_of(found, name), name)
 
 
 def _parse_int(text: str, name: bytes) -> int | None:
--- a/src/lugcross/platform/engine_client.py
+++ b/src/lugcross/platform/engine_client.py
@@ -96,13 +96,15 @@
 class EngineClient:
     """Asks engines and gives them orders.
 
-    :param ask: sends a question to a backend server.
-    :param give: sends an order, with the patience that orders get.
+    :param send_query: sends a question to a backend server.
+    :param send_order: sends an order, with the patience that orders get.
     """
 
-    def __init__(self, ask: SendRequest, give: SendRequest) -> None:
-        self._ask = ask
-        self._give = give
+    def __init__(
+        self, send_query: SendRequest, send_order: SendRequest
+    ) -> None:
+        self._send_query = send_query
+        self._send_order = send_order
 
     async def report(self, backend: desired.Backend) -> experts.Report | None:
         """Return the state of a rank; none if it is in no group.
@@ -184,7 +186,9 @@
             fields["fence"] = generation
         body = msgspec.json.encode(fields)
         try:
-            status, _ = await self._give(backend, "POST", _ORDER_PATH, body)
+            status, _ = await self._send_order(
+                backend, "POST", _ORDER_PATH, body
+            )
         except http1.ConnectionBrokenError:
             return experts.Verdict.UNKNOWN
         except http1.NoConnectionError:
@@ -202,7 +206,7 @@
         self, backend: desired.Backend, path: str, kind: type[_T]
     ) -> _T:
         try:
-            status, body = await self._ask(backend, "GET", path, b"")
+            status, body = await self._send_query(backend, "GET", path, b"")
         except (http1.ConnectionBrokenError, http1.NoConnectionError) as exc:
             raise _query_error(backend, str(exc)) from exc
         if status != http.HTTPStatus.OK:
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -291,7 +291,7 @@
 def _parse_era(answer: http1.ResponseHead) -> positions.Era | None:
     """Return the era that an answer tells; none if it tells none."""
     found = dict(answer.headers)
-    text = header_names.header_text(found, header_names.STORE_ERA)
+    text = header_names.text_of(found, header_names.STORE_ERA)
     if not text:
         return None
     digits = text.isascii() and text.isdigit()
--- a/src/lugcross/platform/store_records.py
+++ b/src/lugcross/platform/store_records.py
@@ -40,7 +40,7 @@
 }
 #: Latest start of a server that is believed, in milliseconds since 1970:
 #: far past any clock, and short enough for an id.
-_MAX_BORN_MS = 10**15
+_MAX_START_MS = 10**15
 #: Largest port of TCP.
 _MAX_PORT = 65_535
 #: What decoding raises on bytes of another writer: other types, unknown
@@ -143,7 +143,7 @@
     state: str
     cold_ms: Annotated[float, msgspec.Meta(ge=0)]
     sequence: _Count
-    born: Annotated[int, msgspec.Meta(ge=0, le=_MAX_BORN_MS)] | None = None
+    born: Annotated[int, msgspec.Meta(ge=0, le=_MAX_START_MS)] | None = None
 
 
 def decode_desired(data: bytes) -> desired.DesiredState:
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -126,10 +126,12 @@
     async def _answer(
         self, exchange: http1.ResponseWriter, req: http1.Request
     ) -> None:
-        status, body = await self.call(req.target.decode(), req.body or b"")
+        status, body = await self.handle_request(
+            req.target.decode(), req.body or b""
+        )
         await exchange.write_head(status, self.headers(), body, whole=True)
 
-    async def call(
+    async def handle_request(
         self, target: str, sent: bytes
     ) -> tuple[http.HTTPStatus, bytes]:
         """Return status and body of the answer to one call.
--- a/testing/cli/test_shares.py
+++ b/testing/cli/test_shares.py
@@ -15,7 +15,7 @@
 HOST = "127.0.0.1"
 
 
-def _figures(refused: int) -> bytes:
+def _metrics_page(refused: int) -> bytes:
     found = figures.Figures()
     counts = {ids.WorkspaceName("a"): 3, ids.WorkspaceName("b"): 40}
     found.running({ids.ServiceName("llm"): counts})
@@ -32,7 +32,7 @@
         def do_GET(self) -> None:
             self.send_response(200)
             self.end_headers()
-            self.wfile.write(_figures(refused=7))
+            self.wfile.write(_metrics_page(refused=7))
 
         def log_message(self, *args: object) -> None:
             del args
--- a/testing/edge/test_store_calls.py
+++ b/testing/edge/test_store_calls.py
@@ -21,8 +21,8 @@
 
     def __init__(self, fleet: fleet_rig.Fleet) -> None:
         self.calls = 0
-        self._call = fleet.store.standin.call
-        fleet.store.standin.call = self._count
+        self._call = fleet.store.standin.handle_request
+        fleet.store.standin.handle_request = self._count
 
     def _count(self, *args):
         self.calls += 1
--- a/testing/http1/test_bad_input.py
+++ b/testing/http1/test_bad_input.py
@@ -15,7 +15,7 @@
 OK = b"HTTP/1.1 200 "
 
 
-def _talk(
+def _send_to_server(
     data: bytes, *, limits: desired.RequestLimits = edge_rig.LIMITS
 ) -> bytes:
     """Send bytes to an echoing server; return all that comes back."""
@@ -86,7 +86,7 @@
     ],
 )
 def test_bad_request_gets_an_error_and_the_connection_ends(data, status):
-    got = _talk(data)
+    got = _send_to_server(data)
     assert got.startswith(b"HTTP/1.1 " + status)
     assert b"close" in got.lower()
     assert OK not in got
@@ -94,21 +94,21 @@
 
 def test_chunked_body_past_the_limit_is_refused():
     body = b"800\r\n" + b"x" * 0x800 + b"\r\n0\r\n\r\n"
-    got = _talk(_post(b"Transfer-Encoding: chunked", body=body))
+    got = _send_to_server(_post(b"Transfer-Encoding: chunked", body=body))
     assert got.startswith(b"HTTP/1.1 413")
 
 
 def test_bytes_within_a_body_are_no_request():
     inner = b"GET /inner HTTP/1.1\r\nHost: h\r\n\r\n"
     length = b"Content-Length: %d" % len(inner)
-    got = _talk(_post(length, b"Connection: close", body=inner))
+    got = _send_to_server(_post(length, b"Connection: close", body=inner))
     assert got.count(OK) == 1
 
 
 def test_pipelined_requests_are_answered_in_order():
     first = b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
     last = b"GET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-    got = _talk(first + last)
+    got = _send_to_server(first + last)
     assert got.count(OK) == 2
     assert got.index(b"GET /1") < got.index(b"GET /2")
 
@@ -126,11 +126,15 @@
         head_timeout=NOW,
         idle_timeout=edge_rig.LIMITS.idle_timeout,
     )
-    assert _talk(b"GET / HT", limits=slow).startswith(b"HTTP/1.1 408")
-    assert _talk(b"", limits=limits) == b""
+    assert _send_to_server(b"GET / HT", limits=slow).startswith(
+        b"HTTP/1.1 408"
+    )
+    assert _send_to_server(b"", limits=limits) == b""
 
 
 def test_head_request_gets_no_body():
-    got = _talk(b"HEAD / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+    got = _send_to_server(
+        b"HEAD / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
+    )
     assert got.startswith(OK)
     assert got.endswith(b"\r\n\r\n")
--- a/testing/http1/test_client.py
+++ b/testing/http1/test_client.py
@@ -15,7 +15,9 @@
 HEADERS = [(b"Host", b"h")]
 
 
-def _play(serve: Serve, act: Callable[[http1.ClientConn], Awaitable[object]]):
+def _run_against(
+    serve: Serve, act: Callable[[http1.ClientConn], Awaitable[object]]
+):
     async def main() -> object:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -30,7 +32,7 @@
     return asyncio.run(main())
 
 
-def _says(data: bytes, *, close: bool = False) -> Serve:
+def _respond_with(data: bytes, *, close: bool = False) -> Serve:
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
@@ -51,7 +53,7 @@
     return answer.status, body
 
 
-def test_early_answer_to_a_long_body_is_heard_and_ends_the_connection():
+def test_early_answer_to_a_long_body_is_read_and_ends_the_connection():
     size = 16 * 1_048_576
 
     async def act(conn):
@@ -62,17 +64,17 @@
             pass
         return answer.status, conn.reusable
 
-    early = _says(b"HTTP/1.1 413 X\r\nContent-Length: 0\r\n\r\n")
-    assert _play(early, act) == (413, False)
+    early = _respond_with(b"HTTP/1.1 413 X\r\nContent-Length: 0\r\n\r\n")
+    assert _run_against(early, act) == (413, False)
 
 
 def test_answer_without_length_ends_with_its_connection():
-    plain = _says(b"HTTP/1.1 200 OK\r\n\r\nwhole", close=True)
+    plain = _respond_with(b"HTTP/1.1 200 OK\r\n\r\nwhole", close=True)
 
     async def act(conn):
         return await _get(conn), conn.reusable
 
-    assert _play(plain, act) == ((200, b"whole"), False)
+    assert _run_against(plain, act) == ((200, b"whole"), False)
 
 
 def test_answer_without_length_that_is_reset_is_not_whole():
@@ -94,7 +96,7 @@
                 pass
         return part
 
-    assert _play(serve, act) == b"part"
+    assert _run_against(serve, act) == b"part"
 
 
 def test_provisional_answers_are_passed_over():
@@ -102,7 +104,7 @@
         b"HTTP/1.1 103 Early\r\nX: 1\r\n\r\n"
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
     )
-    assert _play(_says(data), _get) == (200, b"ok")
+    assert _run_against(_respond_with(data), _get) == (200, b"ok")
 
 
 @pytest.mark.parametrize(
@@ -116,12 +118,12 @@
             await _get(conn)
         return conn.reusable
 
-    assert _play(_says(data, close=True), act) is False
+    assert _run_against(_respond_with(data, close=True), act) is False
 
 
 def test_nobody_there_proves_that_nothing_was_sent():
     async def main():
-        server = await asyncio.start_server(_says(b""), "127.0.0.1", 0)
+        server = await asyncio.start_server(_respond_with(b""), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         server.close()
         await server.wait_closed()
@@ -131,36 +133,39 @@
     asyncio.run(main())
 
 
-def test_request_that_the_peer_took_is_heard():
+def test_request_that_the_peer_took_is_acknowledged():
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
         await conn.read_head()
         return conn.nothing_acknowledged()
 
-    assert _play(_says(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
+    assert _run_against(_respond_with(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
 
 
-def test_request_of_which_no_byte_was_acknowledged_is_unheard(monkeypatch):
+def test_request_of_which_no_byte_was_acknowledged_is_told(monkeypatch):
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
         # What the kernel holds is all that was sent.
         held = struct.pack("i", len(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
         monkeypatch.setattr(fcntl, "ioctl", lambda *args: held)
-        unheard = conn.nothing_acknowledged()
+        unacknowledged = conn.nothing_acknowledged()
         part = struct.pack("i", 1)
         monkeypatch.setattr(fcntl, "ioctl", lambda *args: part)
-        return unheard, conn.nothing_acknowledged()
+        return unacknowledged, conn.nothing_acknowledged()
 
-    assert _play(_says(b"HTTP/1.1 200 X\r\n\r\n"), act) == (True, False)
+    assert _run_against(_respond_with(b"HTTP/1.1 200 X\r\n\r\n"), act) == (
+        True,
+        False,
+    )
 
 
-def test_platform_that_cannot_tell_has_heard_all(monkeypatch):
+def test_platform_that_cannot_tell_has_acknowledged_all(monkeypatch):
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
         monkeypatch.setattr(fcntl, "ioctl", _no_ioctl)
         return conn.nothing_acknowledged()
 
-    assert _play(_says(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
+    assert _run_against(_respond_with(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
 
 
 def _no_ioctl(*args: object) -> bytes:
--- a/testing/observe/test_request_timeline.py
+++ b/testing/observe/test_request_timeline.py
@@ -10,32 +10,32 @@
 from lugcross.observe import request_timeline
 
 
-def _text(at: float, node: str, message: str, **fields: object) -> str:
+def _line_text(at: float, node: str, message: str, **fields: object) -> str:
     return json.dumps({"at": at, "node": node, "message": message, **fields})
 
 
 LOG = [
-    _text(1.0, "n1", "desired state", version=3),
-    _text(2.0, "n1", "desired state", version=4),
-    _text(2.5, "n1", "store lost", why="busy"),
-    _text(2.6, "n1", "store regained", after=0.1),
-    _text(2.7, "n2", "group broken", group="g"),
-    _text(3.0, "n1", "attempt ended", request="r1", event="not-run"),
-    _text(3.1, "n1", "group broken", group="g"),
-    _text(3.2, "n1", "refused", request="r1", status=503),
-    _text(3.3, "n1", "refused", request="r2", status=503),
-    _text(3.4, "n1", "group opened", group="g"),
+    _line_text(1.0, "n1", "desired state", version=3),
+    _line_text(2.0, "n1", "desired state", version=4),
+    _line_text(2.5, "n1", "store lost", why="busy"),
+    _line_text(2.6, "n1", "store regained", after=0.1),
+    _line_text(2.7, "n2", "group broken", group="g"),
+    _line_text(3.0, "n1", "attempt ended", request="r1", event="not-run"),
+    _line_text(3.1, "n1", "group broken", group="g"),
+    _line_text(3.2, "n1", "refused", request="r1", status=503),
+    _line_text(3.3, "n1", "refused", request="r2", status=503),
+    _line_text(3.4, "n1", "group opened", group="g"),
 ]
 
 
-def _tell(texts: list[str], request: str) -> list[tuple[float, str]]:
+def _timeline(texts: list[str], request: str) -> list[tuple[float, str]]:
     reader = request_timeline.LogReader()
     found = request_timeline.build_timeline(reader.read(texts), request)
     return [(line.at, line.message) for line in found]
 
 
-def test_story_holds_own_lines_and_what_their_process_believed() -> None:
-    assert _tell(LOG, "r1") == [
+def test_timeline_holds_own_lines_and_the_state_of_their_process() -> None:
+    assert _timeline(LOG, "r1") == [
         (2.0, "desired state"),
         (2.6, "store regained"),
         (3.0, "attempt ended"),
@@ -44,26 +44,26 @@
     ]
 
 
-def test_story_holds_other_tries_of_the_same_request() -> None:
+def test_timeline_holds_other_attempts_of_the_same_request() -> None:
     tries = [
-        _text(
+        _line_text(
             1.0, "n1", "server ended under a request", request="r1", same="f"
         ),
-        _text(
+        _line_text(
             2.0, "n2", "server ended under a request", request="r2", same="f"
         ),
-        _text(2.5, "n2", "refused", request="r3", same="other"),
-        _text(3.0, "n3", "refused", request="r4", same="f"),
+        _line_text(2.5, "n2", "refused", request="r3", same="other"),
+        _line_text(3.0, "n3", "refused", request="r4", same="f"),
     ]
-    assert [at for at, _ in _tell(tries, "r4")] == [1.0, 2.0, 3.0]
+    assert [at for at, _ in _timeline(tries, "r4")] == [1.0, 2.0, 3.0]
 
 
 def test_order_of_the_logs_does_not_matter() -> None:
-    assert _tell(LOG[::-1], "r1") == _tell(LOG, "r1")
+    assert _timeline(LOG[::-1], "r1") == _timeline(LOG, "r1")
 
 
-def test_unknown_request_has_no_story() -> None:
-    assert _tell(LOG, "r9") == []
+def test_unknown_request_has_no_timeline() -> None:
+    assert _timeline(LOG, "r9") == []
 
 
 def test_broken_lines_are_counted_and_left_out() -> None:
@@ -76,7 +76,7 @@
 
 def test_text_before_a_line_is_skipped_and_lost_lines_are_summed() -> None:
     reader = request_timeline.LogReader()
-    text = "  12.3 n1 " + _text(1.0, "n1", "answered", left_out=7)
+    text = "  12.3 n1 " + _line_text(1.0, "n1", "answered", left_out=7)
     assert len(list(reader.read([text]))) == 1
     assert reader.dropped_count == 7
 
--- a/testing/platform/test_engine_client.py
+++ b/testing/platform/test_engine_client.py
@@ -32,7 +32,7 @@
 }
 
 
-class Wire:
+class FakeTransport:
     """Answers every request alike and keeps what was asked."""
 
     def __init__(self, status: int, answer: object) -> None:
@@ -52,17 +52,19 @@
         return self.status, json.dumps(self.answer).encode()
 
 
-def engines(
+def engine_client(
     answer: object, status: int = 200
-) -> tuple[platform.EngineClient, Wire]:
-    wire = Wire(status, answer)
-    return platform.EngineClient(wire.exchange, wire.exchange), wire
+) -> tuple[platform.EngineClient, FakeTransport]:
+    transport = FakeTransport(status, answer)
+    return platform.EngineClient(
+        transport.exchange, transport.exchange
+    ), transport
 
 
 def test_report_is_decoded_into_what_its_fields_say():
-    asked, wire = engines(REPORT)
+    asked, transport = engine_client(REPORT)
     report = asyncio.run(asked.report(BACKEND))
-    assert wire.asked == [("GET", "/report", b"")]
+    assert transport.asked == [("GET", "/report", b"")]
     assert report == experts.Report(
         group="g",
         size=8,
@@ -79,24 +81,24 @@
 
 
 def test_engine_without_a_group_has_no_report():
-    asked, _ = engines({"running": 1})
+    asked, _ = engine_client({"running": 1})
     assert asyncio.run(asked.report(BACKEND)) is None
 
 
 def test_group_that_is_not_open_is_broken():
     group = {**REPORT["group"], "state": "broken"}
-    asked, _ = engines({**REPORT, "group": group})
+    asked, _ = engine_client({**REPORT, "group": group})
     report = asyncio.run(asked.report(BACKEND))
     assert report is not None
     assert not report.is_open
 
 
 def test_counts_are_split_into_sets():
-    asked, wire = engines(
+    asked, transport = engine_client(
         {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
     )
     counts = asyncio.run(asked.counts(BACKEND, LIMITS))
-    assert wire.asked == [("GET", "/picked", b"")]
+    assert transport.asked == [("GET", "/picked", b"")]
     assert counts.sets == ((1, 2, 3), (4, 5, 6))
 
 
@@ -111,7 +113,7 @@
     ids=["short", "malformed", "cut", "unreached"],
 )
 def test_counts_that_cannot_be_had_are_an_error_that_says_so(answer: object):
-    asked, _ = engines(answer)
+    asked, _ = engine_client(answer)
     with pytest.raises(platform.EngineQueryError, match="i-1"):
         asyncio.run(asked.counts(BACKEND, LIMITS))
 
@@ -122,7 +124,7 @@
     ids=["usual", "slow", "fast", "absurd"],
 )
 def test_rank_tells_how_slow_it_is(pace: float, slowness: float):
-    asked, _ = engines({**REPORT, "pace": pace})
+    asked, _ = engine_client({**REPORT, "pace": pace})
     report = asyncio.run(asked.report(BACKEND))
     assert report is not None
     assert report.slowness == slowness
@@ -140,7 +142,7 @@
     ),
 )
 def test_any_report_is_read_or_no_answer(field: str, value: object):
-    asked, _ = engines({**REPORT, field: value})
+    asked, _ = engine_client({**REPORT, field: value})
     try:
         report = asyncio.run(asked.report(BACKEND))
     except platform.EngineQueryError:
@@ -149,7 +151,7 @@
 
 
 @pytest.mark.parametrize("told", [2000, 1000, None])
-def test_answer_of_another_life_is_no_answer(told: int | None):
+def test_answer_of_another_instance_is_an_error(told: int | None):
     """An engine that started again knows nothing of what it was told before.
 
     Its address may stay: without a look at its start a new life's counts
@@ -157,7 +159,9 @@
     """
     backend = dataclasses.replace(BACKEND, started_at_ms=1000)
     answer = {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
-    asked, _ = engines(answer if told is None else {**answer, "born": told})
+    asked, _ = engine_client(
+        answer if told is None else {**answer, "born": told}
+    )
     if told == 2000:
         with pytest.raises(platform.EngineQueryError, match="another life"):
             asyncio.run(asked.counts(backend, LIMITS))
@@ -166,11 +170,11 @@
 
 
 def test_held_experts_are_those_of_the_map_in_use():
-    asked, wire = engines(
+    asked, transport = engine_client(
         {"epoch": 1, "map": {"version": 3, "experts": [[0, 2], [1]]}}
     )
     assert asyncio.run(asked.held_experts(BACKEND)) == ((0, 2), (1,))
-    assert wire.asked[0][1].startswith("/picked?lists")
+    assert transport.asked[0][1].startswith("/picked?lists")
 
 
 MAP = experts.ExpertMap((((0, 1), (2,)), ((2,), (0, 1))))
@@ -207,19 +211,19 @@
     ids=["prepare", "arm", "disarm", "hold", "release"],
 )
 def test_order_names_its_epoch(order: experts.Order, body: dict[str, object]):
-    asked, wire = engines({})
+    asked, transport = engine_client({})
     asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), None))
-    method, target, sent = wire.asked[0]
+    method, target, sent = transport.asked[0]
     assert (method, target) == ("POST", "/order")
     assert json.loads(sent) == {**body, "epoch": 4}
 
 
 def test_order_carries_the_number_of_the_lease():
-    asked, wire = engines({})
+    asked, transport = engine_client({})
     order = experts.Hold(experts.Step(1))
     number = experts.Generation(7)
     asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), number))
-    assert json.loads(wire.asked[0][2])["fence"] == 7
+    assert json.loads(transport.asked[0][2])["fence"] == 7
 
 
 @pytest.mark.parametrize(
@@ -246,7 +250,7 @@
 def test_answer_to_an_order_tells_what_became_of_it(
     status: int, answer: object, verdict: experts.Verdict
 ):
-    asked, _ = engines(answer, status)
+    asked, _ = engine_client(answer, status)
     order = experts.Hold(experts.Step(1))
     found = asyncio.run(asked.order(BACKEND, order, experts.Epoch(1), None))
     assert found is verdict
--- a/testing/platform/test_store_client.py
+++ b/testing/platform/test_store_client.py
@@ -23,7 +23,7 @@
 Act = Callable[[standin.StoreStandin, platform.StoreClient], Awaitable[object]]
 
 
-def _play(act: Act) -> object:
+def _run_with_store(act: Act) -> object:
     async def main() -> object:
         store = standin.StoreStandin()
         client = platform.StoreClient(
@@ -46,17 +46,17 @@
         tail = await client.read_newest(TOPIC)
         return [(r.position, r.key) for r in tail.records], tail.end
 
-    assert _play(act) == ([(3, "a"), (1, "b"), (2, "c")], 4)
+    assert _run_with_store(act) == ([(3, "a"), (1, "b"), (2, "c")], 4)
 
 
-def test_tail_has_offsets_keys_values_and_removals():
+def test_read_has_positions_keys_values_and_removals():
     async def act(store, client):
         store.append(TOPIC, "a", b"1")
         store.append(TOPIC, "b", b"2")
         store.append(TOPIC, "a", b"")
         return await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
 
-    tail = _play(act)
+    tail = _run_with_store(act)
     assert tail.end == 3
     assert tail.records == (
         platform.KeyedRecord(ids.Offset(1), "b", b"2"),
@@ -74,10 +74,10 @@
         store.append(TOPIC, "a", b"1")
         return len((await read).records)
 
-    assert _play(act) == 1
+    assert _run_with_store(act) == 1
 
 
-def test_dropped_history_is_told_apart_from_an_outage():
+def test_compacted_history_is_told_apart_from_an_outage():
     async def act(store, client):
         store.append(TOPIC, "a", b"1")
         store.compact(TOPIC)
@@ -88,16 +88,16 @@
             await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
         return True
 
-    assert _play(act)
+    assert _run_with_store(act)
 
 
-def test_put_is_read_back():
+def test_appended_record_is_read_back():
     async def act(store, client):
         await client.append(TOPIC, "k", b"value")
         tail = await client.read_newest(TOPIC)
         return [(r.key, r.value) for r in tail.records]
 
-    assert _play(act) == [("k", b"value")]
+    assert _run_with_store(act) == [("k", b"value")]
 
 
 def test_store_that_is_not_there_is_an_outage():
@@ -107,7 +107,7 @@
             await client.read_newest(TOPIC)
         return True
 
-    assert _play(act)
+    assert _run_with_store(act)
 
 
 def test_connection_is_kept_between_calls():
@@ -117,28 +117,28 @@
         await client.read_newest(TOPIC)
         return first == client._idle
 
-    assert _play(act)
+    assert _run_with_store(act)
 
 
-def test_conditional_write_counts_only_at_the_end_that_it_names():
+def test_conditional_append_counts_only_at_the_end_that_it_names():
     async def act(store, client):
         end = await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
         with pytest.raises(errors.AppendConflictError):
             await client.append_if_end(TOPIC, "a", b"2", ids.Offset(0))
         return end, await client.read_newest(TOPIC)
 
-    end, tail = _play(act)
+    end, tail = _run_with_store(act)
     assert end == 1
     assert [record.value for record in tail.records] == [b"1"]
 
 
-def test_conditional_write_to_a_busy_store_is_unclear():
+def test_conditional_append_to_an_unavailable_store_is_unclear():
     async def act(store, client):
         store.unavailable = True
         with pytest.raises(errors.AppendUnknownError):
             await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
 
-    _play(act)
+    _run_with_store(act)
 
 
 def test_silence_on_one_connection_gives_up_all_kept_ones(monkeypatch):
@@ -172,7 +172,7 @@
     async def call(target: str, body: bytes) -> tuple[int, bytes]:
         return 200, answer
 
-    monkeypatch.setattr(store.standin, "call", call)
+    monkeypatch.setattr(store.standin, "handle_request", call)
     return platform.StoreClient(
         "store:1", timeout=datetime.timedelta(seconds=1)
     )
--- a/testing/platform/test_store_records.py
+++ b/testing/platform/test_store_records.py
@@ -59,12 +59,12 @@
 }
 
 
-def _read(**changes: object) -> desired.DesiredState:
+def _decode_changed(**changes: object) -> desired.DesiredState:
     return platform.decode_desired(json.dumps(STATE | changes).encode())
 
 
 def test_longest_prefix_wins():
-    state = _read()
+    state = _decode_changed()
     found = state.find_route("h", "/a/b/c")
     assert found is not None and found.kind is desired.RouteKind.UNSAFE
     found = state.find_route("h", "/a/bc")
@@ -74,7 +74,7 @@
 
 
 def test_times_shares_keys_and_engine_are_decoded():
-    state = _read()
+    state = _decode_changed()
     stream = state.find_route("h", "/a/")
     split = state.find_route("h", "/a/b/")
     assert stream is not None and split is not None
@@ -91,7 +91,7 @@
 
 
 def test_stream_that_may_not_resume_is_not_repeatable():
-    state = _read(routes=[ROUTE | {"resumable": False}])
+    state = _decode_changed(routes=[ROUTE | {"resumable": False}])
     found = state.find_route("h", "/a/")
     assert found is not None and not found.repeatable
 
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("born", [None, 0, 1_790_000_000_000])
-def test_life_is_told_by_its_start(born):
+def test_instance_is_identified_by_its_start_time(born):
     value = edge_rig.entry("s", "10.1.2.3:80", born=born)
     found = platform.decode_backend("i-1", value)
     assert (found.id, found.started_at_ms) == ("i-1", born)
@@ -235,7 +235,7 @@
     assert isinstance(found, desired.DesiredState)
 
 
-def test_caller_head_takes_numbers_and_drops_what_is_none():
+def test_caller_request_head_takes_numbers_and_drops_what_is_none():
     head = platform.parse_caller_request_head(
         [
             (b"attempt-identifier", b"a1"),
@@ -266,7 +266,7 @@
     ],
     ids=["refused", "no-proof", "moved", "load", "bad-load"],
 )
-def test_answer_head_is_decoded(status, headers, not_run, load):
+def test_backend_response_head_is_decoded(status, headers, not_run, load):
     head = platform.parse_backend_response_head(status, headers)
     assert (head.not_executed, head.load) == (not_run, load)
 
--- a/testing/support/silent_store.py
+++ b/testing/support/silent_store.py
@@ -69,7 +69,9 @@
 
     async def read_head(self) -> http1.ResponseHead:
         await self._nothing_if_silent()
-        status, self._body = await self._store.standin.call(*self._sent)
+        status, self._body = await self._store.standin.handle_request(
+            *self._sent
+        )
         await asyncio.sleep(_ANSWER_S)
         await self._nothing_if_silent()
         headers = [
