--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -124,12 +124,12 @@
         await conn.run()
 
     async def _answer(
-        self, exchange: http1.ResponseWriter, req: http1.Request
+        self, response: http1.ResponseWriter, req: http1.Request
     ) -> None:
         status, body = await self.handle_request(
             req.target.decode(), req.body or b""
         )
-        await exchange.write_head(status, self.headers(), body, whole=True)
+        await response.write_head(status, self.headers(), body, whole=True)
 
     async def handle_request(
         self, target: str, sent: bytes
--- a/testing/http1/test_bad_input.py
+++ b/testing/http1/test_bad_input.py
@@ -20,9 +20,9 @@
 ) -> bytes:
     """Send bytes to an echoing server; return all that comes back."""
 
-    async def echo(exchange: http1.ResponseWriter, req: http1.Request) -> None:
+    async def echo(response: http1.ResponseWriter, req: http1.Request) -> None:
         body = req.method + b" " + req.target + b" " + (req.body or b"-")
-        await exchange.write_head(200, [], body, whole=True)
+        await response.write_head(200, [], body, whole=True)
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/testing/platform/test_engine_client.py
+++ b/testing/platform/test_engine_client.py
@@ -62,8 +62,8 @@
 
 
 def test_report_is_decoded_into_what_its_fields_say():
-    asked, transport = engine_client(REPORT)
-    report = asyncio.run(asked.report(BACKEND))
+    client, transport = engine_client(REPORT)
+    report = asyncio.run(client.report(BACKEND))
     assert transport.asked == [("GET", "/report", b"")]
     assert report == experts.Report(
         group="g",
@@ -81,23 +81,23 @@
 
 
 def test_engine_without_a_group_has_no_report():
-    asked, _ = engine_client({"running": 1})
-    assert asyncio.run(asked.report(BACKEND)) is None
+    client, _ = engine_client({"running": 1})
+    assert asyncio.run(client.report(BACKEND)) is None
 
 
 def test_group_that_is_not_open_is_broken():
     group = {**REPORT["group"], "state": "broken"}
-    asked, _ = engine_client({**REPORT, "group": group})
-    report = asyncio.run(asked.report(BACKEND))
+    client, _ = engine_client({**REPORT, "group": group})
+    report = asyncio.run(client.report(BACKEND))
     assert report is not None
     assert not report.is_open
 
 
 def test_counts_are_split_into_sets():
-    asked, transport = engine_client(
+    client, transport = engine_client(
         {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
     )
-    counts = asyncio.run(asked.counts(BACKEND, LIMITS))
+    counts = asyncio.run(client.counts(BACKEND, LIMITS))
     assert transport.asked == [("GET", "/picked", b"")]
     assert counts.sets == ((1, 2, 3), (4, 5, 6))
 
@@ -113,9 +113,9 @@
     ids=["short", "malformed", "cut", "unreached"],
 )
 def test_counts_that_cannot_be_had_are_an_error_that_says_so(answer: object):
-    asked, _ = engine_client(answer)
+    client, _ = engine_client(answer)
     with pytest.raises(platform.EngineQueryError, match="i-1"):
-        asyncio.run(asked.counts(BACKEND, LIMITS))
+        asyncio.run(client.counts(BACKEND, LIMITS))
 
 
 @pytest.mark.parametrize(
@@ -124,8 +124,8 @@
     ids=["usual", "slow", "fast", "absurd"],
 )
 def test_rank_tells_how_slow_it_is(pace: float, slowness: float):
-    asked, _ = engine_client({**REPORT, "pace": pace})
-    report = asyncio.run(asked.report(BACKEND))
+    client, _ = engine_client({**REPORT, "pace": pace})
+    report = asyncio.run(client.report(BACKEND))
     assert report is not None
     assert report.slowness == slowness
 
@@ -142,9 +142,9 @@
     ),
 )
 def test_any_report_is_read_or_no_answer(field: str, value: object):
-    asked, _ = engine_client({**REPORT, field: value})
+    client, _ = engine_client({**REPORT, field: value})
     try:
-        report = asyncio.run(asked.report(BACKEND))
+        report = asyncio.run(client.report(BACKEND))
     except platform.EngineQueryError:
         return
     assert report is None or 1.0 <= report.slowness <= 100.0
@@ -159,21 +159,21 @@
     """
     backend = dataclasses.replace(BACKEND, started_at_ms=1000)
     answer = {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
-    asked, _ = engine_client(
+    client, _ = engine_client(
         answer if told is None else {**answer, "born": told}
     )
     if told == 2000:
         with pytest.raises(platform.EngineQueryError, match="another life"):
-            asyncio.run(asked.counts(backend, LIMITS))
+            asyncio.run(client.counts(backend, LIMITS))
     else:
-        assert asyncio.run(asked.counts(backend, LIMITS)).step == 9
+        assert asyncio.run(client.counts(backend, LIMITS)).step == 9
 
 
 def test_held_experts_are_those_of_the_map_in_use():
-    asked, transport = engine_client(
+    client, transport = engine_client(
         {"epoch": 1, "map": {"version": 3, "experts": [[0, 2], [1]]}}
     )
-    assert asyncio.run(asked.held_experts(BACKEND)) == ((0, 2), (1,))
+    assert asyncio.run(client.held_experts(BACKEND)) == ((0, 2), (1,))
     assert transport.asked[0][1].startswith("/picked?lists")
 
 
@@ -211,18 +211,18 @@
     ids=["prepare", "arm", "disarm", "hold", "release"],
 )
 def test_order_names_its_epoch(order: experts.Order, body: dict[str, object]):
-    asked, transport = engine_client({})
-    asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), None))
+    client, transport = engine_client({})
+    asyncio.run(client.order(BACKEND, order, experts.Epoch(4), None))
     method, target, sent = transport.asked[0]
     assert (method, target) == ("POST", "/order")
     assert json.loads(sent) == {**body, "epoch": 4}
 
 
 def test_order_carries_the_number_of_the_lease():
-    asked, transport = engine_client({})
+    client, transport = engine_client({})
     order = experts.Hold(experts.Step(1))
     number = experts.Generation(7)
-    asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), number))
+    asyncio.run(client.order(BACKEND, order, experts.Epoch(4), number))
     assert json.loads(transport.asked[0][2])["fence"] == 7
 
 
@@ -250,7 +250,7 @@
 def test_answer_to_an_order_tells_what_became_of_it(
     status: int, answer: object, verdict: experts.Verdict
 ):
-    asked, _ = engine_client(answer, status)
+    client, _ = engine_client(answer, status)
     order = experts.Hold(experts.Step(1))
-    found = asyncio.run(asked.order(BACKEND, order, experts.Epoch(1), None))
+    found = asyncio.run(client.order(BACKEND, order, experts.Epoch(1), None))
     assert found is verdict
