--- a/bench/control.py
+++ b/bench/control.py
@@ -97,7 +97,7 @@
             req=ids.RequestId(ids.new_token()),
             incarnation=ids.Incarnation(ids.new_token()),
             workspace=ids.WorkspaceName("north-desk"),
-            group=ids.GroupName("north"),
+            group=ids.WorkspaceGroupName("north"),
             service=ids.ServiceName("moe"),
             method="POST",
             path="/v1/chat/completions",
@@ -152,22 +152,25 @@
                 name=ids.BackendName(f"b{num}"),
                 domain=ids.DomainName(f"d{num % 12}"),
                 usable=True,
-                busy=num % 9,
-                sent=0,
+                reported_requests=num % 9,
+                sent_since_report=0,
                 capacity=8,
             )
             for num in range(count)
         ]
         found[f"choice_us_at_{count}"] = _MICRO * slopes.seconds_each(
-            lambda c=candidates: routing.choose(
+            lambda c=candidates: routing.choose_backend(
                 c, home=ids.DomainName("d1"), tried=(), rng=rng
             ),
             count=300,
         )
     backends = [_backend(num) for num in range(760)]
     found["subset_ms_at_760"] = 1000 * slopes.seconds_each(
-        lambda: membership.subset(
-            ids.NodeName("e"), ids.DomainName("domain-1"), backends, links=24
+        lambda: membership.choose_backend_subset(
+            ids.NodeName("e"),
+            ids.DomainName("domain-1"),
+            backends,
+            max_links=24,
         ),
         count=20,
     )
@@ -186,7 +189,7 @@
         queue.push(
             shares.Ticket(
                 uid=str(num),
-                group=ids.GroupName(f"g{num % 10}"),
+                group=ids.WorkspaceGroupName(f"g{num % 10}"),
                 workspace=ids.WorkspaceName(f"w{num % 250}"),
                 cost=100,
             )
--- a/bench/news.py
+++ b/bench/news.py
@@ -16,9 +16,9 @@
 import edge_cfg
 
 from lugcross import clock as clock_lib
-from lugcross.edge import knowledge as knowledge_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import messages
-from lugcross.edge import world as world_lib
+from lugcross.edge import state_sync as state_sync_lib
 
 #: Processes and failure domains: the users' small, large and target fleets.
 SIZES = ((15, 5), (98, 5), (400, 12))
@@ -37,55 +37,57 @@
         del data, to
 
 
-def _knowledge(rng: random.Random) -> knowledge_lib.Knowledge:
+def _new_state_sync(rng: random.Random) -> state_sync_lib.StateSync:
     cfg = edge_cfg.settings()
     clock = clock_lib.ManualClock()
     clock.advance(datetime.timedelta(seconds=60))
-    world = world_lib.World(cfg, clock=clock, rng=rng)
-    known = knowledge_lib.Knowledge(
-        cfg, world, _Nowhere(), clock=clock, rng=random.Random(1)
+    edge_state = edge_state_lib.EdgeState(cfg, clock=clock, rng=rng)
+    state_sync = state_sync_lib.StateSync(
+        cfg, edge_state, _Nowhere(), clock=clock, rng=random.Random(1)
     )
-    known.peers.connection_made(_Nowhere())
-    return known
+    state_sync.peers.connection_made(_Nowhere())
+    return state_sync
 
 
-def _beat(num: int, domains: int, turn: int, rng: random.Random) -> bytes:
+def _heartbeat(num: int, domains: int, turn: int, rng: random.Random) -> bytes:
     return messages.encode(
-        messages.Beat(
+        messages.Heartbeat(
             node=f"front-d{num % domains}-{num}",
             incarnation=f"{num:024x}",
             domain=f"d{num % domains}",
             state_port=8229,
             leaving=False,
             version=12,
-            end=500,
+            backends_end=500,
             running={f"i-{rng.getrandbits(40):x}": 1 for _ in range(RUNNING)},
-            known=[],
-            since_ms=1_780_208_640_546,
-            reads=True,
-            number=turn,
-            uses={rng.getrandbits(32): 1 for _ in range(RUNNING)},
-            desired_ms=400,
-            backends_ms=400,
+            known_addresses=[],
+            started_ms=1_780_208_640_546,
+            reads_store=True,
+            sequence=turn,
+            workspace_uses={rng.getrandbits(32): 1 for _ in range(RUNNING)},
+            desired_age_ms=400,
+            backends_age_ms=400,
         )
     )
 
 
 def _measure(processes: int, domains: int) -> str:
     rng = random.Random(1)
-    known = _knowledge(rng)
+    state_sync = _new_state_sync(rng)
     data = [
-        (num, _beat(num, domains, turn, rng))
+        (num, _heartbeat(num, domains, turn, rng))
         for turn in range(1, ROUNDS + 1)
         for num in range(1, processes)
     ]
     begun = time.perf_counter()
     for num, one in data:
-        known.peers.datagram_received(one, (f"10.0.{num // 250}.{num}", 7))
+        state_sync.peers.datagram_received(
+            one, (f"10.0.{num // 250}.{num}", 7)
+        )
     take_us = (time.perf_counter() - begun) / len(data) * 1e6
     begun = time.perf_counter()
     for _ in range(ROUNDS):
-        known.peers.send_due()
+        state_sync.peers.send_due()
     send_us = (time.perf_counter() - begun) / ROUNDS * 1e6
     near = processes // domains
     taken = (near - 1) / NEAR_S + (processes - near) / FAR_S
--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -61,7 +61,7 @@
         self.port = settings.link.port
         self.store = cfg.Store(clock)
         node = settings.node.name
-        self.journal = observe.Journal(clock, node)
+        self.journal = observe.DecisionJournal(clock, node)
         self._tracer = observe.Tracer(settings.observe.traces, node)
         self._metrics = observe.open_metrics(settings.observe, node)
         self._loop = wire.LoopThread(name=f"{node}-links")
@@ -159,7 +159,7 @@
         )
         if where.hosts:
             hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
-            watch = membership.HostWatch(
+            watch = membership.HostListWatcher(
                 hosts, self._on_hosts, every_s=_HOSTS_EVERY_S
             )
             app.add(
@@ -237,7 +237,7 @@
 
     # In the loop's thread.
 
-    def _weight(self, group: ids.GroupName) -> float:
+    def _weight(self, group: ids.WorkspaceGroupName) -> float:
         found = self.store.config.groups.get(group)
         return found.share if found else _UNKNOWN_GROUP_SHARE
 
@@ -263,8 +263,8 @@
         after = self._dispatcher.leaving
         if after == before:
             return
-        self.journal.note(
-            observe.Topic.LIFE,
+        self.journal.record(
+            observe.DecisionTopic.LIFE,
             self._settings.backend,
             rule="any reason to leave suffices",
             result=f"leaving: {after}" if after else "taking work",
@@ -293,8 +293,8 @@
             self._act(
                 self._dispatcher.on_link_lost(link_id, self._clock.monotonic())
             )
-            self.journal.note(
-                observe.Topic.LINK,
+            self.journal.record(
+                observe.DecisionTopic.LINK,
                 hello.node,
                 rule="links end when either side goes",
                 result="link lost",
@@ -341,7 +341,9 @@
         if service is None:
             return ruling
         memory = service.once_log_away is cfg.OnceLogAway.MEMORY
-        home = routing.homes(self.store.config, *once.scope_of(dispatch))[:1]
+        home = routing.backends_for_key(
+            self.store.config, *once.scope_of(dispatch)
+        )[:1]
         if not memory or home != [self._settings.backend]:
             return ruling
         self._claimer.note(_claim_of(dispatch))
--- a/src/lugcross/agent/runner.py
+++ b/src/lugcross/agent/runner.py
@@ -152,7 +152,7 @@
         dispatch = call.dispatch
         headers = dict(dispatch.headers)
         if trace:
-            headers[observe.HEADER] = trace
+            headers[observe.TRACEPARENT_HEADER] = trace
         conn.request(
             dispatch.method,
             dispatch.path,
@@ -249,7 +249,7 @@
 def _failed(outcome: errors.Outcome, what: str) -> events.GotFailure:
     return events.GotFailure(
         exchange_lib.Failure(
-            kind=errors.RefusalKind.BACKEND_FAILED,
+            kind=errors.FailureKind.BACKEND_FAILED,
             outcome=outcome,
             what=what,
             remedy="see the logs of the backend server",
--- a/src/lugcross/cli/edge.py
+++ b/src/lugcross/cli/edge.py
@@ -9,11 +9,11 @@
 from lugcross import clock
 from lugcross import logs
 
-_VARIABLE = "LUGCROSS_CONFIG"
+_CONFIG_VARIABLE = "LUGCROSS_CONFIG"
 
 
 @click.command()
-@click.argument("file", type=click.Path(), envvar=_VARIABLE)
+@click.argument("file", type=click.Path(), envvar=_CONFIG_VARIABLE)
 def edge(file: str) -> None:
     """Serve callers from backend servers directly.
 
@@ -24,6 +24,10 @@
     from lugcross.edge import settings as settings_lib
 
     settings = settings_lib.load(os.fspath(file))
-    logs.set_up_bounded(settings.node, settings.level, sys.stdout.fileno())
-    program = edge_lib.Edge(settings, clock=clock.SystemClock(), file=file)
+    logs.set_up_nonblocking_logging(
+        settings.node, settings.level, sys.stdout.fileno()
+    )
+    program = edge_lib.Edge(
+        settings, clock=clock.SystemClock(), settings_path=file
+    )
     program.run()
--- /dev/null
+++ b/src/lugcross/edge/crash_tracker.py
@@ -0,0 +1,276 @@
+# SPDX-License-Identifier: Apache-2.0
+"""What one process sees and believes of requests that end servers.
+
+Decisions are made by :mod:`lugcross.crash_suspects`; here servers are asked
+whether they have ended, and what was found is written down.
+"""
+
+import asyncio
+from collections.abc import Callable
+import datetime
+import json
+from typing import final
+
+from absl import logging
+
+from lugcross import clock as clock_lib
+from lugcross import crash_suspects
+from lugcross import desired
+from lugcross.edge import checked_request
+from lugcross import http1
+from lugcross import ids
+
+#: Longest wait for a server's host to say whether anybody listens there. It
+#: has just ended a connection, so that it is reached within a round trip, or
+#: with one lost packet within 0.2 s.
+_PROBE_TIMEOUT_S = 0.3
+
+
+@final
+class CrashTracker:
+    """Requests that were running at servers that ended.
+
+    :param software: versions that the servers of a service run now.
+    """
+
+    def __init__(
+        self,
+        clock: clock_lib.Clock,
+        *,
+        software: Callable[[ids.ServiceName], frozenset[str]],
+    ) -> None:
+        self._clock = clock
+        self._software = software
+        self._probes: dict[desired.BackendKey, asyncio.Task[bool]] = {}
+        #: When servers were first found to have ended.
+        self._crashed_at: dict[desired.BackendKey, clock_lib.Instant] = {}
+        self._pending_notes: set[asyncio.Task[None]] = set()
+        self.registry = crash_suspects.SuspectRegistry()
+        #: Requests that an operator has cleared.
+        self.exempt_requests: frozenset[crash_suspects.Fingerprint] = (
+            frozenset()
+        )
+        #: Called when there is something new to tell peers.
+        self.on_change: Callable[[], None] = lambda: None
+        #: Called with a request that is refused from now on.
+        self.on_refused: Callable[[crash_suspects.Fingerprint], None] = (
+            lambda request: None
+        )
+
+    def status(
+        self, plan: checked_request.CheckedRequest
+    ) -> crash_suspects.SuspectStatus:
+        """Return how a request is to be treated now."""
+        if (
+            not self._has_record(plan)
+            or plan.fingerprint in self.exempt_requests
+        ):
+            return crash_suspects.SuspectStatus.NOT_SUSPECT
+        return self.registry.status(
+            plan.fingerprint,
+            self._software(plan.service),
+            self._clock.monotonic(),
+        )
+
+    def counted_crashes(
+        self, plan: checked_request.CheckedRequest
+    ) -> list[crash_suspects.ServerCrash]:
+        """Return what speaks against a request."""
+        if not self._has_record(plan):
+            return []
+        return self.registry.counted_crashes(
+            plan.fingerprint,
+            self._software(plan.service),
+            self._clock.monotonic(),
+        )
+
+    def _has_record(self, plan: checked_request.CheckedRequest) -> bool:
+        """Tell whether there is anything about a request.
+
+        As long as there is nothing about any, none is even hashed.
+        """
+        if not len(self.registry):
+            return False
+        return self.registry.find(plan.fingerprint) is not None
+
+    def time_until_expiry(
+        self, crashes: list[crash_suspects.ServerCrash]
+    ) -> datetime.timedelta:
+        """Return the time until the oldest of ``ends`` counts no more.
+
+        Then its request may be tried once more, as a suspect.
+        """
+        oldest = min(one.crashed_at for one in crashes)
+        return oldest + crash_suspects.SUSPICION_TTL - self._clock.monotonic()
+
+    def may_retry(
+        self, plan: checked_request.CheckedRequest, *, broke: bool
+    ) -> bool:
+        """Tell whether a request may go to one more server at once.
+
+        :param broke: whether the last attempt broke off.
+        """
+        if self.status(plan) is crash_suspects.SuspectStatus.REFUSED:
+            return False
+        if plan.fingerprint in self.exempt_requests:
+            return True
+        # What others know of it comes within a moment, its caller later.
+        return (
+            not broke
+            or len(self.counted_crashes(plan))
+            < crash_suspects.MIN_CRASHES_TO_REFUSE
+        )
+
+    def assign_server(
+        self,
+        plan: checked_request.CheckedRequest,
+        servers: list[desired.BackendKey],
+    ) -> desired.BackendKey | None:
+        """Return the server that a suspect should go to."""
+        other_suspects = self.registry.suspects_at_same_crashes(
+            plan.fingerprint
+        )
+        found = crash_suspects.assign_server(
+            plan.fingerprint, other_suspects, servers
+        )
+        return None if found is None else desired.BackendKey(found)
+
+    async def record_broken_attempt(
+        self,
+        plan: checked_request.CheckedRequest,
+        backend: desired.Backend,
+        since: clock_lib.Instant,
+    ) -> None:
+        """Note that an attempt broke off; return once that is judged.
+
+        Its request may be what the server ended of, and its caller may leave
+        at any moment: what was found out is noted all the same.
+
+        :param since: when it was sent; what was sent to a server that had
+            ended before never ran there.
+        """
+        task = asyncio.create_task(
+            self._judge_broken_attempt(plan, backend, since)
+        )
+        self._pending_notes.add(task)
+        task.add_done_callback(self._pending_notes.discard)
+        await asyncio.shield(task)
+
+    async def _judge_broken_attempt(
+        self,
+        plan: checked_request.CheckedRequest,
+        backend: desired.Backend,
+        since: clock_lib.Instant,
+    ) -> None:
+        if not await self._has_crashed(backend):
+            return
+        now = self._clock.monotonic()
+        if self._crashed_at.setdefault(backend.key, now) < since:
+            return
+        crash = crash_suspects.ServerCrash(
+            backend.key, backend.software_version, now, now - since
+        )
+        if not self.registry.record_crash(plan.fingerprint, crash, now):
+            return
+        status = self.status(plan)
+        logging.warning(
+            "server ended under a request",
+            extra={
+                "request": plan.caller_head.attempt_id,
+                "same": plan.fingerprint.hex(),
+                "service": plan.service,
+                "backend": backend.key,
+                "ends": [one.server for one in self.counted_crashes(plan)],
+                "standing": status.value,
+            },
+        )
+        self.on_change()
+        if status is crash_suspects.SuspectStatus.REFUSED:
+            self.on_refused(plan.fingerprint)
+
+    async def _has_crashed(self, backend: desired.Backend) -> bool:
+        """Ask a server's host; once for all whose attempts broke off."""
+        probe = self._probes.get(backend.key)
+        if probe is None:
+            probe = asyncio.create_task(_refuses_connections(backend))
+            self._probes[backend.key] = probe
+            probe.add_done_callback(
+                lambda _: self._probes.pop(backend.key, None)
+            )
+        return await probe
+
+    def record_completion(
+        self,
+        plan: checked_request.CheckedRequest,
+        backend: desired.Backend,
+        since: clock_lib.Instant,
+    ) -> None:
+        """Note that a request ran to its end.
+
+        :param since: when it was sent.
+        """
+        if self._crashed_at.get(backend.key, since) < since:
+            # Its host refused a connection for another reason.
+            del self._crashed_at[backend.key]
+        if not len(self.registry):
+            return
+        self.registry.record_answer(backend.key, since)
+        if not self.registry.record_completion(
+            plan.fingerprint, self._clock.monotonic()
+        ):
+            return
+        logging.info(
+            "suspect cleared",
+            extra={
+                "request": plan.caller_head.attempt_id,
+                "same": plan.fingerprint.hex(),
+                "backend": backend.key,
+            },
+        )
+        self.on_change()
+
+    def drop_expired(self) -> None:
+        """Let lapse what is too old."""
+        now = self._clock.monotonic()
+        self.registry.drop_expired(now)
+        for key, at in list(self._crashed_at.items()):
+            if at <= now - crash_suspects.SUSPICION_TTL:
+                del self._crashed_at[key]
+
+    def listing_json(self) -> bytes:
+        """Return what speaks against which request, as JSON."""
+        now = self._clock.monotonic()
+        rows = [
+            {
+                "same": record.request.hex(),
+                "ends": [
+                    {
+                        "backend": one.server,
+                        "software": one.software,
+                        "ago_s": round(
+                            (now - one.crashed_at).total_seconds(), 1
+                        ),
+                    }
+                    for one in record.crashes_since_cleared
+                ],
+                "exempt": record.request in self.exempt_requests,
+            }
+            for record in self.registry.records()
+            if record.crashes_since_cleared
+        ]
+        return json.dumps({"suspects": rows}).encode()
+
+
+async def _refuses_connections(backend: desired.Backend) -> bool:
+    """Tell whether nobody listens at a server's address any more.
+
+    Silence tells nothing: its host may be cut off.
+    """
+    try:
+        conn = await http1.connect(
+            backend.host, backend.port, timeout_s=_PROBE_TIMEOUT_S
+        )
+    except http1.NoConnectionError as exc:
+        return exc.refused
+    conn.close()
+    return False
--- a/src/lugcross/edge/serving.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -12,26 +12,26 @@
 
 #: Part of a service's servers that may be left alone because they are slow:
 #: past it the others would be fuller by more than the slow ones cost.
-_SLOW_MOST = 0.2
+_MAX_SLOW_RATIO = 0.2
 #: Servers of this failure domain, and of all others, that one choice looks
 #: at. The least busy of sixteen is idle or nearly so wherever one in eight
 #: is (for 88 in 100 choices), and processes whose news of each other are
 #: old do not all take the same one.
-_LOOKS = 16
+_SAMPLE_COUNT = 16
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Serving:
+class EligibleServers:
     """Servers that may be used now.
 
-    :param near: those of this process's failure domain.
-    :param far: all others.
+    :param same_domain: those of this process's failure domain.
+    :param other_domains: all others.
     :param slots: slots of all of them.
     """
 
-    near: tuple[desired.Backend, ...]
-    far: tuple[desired.Backend, ...]
+    same_domain: tuple[desired.Backend, ...]
+    other_domains: tuple[desired.Backend, ...]
     keys: frozenset[desired.BackendKey]
     slots: int
 
@@ -41,24 +41,31 @@
     @property
     def all(self) -> tuple[desired.Backend, ...]:
         """All of them."""
-        return self.near + self.far
+        return self.same_domain + self.other_domains
 
     def sample(self, rng: random.Random) -> list[desired.Backend]:
         """Return the servers that one choice looks at."""
-        return [*_some(self.near, rng), *_some(self.far, rng)]
-
-
-def of(servers: Sequence[desired.Backend], *, home: ids.DomainName) -> Serving:
-    """Return servers sorted by whether they are in the domain ``home``."""
-    return Serving(
-        near=tuple(one for one in servers if one.domain == home),
-        far=tuple(one for one in servers if one.domain != home),
+        return [
+            *_random_run(self.same_domain, rng),
+            *_random_run(self.other_domains, rng),
+        ]
+
+
+def split_by_domain(
+    servers: Sequence[desired.Backend], *, own_domain: ids.DomainName
+) -> EligibleServers:
+    """Return servers split by whether they are in ``own_domain``."""
+    return EligibleServers(
+        same_domain=tuple(one for one in servers if one.domain == own_domain),
+        other_domains=tuple(
+            one for one in servers if one.domain != own_domain
+        ),
         keys=frozenset(one.key for one in servers),
         slots=sum(one.slots for one in servers),
     )
 
 
-def without(
+def without_slow(
     servers: Sequence[desired.Backend],
     slow: Collection[desired.BackendKey],
 ) -> list[desired.Backend]:
@@ -68,17 +75,17 @@
     and the whole group waits for it. Where many are slow, or all that are
     left, they are needed all the same.
     """
-    left = [one for one in servers if one.key not in slow]
-    if len(servers) - len(left) > len(servers) * _SLOW_MOST:
+    others = [one for one in servers if one.key not in slow]
+    if len(servers) - len(others) > len(servers) * _MAX_SLOW_RATIO:
         return list(servers)
-    return left
+    return others
 
 
-def _some(
+def _random_run(
     servers: tuple[desired.Backend, ...], rng: random.Random
 ) -> Sequence[desired.Backend]:
     """Return a run of servers from a place drawn at random."""
-    if len(servers) <= _LOOKS:
+    if len(servers) <= _SAMPLE_COUNT:
         return servers
     start = rng.randrange(len(servers))
-    return (servers + servers)[start : start + _LOOKS]
+    return (servers + servers)[start : start + _SAMPLE_COUNT]
--- a/src/lugcross/edge/pulse.py
+++ b/src/lugcross/edge/pass_times.py
@@ -14,66 +14,69 @@
 
 #: Weight of one pass against the usual before; a dozen passes make up most
 #: of it, which is a second at most.
-_WEIGHT = 0.15
+_SMOOTHING_WEIGHT = 0.15
 #: Times the usual that one pass must take to be a jump. A jump makes passes
 #: 1.5 to 2.5 times as long; prompts that are read in a pass make it up to a
 #: third longer (pauses logged over a day of jumps).
-_JUMP = 1.4
+_JUMP_FACTOR = 1.4
 #: Pauses that end this part of their length after another belong to the
 #: same pass.
-_SAME_PASS = 0.5
+_SAME_PASS_RATIO = 0.5
 #: Passes past this many times the usual come of a fault: a group that
 #: stands still tells nothing of demand.
-_FAULT = 6.0
+_FAULT_FACTOR = 6.0
 
 
 @final
-class Passes:
+class PassDetector:
     """Tells the first pause of each pass from those of other streams."""
 
     def __init__(self) -> None:
-        self._at: clock_lib.Instant | None = None
+        self._last_pass_at: clock_lib.Instant | None = None
 
-    def is_new(
+    def is_new_pass(
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
         """Take a pause that ends now; tell whether its pass is new."""
-        if self._at is not None and now - self._at < pause * _SAME_PASS:
+        if (
+            self._last_pass_at is not None
+            and now - self._last_pass_at < pause * _SAME_PASS_RATIO
+        ):
             return False
-        self._at = now
+        self._last_pass_at = now
         return True
 
 
 @final
-class Pulse:
+class PassTimes:
     """Pass times of one group."""
 
     def __init__(self) -> None:
-        self._usual: datetime.timedelta | None = None
-        self._passes = Passes()
+        self._typical: datetime.timedelta | None = None
+        self._detector = PassDetector()
 
     @property
-    def usual(self) -> datetime.timedelta | None:
+    def typical(self) -> datetime.timedelta | None:
         """What a pass takes as a rule; none before any was seen."""
-        return self._usual
+        return self._typical
 
-    def paused(
+    def note_pause(
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
         """Take a pause of any stream; tell whether passes have jumped.
 
         A jump is told once: from then on its passes are the usual.
         """
-        if not self._passes.is_new(pause, now):
+        if not self._detector.is_new_pass(pause, now):
             return False
-        usual = self._usual
-        if usual is None:
-            self._usual = pause
+        typical = self._typical
+        if typical is None:
+            self._typical = pause
             return False
-        if pause > usual * _FAULT:
+        if pause > typical * _FAULT_FACTOR:
             return False
-        if pause > usual * _JUMP:
-            self._usual = pause
+        if pause > typical * _JUMP_FACTOR:
+            self._typical = pause
             return True
-        self._usual = usual + (pause - usual) * _WEIGHT
+        self._typical = typical + (pause - typical) * _SMOOTHING_WEIGHT
         return False
--- a/src/lugcross/edge/slowness.py
+++ b/src/lugcross/edge/rank_slowness.py
@@ -17,26 +17,26 @@
 
 #: Times the usual from which on a rank counts as slow: below it, moving
 #: experts away costs more than the rank.
-_SLOW = 1.25
+_SLOW_FACTOR = 1.25
 #: Part by which a belief must change for maps to be planned anew.
-_CHANGED = 0.25
+_SIGNIFICANT_CHANGE_RATIO = 0.25
 #: Time between two rounds of questions where no rank is known to be slow: a
 #: rank that turns slow makes passes jump, which is seen at once; this finds
 #: what did not.
-_USUAL_GAP = datetime.timedelta(seconds=4)
+_QUERY_INTERVAL = datetime.timedelta(seconds=4)
 #: The same while one is: it should get its part back soon after.
-_SLOW_GAP = datetime.timedelta(seconds=1)
+_QUERY_INTERVAL_WHILE_SLOW = datetime.timedelta(seconds=1)
 
 
 @final
-class Slowness:
+class RankSlowness:
     """How slow the ranks of one group are, as they told last."""
 
     def __init__(self) -> None:
-        self._due = datetime.timedelta()
-        self._slow: dict[experts.Rank, float] = {}
+        self._due_at = datetime.timedelta()
+        self._factors: dict[experts.Rank, float] = {}
 
-    def jumped(
+    def note_jump(
         self, now: clock_lib.Instant, report_lag: datetime.timedelta
     ) -> None:
         """Note that passes have become longer.
@@ -44,41 +44,44 @@
         :param report_lag: age of what ranks tell: before it is over, they
             tell how they were before.
         """
-        self._due = now + report_lag
+        self._due_at = now + report_lag
 
     def is_due(self, now: clock_lib.Instant) -> bool:
         """Tell whether all ranks should be asked now."""
-        return now >= self._due
+        return now >= self._due_at
 
-    def told(
-        self, slowness: Mapping[experts.Rank, float], now: clock_lib.Instant
+    def update(
+        self, factors: Mapping[experts.Rank, float], now: clock_lib.Instant
     ) -> bool:
         """Take over what ranks tell; tell whether it changes anything.
 
         One that does not answer keeps what is believed of it.
         """
-        before = dict(self._slow)
-        for rank, times in slowness.items():
-            if times < _SLOW:
-                self._slow.pop(rank, None)
+        before = dict(self._factors)
+        for rank, times in factors.items():
+            if times < _SLOW_FACTOR:
+                self._factors.pop(rank, None)
             else:
-                self._slow[rank] = times
-        self._due = now + (_SLOW_GAP if self._slow else _USUAL_GAP)
-        ranks = before.keys() | self._slow.keys()
+                self._factors[rank] = times
+        self._due_at = now + (
+            _QUERY_INTERVAL_WHILE_SLOW if self._factors else _QUERY_INTERVAL
+        )
+        ranks = before.keys() | self._factors.keys()
         return any(
-            abs(self._slow.get(rank, 1.0) / before.get(rank, 1.0) - 1.0)
-            >= _CHANGED
+            abs(self._factors.get(rank, 1.0) / before.get(rank, 1.0) - 1.0)
+            >= _SIGNIFICANT_CHANGE_RATIO
             for rank in ranks
         )
 
-    def ranks(self) -> list[experts.Rank]:
+    def slow_ranks(self) -> list[experts.Rank]:
         """Return the ranks that are slow."""
-        return sorted(self._slow)
+        return sorted(self._factors)
 
-    def of(self, size: int) -> tuple[float, ...]:
+    def factors(self, rank_count: int) -> tuple[float, ...]:
         """Return how slow each rank is; nothing where all are as usual."""
-        if not self._slow:
+        if not self._factors:
             return ()
         return tuple(
-            self._slow.get(experts.Rank(rank), 1.0) for rank in range(size)
+            self._factors.get(experts.Rank(rank), 1.0)
+            for rank in range(rank_count)
         )
--- a/src/lugcross/edge/refusal.py
+++ b/src/lugcross/edge/request_errors.py
@@ -12,18 +12,18 @@
 
 #: When a caller should come back at the earliest: time for a few passes of
 #: an engine, in which places come free.
-RETRY_AFTER = datetime.timedelta(milliseconds=700)
+MIN_RETRY_AFTER = datetime.timedelta(milliseconds=700)
 #: Parts of the time left within which callers of a full service are told
 #: to come back, spread so that they do not all come at once.
-_FULL_PART = 0.2
+_OVERLOADED_SPREAD_FRACTION = 0.2
 #: Part of the time left after which callers of a service whose servers
 #: all refuse should come back: as late as leaves time for an answer, since
 #: what broke them takes seconds to mend.
-_BROKEN_PART = 0.3
+_UNAVAILABLE_WAIT_FRACTION = 0.3
 
 
 @final
-class RefusedError(errors.LugcrossError):
+class RequestError(errors.LugcrossError):
     """A request that gets an answer of our own.
 
     :param status: 429 and 503 promise that it has not run.
@@ -56,24 +56,24 @@
         return json.dumps({"error": error}).encode()
 
 
-def not_ready(what: str) -> RefusedError:
+def not_ready(what: str) -> RequestError:
     """Return a refusal of a process that cannot serve now."""
-    return _not_run(what, RETRY_AFTER)
+    return _not_run(what, MIN_RETRY_AFTER)
 
 
 def overloaded(
     what: str, left: datetime.timedelta, rng: random.Random
-) -> RefusedError:
+) -> RequestError:
     """Return a refusal of a request that no server has a place for.
 
     :param left: time that its caller will still wait.
     """
-    most = max(RETRY_AFTER, left * _FULL_PART)
-    wait = RETRY_AFTER + (most - RETRY_AFTER) * rng.random()
+    most = max(MIN_RETRY_AFTER, left * _OVERLOADED_SPREAD_FRACTION)
+    wait = MIN_RETRY_AFTER + (most - MIN_RETRY_AFTER) * rng.random()
     return _not_run(what, wait)
 
 
-def resting(rest: datetime.timedelta, rng: random.Random) -> RefusedError:
+def all_resting(rest: datetime.timedelta, rng: random.Random) -> RequestError:
     """Return a refusal while all servers rest, or have rested just now.
 
     Callers come back once the first of them has rested, spread over a moment:
@@ -81,34 +81,36 @@
 
     :param rest: time until then; 0 if it has.
     """
-    wait = max(RETRY_AFTER, rest) + RETRY_AFTER * rng.random()
+    wait = max(MIN_RETRY_AFTER, rest) + MIN_RETRY_AFTER * rng.random()
     return _not_run("every backend server has asked for rest", wait)
 
 
-def out_of_order(what: str, left: datetime.timedelta) -> RefusedError:
+def unavailable(what: str, left: datetime.timedelta) -> RequestError:
     """Return a refusal of a request that the servers refused themselves.
 
     :param left: time that its caller will still wait.
     """
-    return _not_run(what, max(RETRY_AFTER, left * _BROKEN_PART))
+    return _not_run(
+        what, max(MIN_RETRY_AFTER, left * _UNAVAILABLE_WAIT_FRACTION)
+    )
 
 
-def ends_servers(ends: int, lapses: datetime.timedelta) -> RefusedError:
+def servers_ended(ended: int, retry_after: datetime.timedelta) -> RequestError:
     """Return a refusal of a request under which servers have ended.
 
-    :param ends: how many.
-    :param lapses: time after which it may be tried anew.
+    :param ended: how many.
+    :param retry_after: time after which it may be tried anew.
     """
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
-        f"{ends} backend servers have ended while they ran this request",
+        f"{ended} backend servers have ended while they ran this request",
         remedy="change the request, or have the operator clear it",
-        retry_after=lapses,
+        retry_after=retry_after,
     )
 
 
-def _not_run(what: str, wait: datetime.timedelta) -> RefusedError:
-    return RefusedError(
+def _not_run(what: str, wait: datetime.timedelta) -> RequestError:
+    return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         what,
         remedy="come back after the time in Retry-After",
@@ -116,45 +118,45 @@
     )
 
 
-def no_route(host: str, path: str) -> RefusedError:
+def no_route(host: str, path: str) -> RequestError:
     """Return a refusal of a path that leads nowhere."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.NOT_FOUND,
         f"no route for {host[:80]}{path[:80]}",
         remedy="ask the operator which routes there are",
     )
 
 
-def bad_key() -> RefusedError:
+def unknown_key() -> RequestError:
     """Return a refusal of a key that no workspace has."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.UNAUTHORIZED,
         "the key belongs to no workspace",
         remedy="ask the operator for a key",
     )
 
 
-def unknown(what: str) -> RefusedError:
+def outcome_unknown(what: str) -> RequestError:
     """Return an answer that promises nothing."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
         f"{what}; whether the request ran is not known",
         remedy="ask again only if running it twice does no harm",
     )
 
 
-def timed_out() -> RefusedError:
+def timed_out() -> RequestError:
     """Return an answer to a request whose time is over."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.GATEWAY_TIMEOUT,
         "there was no answer in time; whether the request ran is not known",
         remedy="ask again only if running it twice does no harm",
     )
 
 
-def broken(what: str) -> RefusedError:
+def answer_interrupted(what: str) -> RequestError:
     """Return why an answer that had begun is cut off."""
-    return RefusedError(
+    return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
         what,
         remedy="ask again, from the last event where that is allowed",
--- /dev/null
+++ b/src/lugcross/edge/request_forwarder.py
@@ -0,0 +1,314 @@
+# SPDX-License-Identifier: Apache-2.0
+"""Sends one request until there is an answer or a reason to give up."""
+
+import asyncio
+from collections.abc import Callable
+import dataclasses
+import datetime
+import random
+from typing import final
+
+from absl import logging
+
+from lugcross import clock as clock_lib
+from lugcross import crash_suspects
+from lugcross import desired
+from lugcross.edge import admission
+from lugcross.edge import attempt as attempt_lib
+from lugcross.edge import backend_choice
+from lugcross.edge import checked_request
+from lugcross.edge import edge_state as edge_state_lib
+from lugcross.edge import request_errors
+from lugcross.edge import retry_policy
+from lugcross import http1
+
+_MS = datetime.timedelta(milliseconds=1)
+
+
+@final
+class RequestForwarder:
+    """One request on its way: sent until there is an answer."""
+
+    def __init__(
+        self,
+        edge_state: edge_state_lib.EdgeState,
+        clock: clock_lib.Clock,
+        exchange: http1.ResponseWriter,
+        plan: checked_request.CheckedRequest,
+        on_change: Callable[[], None],
+        rng: random.Random,
+    ) -> None:
+        self._rng = rng
+        self._edge_state = edge_state
+        self._clock = clock
+        self._plan = plan
+        self._on_change = on_change
+        self._answer_writer = attempt_lib.AnswerWriter(exchange, plan, clock)
+        self._tried: set[desired.BackendKey] = set()
+        #: Whether the last attempt's server ended its connection.
+        self._connection_lost = False
+        #: When the last attempt was sent.
+        self._sent_at = plan.req.received_at
+        self._state = retry_policy.RequestState(
+            repeatable=plan.route.repeatable,
+            max_attempts=plan.route.max_attempts,
+        )
+
+    async def run(self) -> None:
+        """Send until there is an answer or a reason to give up."""
+        self._edge_state.repeat_budget(self._plan.service).record_request(
+            self._clock.monotonic()
+        )
+        left = self._time_left()
+        try:
+            async with asyncio.timeout(left.total_seconds()):
+                await self._send_until_answered(self._choose_first_backend())
+        except TimeoutError:
+            self._raise_timeout()
+
+    def _time_left(self) -> datetime.timedelta:
+        return self._plan.deadline - self._clock.monotonic()
+
+    def _choose_first_backend(self) -> desired.Backend:
+        """Return the first backend server, or refuse.
+
+        Nobody waits for a place here, also not who comes back: of those
+        that were kept waiting hardly any was served, and their callers
+        were told so seconds later than they could have been.
+        """
+        self._refuse_if_it_ends_servers()
+        is_retry = self._edge_state.retry_detector(
+            self._plan.route.name
+        ).is_retry(self._plan.caller_head.time_left)
+        found = self._choose_backend()
+        reason = self._refusal_reason(found, is_retry=is_retry)
+        if found is None or reason is not None:
+            raise self._refused_error(found, reason)
+        return found.best.backend
+
+    def _refuse_if_it_ends_servers(self) -> None:
+        """Refuse what ends the servers that run it, before any ends more.
+
+        Unbounded, one such request that came every 0.2 to 3 s ended 17 to 75
+        servers in 30 s; with this it ends two, or three where servers end
+        for other reasons too.
+        """
+        endings = self._edge_state.endings
+        if (
+            endings.status(self._plan)
+            is not crash_suspects.SuspectStatus.REFUSED
+        ):
+            return
+        ends = endings.counted_crashes(self._plan)
+        self._edge_state.figures.count_suspect_refused(self._plan.service)
+        raise request_errors.servers_ended(
+            len(ends), endings.time_until_expiry(ends)
+        )
+
+    def _refusal_reason(
+        self, found: backend_choice.BackendChoice | None, *, is_retry: bool
+    ) -> str | None:
+        plan = self._plan
+        edge_state = self._edge_state
+        return admission.refusal_reason(
+            edge_state.load_snapshot(
+                plan.service, min_busy=found.min_requests if found else 0
+            ),
+            edge_state.max_requests_per_server(plan.route, plan.service),
+            edge_state.requester(
+                plan.route, plan.service, plan.workspace, is_retry=is_retry
+            ),
+        )
+
+    def _refused_error(
+        self, found: backend_choice.BackendChoice | None, reason: str | None
+    ) -> request_errors.RequestError:
+        if found is not None:
+            return request_errors.overloaded(
+                reason or "", self._time_left(), self._rng
+            )
+        rest = self._edge_state.remaining_rest(self._plan.service)
+        if rest is not None:
+            return self._all_resting_error(rest)
+        if self._edge_state.backends.usable(self._plan.service):
+            return request_errors.unavailable(
+                "its groups of ranks are broken", self._time_left()
+            )
+        return request_errors.not_ready("no backend server is known")
+
+    def _all_resting_error(
+        self, rest: datetime.timedelta
+    ) -> request_errors.RequestError:
+        """Return the refusal while all servers rest or are on trial."""
+        self._edge_state.figures.count_rest_refused(self._plan.service)
+        return request_errors.all_resting(rest, self._rng)
+
+    async def _send_until_answered(self, first: desired.Backend) -> None:
+        backend = first
+        while True:
+            self._tried.add(backend.key)
+            event = await self._send(backend)
+            if event is None:
+                self._log_answer(backend)
+                return
+            self._edge_state.figures.count_attempt(
+                self._plan.service, event.value
+            )
+            self._state = retry_policy.state_after(self._state, event)
+            await self._check_if_backend_ended(event, backend)
+            found = self._choose_backend()
+            action = retry_policy.next_action(
+                self._state,
+                event,
+                another=found is not None and self._spend_repeat(event),
+            )
+            self._log_attempt(event, backend, action)
+            if action is not retry_policy.Action.RETRY or found is None:
+                await self._finish_unanswered(action, event)
+                return
+            backend = found.best.backend
+
+    async def _send(
+        self, backend: desired.Backend
+    ) -> retry_policy.AttemptOutcome | None:
+        attempt = attempt_lib.Attempt(
+            self._edge_state,
+            self._clock,
+            self._plan,
+            backend,
+            self._answer_writer,
+            may_resend=self._may_resend,
+            new_connection=self._is_suspect(),
+        )
+        self._on_change()
+        self._sent_at = self._clock.monotonic()
+        try:
+            event = await attempt.run()
+        finally:
+            self._on_change()
+        self._connection_lost = attempt.connection_lost
+        if event in (None, retry_policy.AttemptOutcome.FAILED):
+            self._edge_state.endings.record_completion(
+                self._plan, backend, self._sent_at
+            )
+        begun = self._answer_writer.begun
+        self._state = dataclasses.replace(self._state, answer_started=begun)
+        return event
+
+    async def _check_if_backend_ended(
+        self, event: retry_policy.AttemptOutcome, backend: desired.Backend
+    ) -> None:
+        """Find out whether a server has ended under this request."""
+        if (
+            event is retry_policy.AttemptOutcome.BROKEN
+            and self._connection_lost
+        ):
+            await self._edge_state.endings.record_broken_attempt(
+                self._plan, backend, self._sent_at
+            )
+
+    def _may_resend(self) -> bool:
+        """Tell whether another server is left if this attempt breaks."""
+        broken = retry_policy.state_after(
+            self._state, retry_policy.AttemptOutcome.BROKEN
+        )
+        return (
+            retry_policy.may_send(broken)
+            and self._choose_backend() is not None
+        )
+
+    def _spend_repeat(self, event: retry_policy.AttemptOutcome) -> bool:
+        """Take one repeat from the budget, unless it would be the first.
+
+        Only what arrived at a backend server counts against it.
+        """
+        if not retry_policy.may_send(self._state):
+            return False
+        broke = event is retry_policy.AttemptOutcome.BROKEN
+        if not self._edge_state.endings.may_retry(self._plan, broke=broke):
+            return False
+        if not self._state.attempts_sent:
+            return True
+        return self._edge_state.spend_repeat(self._plan.service, event)
+
+    def _choose_backend(self) -> backend_choice.BackendChoice | None:
+        if self._is_suspect():
+            return self._edge_state.choose_backend_for_suspect(
+                self._plan, self._tried
+            )
+        return self._edge_state.choose_backend(self._plan.service, self._tried)
+
+    def _is_suspect(self) -> bool:
+        standing = self._edge_state.endings.status(self._plan)
+        return standing is crash_suspects.SuspectStatus.SUSPECT
+
+    async def _finish_unanswered(
+        self, action: retry_policy.Action, event: retry_policy.AttemptOutcome
+    ) -> None:
+        if action is retry_policy.Action.PASS_ON:
+            await self._answer_writer.write_held_failure()
+        elif action is retry_policy.Action.ABORT_ANSWER:
+            raise request_errors.answer_interrupted("the answer broke off")
+        elif action is retry_policy.Action.REFUSE:
+            rest = self._edge_state.remaining_rest(self._plan.service)
+            if rest:
+                raise self._all_resting_error(rest)
+            raise request_errors.unavailable(
+                f"no backend server ran it ({event.value})", self._time_left()
+            )
+        else:
+            raise request_errors.outcome_unknown("a backend server broke off")
+
+    def _raise_timeout(self) -> None:
+        if self._answer_writer.begun:
+            raise request_errors.answer_interrupted("its time is over")
+        raise request_errors.timed_out()
+
+    def _log_answer(self, backend: desired.Backend) -> None:
+        """Tell how a request that has its answer came by it."""
+        plan = self._plan
+        first = self._answer_writer.first_byte_at
+        first_byte_after = (
+            None if first is None else first - plan.req.received_at
+        )
+        status = self._answer_writer.status
+        self._edge_state.figures.count_request(
+            plan.service, status, first_byte_after
+        )
+        total = self._clock.monotonic() - plan.req.received_at
+        logging.info(
+            "answered",
+            extra={
+                "request": plan.caller_head.attempt_id,
+                "service": plan.service,
+                "route": plan.route.name,
+                "workspace": plan.workspace_name,
+                "version": plan.desired_version,
+                "backend": backend.key,
+                "domain": backend.domain,
+                "status": status,
+                "sent": self._state.attempts_sent + 1,
+                "first_ms": None
+                if first_byte_after is None
+                else round(first_byte_after / _MS),
+                "whole_ms": round(total / _MS),
+                "last_id": self._answer_writer.last_event_id,
+            },
+        )
+
+    def _log_attempt(
+        self,
+        event: retry_policy.AttemptOutcome,
+        backend: desired.Backend,
+        action: retry_policy.Action,
+    ) -> None:
+        logging.info(
+            "attempt ended",
+            extra={
+                "request": self._plan.caller_head.attempt_id,
+                "backend": backend.key,
+                "event": event.value,
+                "action": action.value,
+                "sent": self._state.attempts_sent,
+            },
+        )
--- /dev/null
+++ b/src/lugcross/edge/request_handler.py
@@ -0,0 +1,191 @@
+# SPDX-License-Identifier: Apache-2.0
+"""Carries each request: checks it, has it sent, tells of refusals."""
+
+from collections.abc import Callable
+import datetime
+import random
+from typing import final
+
+from absl import logging
+
+from lugcross import clock as clock_lib
+from lugcross import desired
+from lugcross.edge import admission
+from lugcross.edge import checked_request
+from lugcross.edge import edge_state as edge_state_lib
+from lugcross.edge import request_errors
+from lugcross.edge import request_forwarder
+from lugcross import http1
+from lugcross import ids
+from lugcross import platform
+
+_MS = datetime.timedelta(milliseconds=1)
+
+
+@final
+class RequestHandler:
+    """Serves requests from the edge state of the process.
+
+    :param is_stopping: whether new requests can no longer be finished here.
+    :param on_change: called when requests in progress have changed.
+    """
+
+    def __init__(
+        self,
+        edge_state: edge_state_lib.EdgeState,
+        *,
+        is_stopping: Callable[[], bool],
+        on_change: Callable[[], None],
+        clock: clock_lib.Clock,
+        rng: random.Random,
+    ) -> None:
+        self._edge_state = edge_state
+        self._is_stopping = is_stopping
+        self._on_change = on_change
+        self._clock = clock
+        self._rng = rng
+
+    async def handle(
+        self, exchange: http1.ResponseWriter, req: http1.Request
+    ) -> None:
+        """Answer one request."""
+        head = platform.parse_caller_request_head(req.headers)
+        plan: checked_request.CheckedRequest | None = None
+        try:
+            plan = self._make_plan(req, head)
+            await request_forwarder.RequestForwarder(
+                self._edge_state,
+                self._clock,
+                exchange,
+                plan,
+                self._on_change,
+                self._rng,
+            ).run()
+        except request_errors.RequestError as exc:
+            self._log_refusal(head, plan, exc)
+            if exchange.head_written:
+                return
+            await exchange.write_head(
+                exc.status, exc.headers(), exc.body(), whole=True
+            )
+
+    def _make_plan(
+        self, req: http1.Request, head: platform.CallerRequestHead
+    ) -> checked_request.CheckedRequest:
+        if self._is_stopping():
+            raise request_errors.not_ready("this process is being stopped")
+        state = self._edge_state.desired
+        if state is None:
+            raise request_errors.not_ready("no desired state is known yet")
+        route = self._find_route(state, req)
+        workspace = self._authenticate(state, route, head)
+        wait = min(head.time_left or route.timeout, route.timeout)
+        return checked_request.CheckedRequest(
+            req=req,
+            caller_head=head,
+            route=route,
+            service=self._pick_service(route),
+            workspace=workspace,
+            deadline=req.received_at + wait,
+            desired_version=state.version,
+        )
+
+    def _find_route(
+        self, state: desired.DesiredState, req: http1.Request
+    ) -> desired.Route:
+        hosts = [value for name, value in req.headers if name == b"host"]
+        host = hosts[0].decode("latin-1") if hosts else ""
+        path = req.target.decode("latin-1").partition("?")[0]
+        route = state.find_route(host, path) or state.find_route(
+            host.rpartition(":")[0], path
+        )
+        if route is None:
+            raise request_errors.no_route(host, path)
+        return route
+
+    def _authenticate(
+        self,
+        state: desired.DesiredState,
+        route: desired.Route,
+        head: platform.CallerRequestHead,
+    ) -> desired.Workspace | None:
+        if not state.keys_required or route.public:
+            return None
+        workspace = state.workspaces_by_key.get(head.api_key)
+        if workspace is None:
+            raise request_errors.unknown_key()
+        return workspace
+
+    def _pick_service(self, route: desired.Route) -> ids.ServiceName:
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
+        weights = [share.weight for share in route.weighted_services]
+        return self._rng.choices(route.weighted_services, weights)[0].service
+
+    def _log_refusal(
+        self,
+        head: platform.CallerRequestHead,
+        plan: checked_request.CheckedRequest | None,
+        exc: request_errors.RequestError,
+    ) -> None:
+        service = plan.service if plan else ""
+        self._edge_state.figures.count_request(service, exc.status, None)
+        if plan is not None and plan.workspace_name is not None:
+            self._edge_state.figures.count_workspace_refused(
+                service, plan.workspace_name
+            )
+        inputs: dict[str, object] = {}
+        if plan is not None:
+            snapshot = self._edge_state.load_snapshot(plan.service)
+            inputs = {
+                "service": plan.service,
+                "route": plan.route.name,
+                "version": plan.desired_version,
+                "servers": snapshot.servers,
+                "resting": len(self._edge_state.rests.servers()),
+                "busy": snapshot.busy,
+                "unseen": round(snapshot.unseen, 1),
+                "full": round(
+                    self._edge_state.max_requests_per_server(
+                        plan.route, plan.service
+                    ),
+                    2,
+                ),
+                **self._share_fields(plan, snapshot),
+                "list_age_s": round(
+                    self._edge_state.backends.age().total_seconds(), 3
+                ),
+            }
+        wait = exc.retry_after
+        logging.info(
+            "refused",
+            extra={
+                "request": head.attempt_id,
+                "status": exc.status.value,
+                "why": exc.what,
+                "same": plan.logged_fingerprint if plan else None,
+                "retry_after_ms": None if wait is None else round(wait / _MS),
+                **inputs,
+            },
+        )
+
+    def _share_fields(
+        self,
+        plan: checked_request.CheckedRequest,
+        snapshot: admission.LoadSnapshot,
+    ) -> dict[str, object]:
+        """Return for a log line what the request's workspace may have."""
+        if plan.workspace_name is None:
+            return {}
+        claim = self._edge_state.workspace_usage.claim(
+            plan.service, plan.workspace_name
+        )
+        places = (
+            self._edge_state.max_requests_per_server(plan.route, plan.service)
+            * snapshot.servers
+        )
+        return {
+            "workspace": plan.workspace_name,
+            "use": claim.in_progress,
+            "share": round(claim.fair_share(places), 1),
+        }
--- /dev/null
+++ b/src/lugcross/edge/state_sync.py
@@ -0,0 +1,436 @@
+# SPDX-License-Identifier: Apache-2.0
+"""Where a process's knowledge comes from: the store, and peers."""
+
+import asyncio
+from collections.abc import Callable
+import datetime
+import functools
+import random
+from typing import final
+
+from absl import logging
+
+from lugcross import address
+from lugcross import clock as clock_lib
+from lugcross import desired
+from lugcross.edge import edge_state as edge_state_lib
+from lugcross.edge import lag as lag_lib
+from lugcross.edge import messages
+from lugcross.edge import peer_sync as peer_sync_lib
+from lugcross.edge import peers as peers_lib
+from lugcross.edge import registration as registration_lib
+from lugcross.edge import settings as settings_lib
+from lugcross.edge import state_transfer
+from lugcross.edge import store_contact
+from lugcross.edge import store_readers
+from lugcross.edge import suspect_gossip
+from lugcross.edge import suspect_store
+from lugcross.edge import topic_follower
+from lugcross import errors
+from lugcross import experts
+from lugcross import ids
+from lugcross import platform
+from lugcross import positions
+
+#: Silence after which a process that looked after expert maps is taken as
+#: gone; two of its heartbeats, so that a dead one's pass is not held long.
+_DUTY_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
+#: Silence after which a holder of the lease is taken as gone: under load
+#: processes tell each other every 50 ms, and at least every half second.
+#: Who is wrong calls the store for nothing, and leaves a renewed lease.
+_LEASE_HOLDER_TIMEOUT = datetime.timedelta(milliseconds=600)
+#: Time after a start in which a process leaves the duty to others: it has
+#: not heard of all of them yet. A lease needs no such time: one process
+#: gets it, whoever else tries.
+_DUTY_START_DELAY = datetime.timedelta(seconds=2)
+#: Age of the oldest copy that the store is expected to come back from; what
+#: was written before stands in it.
+_MAX_STORE_COPY_AGE = datetime.timedelta(seconds=60)
+#: Time after a start in which peers are listened to before the desired state
+#: that the store tells counts: many round trips, well within what a start
+#: takes.
+_INITIAL_LISTEN_TIME = datetime.timedelta(milliseconds=250)
+#: Time after a start for which a newer one is waited for that a peer has:
+#: two of them are asked within it.
+_INITIAL_WAIT_FOR_NEWER = datetime.timedelta(seconds=1.5)
+#: Time between two looks meanwhile, in seconds.
+_INITIAL_CHECK_INTERVAL_S = 0.02
+_MS = datetime.timedelta(milliseconds=1)
+
+
+@final
+class StateSync:
+    """Puts what the store and the peers tell into the edge_state."""
+
+    def __init__(
+        self,
+        settings: settings_lib.Settings,
+        edge_state: edge_state_lib.EdgeState,
+        store: platform.StoreClient,
+        *,
+        clock: clock_lib.Clock,
+        rng: random.Random,
+    ) -> None:
+        self._settings = settings
+        self._edge_state = edge_state
+        self._store = store
+        self._rng = rng
+        self._incarnation = ids.new_token()
+        self._leaving = False
+        self._clock = clock
+        self._started_at = clock.monotonic()
+        self._started_ms = int(clock.now().timestamp() * 1000)
+        #: Whether this process cannot look after expert maps for now.
+        self.is_unfit: Callable[[], bool] = lambda: False
+        #: Number of this process's lease of expert maps, if it has one.
+        self.lease_generation: Callable[[], experts.Generation | None] = (
+            lambda: None
+        )
+        #: Whether the store answers this process about the lease.
+        self.can_claim_lease: Callable[[], bool] = lambda: True
+        #: Called with the number of a peer's lease.
+        self.on_peer_generation: Callable[[experts.Generation], None] = (
+            lambda number: None
+        )
+        #: Backend servers that this process has seen in broken groups.
+        self.seen_broken_backends: Callable[[], list[desired.BackendKey]] = (
+            list
+        )
+        #: Backend servers that this process knows to hold their groups back.
+        self.seen_slow_backends: Callable[[], list[desired.BackendKey]] = list
+        ledger = edge_state.endings.registry
+        self._suspect_gossip = suspect_gossip.SuspectGossip(ledger, clock)
+        self._suspect_store = suspect_store.SuspectStore(ledger, store, clock)
+        edge_state.endings.on_refused = self._suspect_store.save
+        store.on_new_era = self._on_new_era
+        #: The desired state that the store told first, until it is sure that
+        #: no peer has a newer one.
+        self._initial_desired: bytes = b""
+        #: Newest era of the store that this process has acted on.
+        self._era: positions.Era | None = None
+        self.store_health = topic_follower.StoreHealth(clock)
+        self.answers = store_contact.StoreContact(clock)
+        self._lags = {
+            topic: lag_lib.Lag(clock)
+            for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC)
+        }
+        self.peers = peers_lib.Peers(
+            self._make_heartbeat,
+            self._on_heartbeat,
+            own_address=settings.listen.peers,
+            domain=settings.domain,
+            clock=clock,
+        )
+        self._registration = registration_lib.Registration(
+            settings, store, self.peers, clock=clock, rng=rng
+        )
+        edge_state.count_known_peers = self.peers.count
+        edge_state.endings.on_change = functools.partial(
+            self.peers.schedule_send, urgent=True
+        )
+        self.peer_sync = peer_sync_lib.PeerSync(
+            settings,
+            edge_state,
+            self.peers,
+            adopt=functools.partial(self._adopt, urgent=False),
+            without_store=lambda: (
+                self.store_health.failing or self.leaves_store_to_peers()
+            ),
+            clock=clock,
+            rng=rng,
+        )
+        self._state_server = state_transfer.StateServer(self.peer_sync.respond)
+
+    async def start(self) -> None:
+        """Listen for peers."""
+        await self._state_server.start(
+            *address.split_host_port(self._settings.listen.state)
+        )
+        host, port = address.split_host_port(self._settings.listen.peers)
+        loop = asyncio.get_running_loop()
+        await loop.create_datagram_endpoint(
+            lambda: self.peers, local_addr=(host, port)
+        )
+        for seed in self._settings.seeds:
+            # Ports are the same on all machines.
+            self.peers.add(f"{address.split_host_port(seed)[0]}:{port}")
+
+    async def run(self) -> None:
+        """Register, and ask peers whenever the store does not answer."""
+        async with asyncio.TaskGroup() as tasks:
+            tasks.create_task(self.peers.run())
+            tasks.create_task(self._registration.run())
+            tasks.create_task(self._adopt_initial_desired())
+            tasks.create_task(self.peer_sync.run())
+            tasks.create_task(self._suspect_store.run())
+
+    def leave(self) -> None:
+        """Tell the peers that this process is being stopped."""
+        self._leaving = True
+        self.peers.schedule_send(urgent=True)
+
+    def close(self) -> None:
+        """Stop listening."""
+        self.peers.send_now()
+        self._state_server.close()
+
+    @property
+    def incarnation(self) -> str:
+        """Drawn anew at each start of a process."""
+        return self._incarnation
+
+    def fit(self) -> bool:
+        """Tell whether this process may look after expert maps."""
+        return not self._leaving and not self.is_unfit()
+
+    def first(self) -> bool:
+        """Tell whether it runs longest of those that may.
+
+        Where a lease is needed, one that the store turns away cannot get
+        it, and nobody waits for it.
+        """
+        leased = self._edge_state.bounds.fenced
+        age = self._clock.monotonic() - self._started_at
+        if age < _DUTY_START_DELAY and not leased:
+            return False
+        timeout = _LEASE_HOLDER_TIMEOUT if leased else _DUTY_PEER_TIMEOUT
+        claims = [
+            experts.Candidate(heartbeat.started_ms, heartbeat.incarnation)
+            for heartbeat in self._live_heartbeats(timeout)
+            if heartbeat.started_ms and (heartbeat.reads_store or not leased)
+        ]
+        own = experts.Candidate(self._started_ms, self._incarnation)
+        return experts.elect_leader([*claims, own]) == own
+
+    def held_elsewhere(self) -> bool:
+        """Tell whether a live peer has the lease of expert maps."""
+        heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
+        return any(heartbeat.generation for heartbeat in heartbeats)
+
+    def leaves_store_to_peers(self) -> bool:
+        """Tell whether peers of this domain ask the store for this one."""
+        return not store_readers.reads_store(
+            self._reader(), self._other_readers()
+        )
+
+    def reader_rank(self) -> int:
+        """Return how many processes ask the store before this one."""
+        return store_readers.reader_position(
+            self._reader(), self._other_readers()
+        )
+
+    def _reader(self) -> store_readers.ReaderCandidate:
+        return store_readers.ReaderCandidate(
+            self._incarnation,
+            not self.store_health.failing,
+            self._settings.domain,
+        )
+
+    def _other_readers(self) -> list[store_readers.ReaderCandidate]:
+        return [
+            store_readers.ReaderCandidate(
+                heartbeat.incarnation, heartbeat.reads_store, heartbeat.domain
+            )
+            for heartbeat in self._live_heartbeats(_DUTY_PEER_TIMEOUT)
+        ]
+
+    def _live_heartbeats(
+        self, timeout: datetime.timedelta
+    ) -> list[messages.Heartbeat]:
+        """Return the newest news of peers that may have the duty."""
+        return [
+            peer.heartbeat
+            for peer in self.peers.live(timeout)
+            if peer.heartbeat and not peer.heartbeat.leaving
+        ]
+
+    def apply_desired(self, tail: platform.ReadResult, newest: bool) -> None:
+        """Take over records of the operator."""
+        del newest
+        for record in tail.records:
+            if record.key != platform.DESIRED_STATE_KEY or not record.value:
+                continue
+            if (
+                self._edge_state.desired is None
+                and not self._may_adopt_initial()
+            ):
+                self._initial_desired = self._checked(record.value)
+            else:
+                self._adopt(record.value, urgent=True)
+
+    def apply_backends(self, tail: platform.ReadResult, newest: bool) -> None:
+        """Take over records of backend servers."""
+        contact = self._edge_state.bounds.contact
+        away = self.store_health.failed_within(contact)
+        if newest:
+            self._edge_state.backends.replace(tail, store_was_away=away)
+        else:
+            self._edge_state.backends.apply(tail, store_was_away=away)
+        if tail.records:
+            self.peers.schedule_send()
+
+    def _checked(self, record: bytes) -> bytes:
+        """Return a record of the desired state if it can be read."""
+        try:
+            platform.decode_desired(record)
+        except errors.ChangeError as exc:
+            logging.error("desired state kept out", extra={"why": str(exc)})
+            return self._initial_desired
+        return record
+
+    def _adopt(self, record: bytes, *, urgent: bool) -> None:
+        """Put a desired state in force.
+
+        :param urgent: whether nobody else may know of it yet.
+        """
+        try:
+            state = platform.decode_desired(record)
+        except errors.ChangeError as exc:
+            logging.error("desired state kept out", extra={"why": str(exc)})
+            return
+        if self._edge_state.adopt(state, record):
+            self.peers.schedule_send(urgent=urgent)
+
+    def _make_heartbeat(self, known: list[str]) -> messages.Heartbeat:
+        _, port = address.split_host_port(self._settings.listen.state)
+        return messages.Heartbeat(
+            node=self._settings.node,
+            incarnation=self._incarnation,
+            domain=self._settings.domain,
+            state_port=port,
+            leaving=self._leaving,
+            version=self._edge_state.version,
+            backends_end=self._edge_state.backends.end,
+            running={
+                str(key): count
+                for key, count in self._edge_state.loads.own_requests().items()
+            },
+            known_addresses=known,
+            started_ms=0 if self.is_unfit() else self._started_ms,
+            broken_backends=[str(key) for key in self.seen_broken_backends()],
+            generation=self.lease_generation() or 0,
+            reads_store=not self.store_health.failing
+            and self.can_claim_lease(),
+            workspace_uses=self._edge_state.workspace_usage.own_counts(),
+            desired_age_ms=self._store_answer_age_ms(platform.OPERATOR_TOPIC),
+            backends_age_ms=self._store_answer_age_ms(platform.BACKENDS_TOPIC),
+            slow_backends=[str(key) for key in self.seen_slow_backends()],
+            suspects=self._suspect_gossip.outgoing(),
+            leaving_backends=[
+                str(key)
+                for key in self._edge_state.backends.leaving_by_answer_only()
+            ],
+        )
+
+    def _store_answer_age_ms(self, topic: str) -> int:
+        """Return how long ago the store answered; -1 if too long ago."""
+        age = self.answers.own_answer_age(topic)
+        if age is None or age > messages.MAX_AGE_MS * _MS:
+            return -1
+        return int(age / _MS)
+
+    def _on_heartbeat(self, peer: peers_lib.Peer) -> None:
+        heartbeat = peer.heartbeat
+        if heartbeat is None:
+            return
+        running = {
+            desired.BackendKey(key): count
+            for key, count in heartbeat.running.items()
+        }
+        self._on_peer_era(positions.Position(heartbeat.backends_end))
+        near = heartbeat.domain == self._settings.domain
+        self._edge_state.loads.record_peer_requests(
+            heartbeat.node, running, same_domain=near
+        )
+        self._edge_state.workspace_usage.apply_peer_counts(
+            heartbeat.node, heartbeat.workspace_uses
+        )
+        broken = [desired.BackendKey(key) for key in heartbeat.broken_backends]
+        self._edge_state.outages.report(heartbeat.node, broken)
+        slow = [desired.BackendKey(key) for key in heartbeat.slow_backends]
+        self._edge_state.slowdowns.report(heartbeat.node, slow)
+        self._suspect_gossip.merge(heartbeat.suspects)
+        for name in heartbeat.leaving_backends:
+            self._edge_state.backends.note_leaving_answer(
+                desired.BackendKey(name)
+            )
+        self.on_peer_generation(experts.Generation(heartbeat.generation))
+        self._lags[platform.OPERATOR_TOPIC].note_known(heartbeat.version)
+        self._lags[platform.BACKENDS_TOPIC].note_known(heartbeat.backends_end)
+        for topic, age_ms in (
+            (platform.OPERATOR_TOPIC, heartbeat.desired_age_ms),
+            (platform.BACKENDS_TOPIC, heartbeat.backends_age_ms),
+        ):
+            if age_ms >= 0:
+                self.answers.record_peer_answer(topic, age_ms * _MS)
+
+    def _on_new_era(self, era: positions.Era, before: positions.Era) -> None:
+        """Have written again what the store may have lost of ours.
+
+        It comes back from a copy some seconds old: what stood there for long
+        is in it, so that few processes call.
+        """
+        if era <= (self._era or 0):
+            return
+        self._era = era
+        logging.warning("store is a copy", extra={"era": era, "was": before})
+        self._edge_state.figures.count_store_copy()
+        since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
+        self._registration.repeat_if_done_since(since)
+        if not self.reader_rank():
+            self._suspect_store.save_again(since)
+
+    def _on_peer_era(self, end: positions.Position) -> None:
+        """Note the era of a peer's news; few processes ask the store."""
+        era = positions.era(end)
+        known = max(self._era or 0, self._store.era)
+        if self._era is None:
+            self._era = max(era, self._store.era)
+        elif era > known:
+            self._on_new_era(era, positions.Era(known))
+
+    async def _adopt_initial_desired(self) -> None:
+        """Adopt what the store told first, unless a peer has a newer one.
+
+        The store may have come back from a copy a moment ago; who has heard
+        of a later version must not serve by an earlier one.
+        """
+        while not self._may_adopt_initial():
+            await asyncio.sleep(_INITIAL_CHECK_INTERVAL_S)
+        if self._initial_desired and self._edge_state.desired is None:
+            self._adopt(self._initial_desired, urgent=True)
+
+    def _may_adopt_initial(self) -> bool:
+        age = self._clock.monotonic() - self._started_at
+        alone = not self.peers.count()
+        if (
+            alone
+            or self._edge_state.desired is not None
+            or age >= _INITIAL_WAIT_FOR_NEWER
+        ):
+            return True
+        heartbeats = [
+            peer.heartbeat for peer in self.peers.live() if peer.heartbeat
+        ]
+        newest = max(
+            (heartbeat.version for heartbeat in heartbeats), default=0
+        )
+        if not newest:
+            # Nobody that was heard knows one; others may be heard yet.
+            return bool(self._initial_desired) and age >= _INITIAL_LISTEN_TIME
+        if not self._initial_desired:
+            return False
+        return newest <= platform.decode_desired(self._initial_desired).version
+
+    def lag(self, topic: str) -> datetime.timedelta:
+        """Return since when this process knows of news that it lacks."""
+        own = {
+            platform.OPERATOR_TOPIC: self._edge_state.version,
+            platform.BACKENDS_TOPIC: int(self._edge_state.backends.end),
+        }
+        return self._lags[topic].age(own[topic])
+
+    def on_store_answer(self, topic: str) -> None:
+        """Note that the store has told all that it has of a topic."""
+        self.answers.record_answer(topic)
+        self._lags[topic].restart()
--- /dev/null
+++ b/src/lugcross/edge/switch_driver.py
@@ -0,0 +1,197 @@
+# SPDX-License-Identifier: Apache-2.0
+"""Drives one switch of a group's map: sends its orders, reads reports."""
+
+import asyncio
+from collections.abc import Awaitable
+from collections.abc import Callable
+import datetime
+from typing import final
+
+from absl import logging
+
+from lugcross import clock as clock_lib
+from lugcross.edge import map_leadership
+from lugcross.edge import rank_groups
+from lugcross import experts
+from lugcross import platform
+
+#: Time, past what copying takes, after which a switch that holds nothing
+#: yet is left: demand has moved on.
+_CANCEL_AFTER = datetime.timedelta(seconds=1)
+#: Time after which a switch that holds a pass is left to another process,
+#: which may reach the ranks that this one cannot. Far longer than orders of
+#: which half go unanswered take.
+_GIVE_UP_AFTER = datetime.timedelta(seconds=5)
+#: Rest between two rounds of orders of which some were not done, seconds.
+_RETRY_DELAY_S = 0.04
+#: Longest rest while ranks copy, in seconds, between two looks whether
+#: the map that they copy for is of no use any more.
+_COPY_POLL_INTERVAL_S = 0.05
+#: Copying is taken to last this much longer than the links alone tell.
+_COPY_TIME_FACTOR = 1.1
+#: Further time for copying, in seconds: orders reach the ranks one after
+#: the other.
+_COPY_MARGIN_S = 0.02
+#: The rank at which passes are held.
+_HOLD_RANK = experts.Rank(0)
+
+#: Waits for some seconds.
+Sleep = Callable[[float], Awaitable[None]]
+
+
+@final
+class SwitchDriver:
+    """Carries out what a switch asks for.
+
+    :param leadership: under whose number all orders are given.
+    :param has_resting_rank: tells whether a rank has asked this process for
+        rest.
+    """
+
+    def __init__(
+        self,
+        engines: platform.EngineClient,
+        group: rank_groups.RankGroup,
+        leadership: map_leadership.MapLeadership,
+        clock: clock_lib.Clock,
+        sleep: Sleep,
+        has_resting_rank: Callable[[], bool] = lambda: False,
+    ) -> None:
+        self._has_resting_rank = has_resting_rank
+        self._leadership = leadership
+        self._generation = leadership.generation()
+        self._sleep = sleep
+        self._engines = engines
+        self._group = group
+        self._clock = clock
+        self._cancel_requested = False
+
+    def cancel_if_copying(self) -> None:
+        """Leave the switch if its ranks are still copying."""
+        self._cancel_requested = True
+
+    async def run(
+        self, switch: experts.MapSwitch, max_copies_per_rank: int
+    ) -> bool:
+        """Carry out a switch; tell whether it came to an end.
+
+        :param max_copies_per_rank: most experts that a rank copies.
+        """
+        started_at = self._clock.monotonic()
+        copy_time_s = max_copies_per_rank * self._group.limits.copy_s
+        copy_time_s = copy_time_s * _COPY_TIME_FACTOR + _COPY_MARGIN_S
+        copy_end = started_at + datetime.timedelta(seconds=copy_time_s)
+        while switch.phase is not experts.SwitchPhase.OVER:
+            now = self._clock.monotonic()
+            if now - copy_end > _GIVE_UP_AFTER or not self._may_order():
+                return False
+            is_late = now - copy_end > _CANCEL_AFTER
+            is_pointless = (
+                is_late or self._has_resting_rank() or not self._group.is_open
+            )
+            if is_pointless and not switch.may_hold_pass:
+                switch.cancel()
+                continue
+            if switch.phase is experts.SwitchPhase.COPY:
+                await self._wait_until_copied(copy_end, switch)
+            elif switch.hold_refused:
+                await self._choose_pass(switch)
+            else:
+                await self._send_pending_orders(switch)
+        return True
+
+    async def _wait_until_copied(
+        self, copy_end: clock_lib.Instant, switch: experts.MapSwitch
+    ) -> None:
+        left_s = (copy_end - self._clock.monotonic()).total_seconds()
+        if self._cancel_requested:
+            switch.cancel()
+        elif left_s > 0:
+            await self._sleep(min(left_s, _COPY_POLL_INTERVAL_S))
+        else:
+            await self._choose_pass(switch)
+
+    async def _choose_pass(self, switch: experts.MapSwitch) -> None:
+        """Choose the pass at which all ranks change.
+
+        Only the first rank tells whether a pass is held. While its entry is
+        off the list, as in a cut of its failure domain, none is chosen.
+        """
+        try:
+            report = await self._fetch_report(_HOLD_RANK)
+        except platform.EngineQueryError as exc:
+            logging.info("no step", extra={"why": str(exc)})
+            await self._sleep(_RETRY_DELAY_S)
+            return
+        if report is None or report.epoch != self._group.epoch:
+            switch.note_epoch_ended()
+        elif report.held_pass is not None:
+            # Another process is switching this group.
+            switch.cancel()
+        else:
+            switch.note_copied(
+                report.last_pass, passes_ahead=self._group.passes_ahead()
+            )
+            switch.hold_later_pass(report.last_pass)
+
+    async def _fetch_report(
+        self, rank: experts.Rank
+    ) -> experts.RankReport | None:
+        """Return what a rank reports; none if it is in no group.
+
+        :raises platform.EngineQueryError: when it is silent or off the list.
+        """
+        backend = self._group.servers_by_rank.get(rank)
+        if backend is None:
+            raise platform.EngineQueryError(
+                f"rank {rank} is off the list", remedy="ask again"
+            )
+        return await self._engines.report(backend)
+
+    def _may_order(self) -> bool:
+        return self._leadership.may_order(self._generation)
+
+    async def _send_pending_orders(self, switch: experts.MapSwitch) -> None:
+        pending = switch.pending_orders()
+        results = await asyncio.gather(
+            *(self._send_order(rank, order) for rank, order in pending)
+        )
+        for (rank, order), result in zip(pending, results, strict=True):
+            switch.apply_result(rank, order, result)
+        if all(one is experts.OrderResult.DONE for one in results):
+            return
+        if experts.OrderResult.FENCED in results or switch.hold_refused:
+            return
+        if experts.OrderResult.REFUSED in results:
+            await self._check_epoch(switch)
+        await self._sleep(_RETRY_DELAY_S)
+
+    async def _send_order(
+        self, rank: experts.Rank, order: experts.Order
+    ) -> experts.OrderResult:
+        backend = self._group.servers_by_rank.get(rank)
+        if backend is None:
+            return experts.OrderResult.UNKNOWN
+        result = await self._engines.order(
+            backend, order, self._group.epoch, self._generation
+        )
+        if (
+            result is experts.OrderResult.FENCED
+            and self._generation is not None
+        ):
+            self._leadership.note_refused(self._generation)
+        return result
+
+    async def _check_epoch(self, switch: experts.MapSwitch) -> None:
+        """End the switch if its group has formed anew.
+
+        Every rank knows the epoch; the first one's entry may be gone.
+        """
+        lowest = min(self._group.servers_by_rank, default=_HOLD_RANK)
+        try:
+            report = await self._fetch_report(lowest)
+        except platform.EngineQueryError as exc:
+            logging.info("no epoch", extra={"why": str(exc)})
+            return
+        if report is not None and report.epoch != self._group.epoch:
+            switch.note_epoch_ended()
--- a/src/lugcross/entry/app.py
+++ b/src/lugcross/entry/app.py
@@ -52,7 +52,7 @@
         self._domain = ids.DomainName(settings.node.domain)
         self._node = ids.NodeName(settings.node.name)
         self.store = cfg.Store(clock)
-        self.journal = observe.Journal(clock, self._node)
+        self.journal = observe.DecisionJournal(clock, self._node)
         self._tracer = observe.Tracer(settings.observe.traces, self._node)
         self._loop = wire.LoopThread(name=f"{self._node}-links")
         self.upstream = upstream_lib.Upstream(
@@ -224,7 +224,7 @@
         if not where.hosts:
             return
         hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
-        watch = membership.HostWatch(
+        watch = membership.HostListWatcher(
             hosts, self._on_hosts, every_s=_HOSTS_EVERY_S
         )
         app.add(app_lib.Hook(name="hosts", start=watch.start, stop=watch.stop))
@@ -263,8 +263,8 @@
 
     def _on_neighbours(self, relay: bool) -> None:
         if relay != self.follower.relay:
-            self.journal.note(
-                observe.Topic.DUTY,
+            self.journal.record(
+                observe.DecisionTopic.DUTY,
                 self._node,
                 rule="first by hash among the entry hosts that are seen",
                 result="relay of the log" if relay else "no relay",
@@ -278,8 +278,8 @@
         applied: Sequence[cfg.Applied],
     ) -> None:
         for one in applied:
-            self.journal.note(
-                observe.Topic.CONFIG,
+            self.journal.record(
+                observe.DecisionTopic.CONFIG,
                 str(one.ref or one.offset),
                 rule=one.reason or "valid at its place in the log",
                 result=one.verdict.value,
@@ -303,11 +303,11 @@
             backends = config.by_service[name]
             # A repeat must find the agent that has claimed its key.
             links = self._settings.links if service.repeatable else None
-            chosen = membership.subset(
+            chosen = membership.choose_backend_subset(
                 self._node,
                 self._domain,
                 backends,
-                links=links or len(backends),
+                max_links=links or len(backends),
             )
             wanted.update({backend.name: backend for backend in chosen})
         return list(wanted.values())
--- a/src/lugcross/entry/caller.py
+++ b/src/lugcross/entry/caller.py
@@ -28,8 +28,8 @@
 _LOOK_S = 0.5
 _BACKEND_FAULTS = frozenset(
     (
-        errors.RefusalKind.BACKEND_FAILED,
-        errors.RefusalKind.STREAM_BROKEN,
+        errors.FailureKind.BACKEND_FAILED,
+        errors.FailureKind.STREAM_BROKEN,
     )
 )
 _NO_RETRY = datetime.timedelta(seconds=1)
@@ -49,7 +49,7 @@
 
     id: ids.RequestId
     workspace: ids.WorkspaceName
-    group: ids.GroupName
+    group: ids.WorkspaceGroupName
     service: ids.ServiceName
     method: str
     path: str
@@ -59,7 +59,7 @@
     model: bool
     repeatable: bool
     deadline: clock_lib.Instant
-    once_key: ids.OnceKey = ids.OnceKey("")
+    once_key: ids.IdempotencyKey = ids.IdempotencyKey("")
     resumable: bool = False
     homes: tuple[ids.BackendName, ...] = ()
     trace: str = ""
@@ -85,7 +85,7 @@
         *,
         domain: ids.DomainName,
         clock: clock_lib.Clock,
-        journal: observe.Journal,
+        journal: observe.DecisionJournal,
         rng: random.Random,
     ) -> None:
         self._upstream = upstream
@@ -104,7 +104,7 @@
         :raises errors.RequestError: when there is no whole answer; what
             was yielded before is then only a part.
         """
-        self._budget(req.service).earn()
+        self._budget(req.service).record_request()
         return _Run(self, req).parts()
 
     def choose(
@@ -113,7 +113,7 @@
         """Choose where to send ``req`` next, and note why."""
         if req.homes:
             return self._first_home(req, tried)
-        choice = routing.choose(
+        choice = routing.choose_backend(
             self._candidates(req.service),
             home=self._domain,
             tried=tried,
@@ -121,27 +121,33 @@
         )
         if choice is None:
             return None
-        self._journal.note(
-            observe.Topic.CHOICE,
+        self._journal.record(
+            observe.DecisionTopic.CHOICE,
             req.id,
             rule="least load of two near and two far",
             result=choice.best.name,
             inputs=tuple(
-                observe.Input(c.name, f"load {c.load:.2f} in {c.domain}")
-                for c in choice.looked_at
+                observe.DecisionInput(
+                    c.name, f"load {c.load:.2f} in {c.domain}"
+                )
+                for c in choice.considered
             ),
         )
         return self._upstream.peer(choice.best.name)
 
     def note(
-        self, topic: observe.Topic, req: Request, rule: str, result: str
+        self,
+        topic: observe.DecisionTopic,
+        req: Request,
+        rule: str,
+        result: str,
     ) -> None:
         """Record a decision about ``req``."""
-        self._journal.note(topic, req.id, rule=rule, result=result)
+        self._journal.record(topic, req.id, rule=rule, result=result)
 
     def may_retry(self, req: Request) -> bool:
         """Take a retry from the budget of the request's service."""
-        return self._budget(req.service).spend()
+        return self._budget(req.service).try_spend()
 
     def left(self, req: Request) -> datetime.timedelta:
         """Return the time until the caller's deadline."""
@@ -159,7 +165,10 @@
         for name in req.homes:
             if name in usable and name not in tried:
                 self.note(
-                    observe.Topic.CHOICE, req, "first home of its key", name
+                    observe.DecisionTopic.CHOICE,
+                    req,
+                    "first home of its key",
+                    name,
                 )
                 return self._upstream.peer(name)
         return None
@@ -222,7 +231,7 @@
         if action.costs and not self._caller.may_retry(self._req):
             self._refuse(action.otherwise, rule="the retry budget is spent")
         self._caller.note(
-            observe.Topic.RETRY,
+            observe.DecisionTopic.RETRY,
             self._req,
             rule=action.otherwise.what,
             result="sent to another backend server",
@@ -297,18 +306,18 @@
         if isinstance(event, lifecycle.AgentGone | lifecycle.AgentSilent):
             self._caller.upstream.fault(self._call.peer)
         elif isinstance(event, wire.End):
-            self._call.peer.health.worked()
+            self._call.peer.health.record_success()
         elif isinstance(event, wire.Fail):
             if event.kind in _BACKEND_FAULTS:
                 self._caller.upstream.fault(self._call.peer)
             else:
-                self._call.peer.health.unclear()
+                self._call.peer.health.record_no_result()
 
     def _refuse(
         self, error: errors.RequestError, *, rule: str = ""
     ) -> NoReturn:
         self._caller.note(
-            observe.Topic.REFUSAL,
+            observe.DecisionTopic.REFUSAL,
             self._req,
             rule=rule or error.what,
             result=f"{error.kind.value}, {error.outcome.value}",
@@ -362,7 +371,7 @@
     return errors.RequestError(
         f"no backend server of service {req.service} is usable",
         remedy="ask again after the time in Retry-After",
-        kind=errors.RefusalKind.NO_BACKEND,
+        kind=errors.FailureKind.NO_BACKEND,
         outcome=errors.Outcome.NOT_RUN,
         retry_after=_NO_RETRY,
     )
--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -5,57 +5,61 @@
 import dataclasses
 from typing import final
 
-from lugcross.experts import model
+from lugcross.experts import expert_map
 from lugcross.experts import orders
 
 #: Uses of an expert between two readings, over all sets, below which they
 #: tell of too few requests to plan by.
-_LEAST_USES = 2_000
+_MIN_USE_COUNT = 2_000
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Counts:
+class ExpertCounts:
     """How often each expert was used at one rank since its start.
 
-    :param sets: by set, then by expert.
+    :param uses_by_set: by set, then by expert.
     """
 
     epoch: orders.Epoch
-    step: orders.Step
-    sets: tuple[tuple[int, ...], ...]
+    last_pass: orders.PassNumber
+    uses_by_set: tuple[tuple[int, ...], ...]
 
 
-def between(
-    before: Counts | None, now: Counts
+def uses_between(
+    earlier: ExpertCounts | None, later: ExpertCounts
 ) -> tuple[tuple[int, ...], ...] | None:
     """Return the uses between two readings of one rank.
 
     None if they do not follow each other or tell too little. What lies
     further back is of no use: demand jumps, it does not drift.
     """
-    if before is None or before.epoch != now.epoch:
+    if earlier is None or earlier.epoch != later.epoch:
         return None
-    pairs = zip(now.sets, before.sets, strict=True)
+    pairs = zip(later.uses_by_set, earlier.uses_by_set, strict=True)
     uses = tuple(
         tuple(new - old for new, old in zip(*pair, strict=True))
         for pair in pairs
     )
     if any(one < 0 for row in uses for one in row):
         return None
-    if sum(map(sum, uses)) < _LEAST_USES:
+    if sum(map(sum, uses)) < _MIN_USE_COUNT:
         return None
     return uses
 
 
-def shaped(flat: Sequence[int], limits: model.Limits) -> list[list[int]]:
+def counts_by_set(
+    counts: Sequence[int], limits: expert_map.ExpertLimits
+) -> list[list[int]]:
     """Return counts set by set.
 
-    :raises ValueError: when they are not ``sets`` times ``experts``.
+    :raises ValueError: when they are not ``layer_set_count`` times
+        ``expert_count``.
     """
-    if len(flat) != limits.sets * limits.experts:
+    if len(counts) != limits.layer_set_count * limits.expert_count:
         raise ValueError(
-            f"{len(flat)} counts, not {limits.sets} x {limits.experts}"
+            f"{len(counts)} counts, not "
+            f"{limits.layer_set_count} x {limits.expert_count}"
         )
-    size = limits.experts
-    return [list(flat[at : at + size]) for at in range(0, len(flat), size)]
+    size = limits.expert_count
+    return [list(counts[at : at + size]) for at in range(0, len(counts), size)]
--- a/src/lugcross/experts/duty.py
+++ b/src/lugcross/experts/election.py
@@ -14,18 +14,18 @@
 
 @final
 @dataclasses.dataclass(frozen=True, order=True)
-class Claim:
+class Candidate:
     """A process that could look after expert maps.
 
-    :param since_ms: when it started, by its own time of day; processes
-        that started later leave the duty to earlier ones.
+    :param started_at_ms: when it started, by its own time of day; processes
+        that started later leave the leadership to earlier ones.
     :param incarnation: decides between two that started together.
     """
 
-    since_ms: int
+    started_at_ms: int
     incarnation: str
 
 
-def holder(claims: Iterable[Claim]) -> Claim | None:
-    """Return whose duty it is; none if there is nobody."""
-    return min(claims, default=None)
+def elect_leader(candidates: Iterable[Candidate]) -> Candidate | None:
+    """Return the leader; none if there is no candidate."""
+    return min(candidates, default=None)
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -6,13 +6,13 @@
 from typing import final
 from typing import NewType
 
+from lugcross.experts import expert_map
 from lugcross.experts import lease
-from lugcross.experts import model
 
 #: Number of a rank within its group, from 0.
 Rank = NewType("Rank", int)
 #: Number of a pass; all ranks of a group make it together.
-Step = NewType("Step", int)
+PassNumber = NewType("PassNumber", int)
 #: Version of an expert map; rises at each rank, 0 is what it starts with.
 MapVersion = NewType("MapVersion", int)
 #: Life of a group; a new one starts from the first map.
@@ -25,7 +25,7 @@
     """Copy what a map needs; takes the place of any map prepared before."""
 
     version: MapVersion
-    map: model.ExpertMap
+    map: expert_map.ExpertMap
 
 
 @final
@@ -34,7 +34,7 @@
     """Take up the prepared map as one pass begins."""
 
     version: MapVersion
-    step: Step
+    pass_number: PassNumber
 
 
 @final
@@ -50,7 +50,7 @@
 class Hold:
     """Do not begin a pass until it is released; stands until then."""
 
-    step: Step
+    pass_number: PassNumber
 
 
 @final
@@ -58,13 +58,13 @@
 class Release:
     """Let a pass that is held begin."""
 
-    step: Step
+    pass_number: PassNumber
 
 
 Order = Prepare | Arm | Disarm | Hold | Release
 
 
-class Verdict(enum.Enum):
+class OrderResult(enum.Enum):
     """What became of an order.
 
     An ``UNKNOWN`` one may have been carried out, or may be seconds later.
@@ -79,77 +79,84 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Report:
+class RankReport:
     """State of one rank, some hundred milliseconds ago.
 
-    :param step: pass that began last.
-    :param used: version of the map in use.
-    :param prepared: version that could be armed; none while it is copied.
-    :param armed: version and pass at which it will be taken up.
-    :param held: pass that this rank keeps from beginning.
+    :param last_pass: pass that began last.
+    :param version_in_use: version of the map in use.
+    :param prepared_version: version that could be armed; none while it is
+        copied.
+    :param armed_order: version and pass at which it will be taken up.
+    :param held_pass: pass that this rank keeps from beginning.
     :param slowness: how many times longer than usual it takes.
     :param is_open: whether the group takes requests.
     """
 
     group: str
-    size: int
+    rank_count: int
     rank: Rank
     epoch: Epoch
     is_open: bool
-    running: int
-    step: Step
-    used: MapVersion
-    prepared: MapVersion | None
-    armed: Arm | None
-    held: Step | None
+    request_count: int
+    last_pass: PassNumber
+    version_in_use: MapVersion
+    prepared_version: MapVersion | None
+    armed_order: Arm | None
+    held_pass: PassNumber | None
     slowness: float = 1.0
 
     @property
-    def newest(self) -> MapVersion:
+    def highest_version(self) -> MapVersion:
         """Highest version that the rank tells of."""
-        armed = self.armed.version if self.armed else MapVersion(0)
-        return max(self.used, self.prepared or MapVersion(0), armed)
+        armed = self.armed_order.version if self.armed_order else MapVersion(0)
+        return max(
+            self.version_in_use, self.prepared_version or MapVersion(0), armed
+        )
 
 
 #: Low bits of a version, which tell whose it is.
-_OWNER_BITS = 16
+_ALLOCATOR_BIT_COUNT = 16
 #: Processes hold passes of this many classes, by their number, so that one
 #: rarely holds, and so never releases, the pass that another holds.
-_STEP_CLASSES = 4
+_PASS_CLASS_COUNT = 4
 #: The same where leases are numbered: two holders in a row never hold the
 #: same pass, and what the one before them sends is refused.
-_LEASE_CLASSES = 2
+_LEASED_PASS_CLASS_COUNT = 2
 
 
 @final
-class Owner:
+class NumberAllocator:
     """Chooses versions and passes so that no other process chooses them.
 
     :param number: drawn at random at each start of a process.
     """
 
     def __init__(self, number: int) -> None:
-        self._number = number & ((1 << _OWNER_BITS) - 1)
-        self._chosen = MapVersion(0)
-        self._classes = _STEP_CLASSES
+        self._number = number & ((1 << _ALLOCATOR_BIT_COUNT) - 1)
+        self._last_version = MapVersion(0)
+        self._class_count = _PASS_CLASS_COUNT
         self._class = self._number
 
-    def take_turn(self, generation: lease.Generation) -> None:
+    def use_generation(self, generation: lease.Generation) -> None:
         """Choose passes by the number of a lease from now on."""
-        self._classes = _LEASE_CLASSES
+        self._class_count = _LEASED_PASS_CLASS_COUNT
         self._class = generation
 
-    def version(self, newest: MapVersion) -> MapVersion:
-        """Return a version above ``newest`` that was never chosen before.
+    def next_version(self, highest_version: MapVersion) -> MapVersion:
+        """Return a version above ``highest_version``, never chosen before.
 
         A version stands for one map: what a report tells may be older than
         what this process has chosen itself.
         """
-        high = (max(newest, self._chosen) >> _OWNER_BITS) + 1
-        self._chosen = MapVersion(high << _OWNER_BITS | self._number)
-        return self._chosen
-
-    def step(self, after: Step) -> Step:
-        """Return the next pass past ``after`` that this process holds."""
-        ahead = (self._class - after - 1) % self._classes
-        return Step(after + 1 + ahead)
+        high = (
+            max(highest_version, self._last_version) >> _ALLOCATOR_BIT_COUNT
+        ) + 1
+        self._last_version = MapVersion(
+            high << _ALLOCATOR_BIT_COUNT | self._number
+        )
+        return self._last_version
+
+    def next_pass(self, last_pass: PassNumber) -> PassNumber:
+        """Return the next pass past ``last_pass`` that this process holds."""
+        ahead = (self._class - last_pass - 1) % self._class_count
+        return PassNumber(last_pass + 1 + ahead)
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -14,115 +14,129 @@
 import dataclasses
 from typing import final
 
-from lugcross.experts import model
-from lugcross.experts import placing
+from lugcross.experts import expert_map
+from lugcross.experts import set_placement
 
 #: Most that the most loaded rank of a set may do, in mean rank loads, for the
 #: set to be left as it is. Lower, and copies rise faster than the load falls:
 #: 63 ranks, 8 sets, 252 experts, to 1.5 with 106 copies, to 1.3 with 163,
 #: and what one reading tells of demand is no more exact than that.
-_EVEN = 1.4
+_EVEN_LOAD_RATIO = 1.4
 #: Most by which a plan may stay above the best that was reached for a set,
 #: in mean rank loads, to be left with fewer copies.
-_NEAR_BEST = 0.03
+_MIN_LOAD_DECREASE_RATIO = 0.03
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class MapPlan:
     """A map that may follow the one in use.
 
     :param skew_before: of the demand under the map in use.
-    :param skew_after: of the demand under ``next``.
-    :param copies: most experts that one rank must copy.
+    :param skew_after: of the demand under ``next_map``.
+    :param max_copies_per_rank: most experts that one rank must copy.
     """
 
-    next: model.ExpertMap
+    next_map: expert_map.ExpertMap
     skew_before: float
     skew_after: float
-    copies: int
+    max_copies_per_rank: int
 
 
-def plan(
-    demand: model.Demand,
-    used: model.ExpertMap,
-    limits: model.Limits,
+def plan_map(
+    demand: expert_map.Demand,
+    current_map: expert_map.ExpertMap,
+    limits: expert_map.ExpertLimits,
     *,
-    most_copies: int,
+    max_copies_per_rank: int,
     slowness: Sequence[float] = (),
-) -> Plan:
+) -> MapPlan:
     """Return the best map that costs each rank few copies.
 
-    :param used: the map in use.
-    :param most_copies: experts that one rank may copy, over all sets.
+    :param current_map: the map in use.
+    :param max_copies_per_rank: experts that one rank may copy, over all sets.
     :param slowness: how many times longer each rank takes than usual; all
         as usual without it.
     """
-    planning = steps(
-        demand, used, limits, most_copies=most_copies, slowness=slowness
+    planning = plan_in_steps(
+        demand,
+        current_map,
+        limits,
+        max_copies_per_rank=max_copies_per_rank,
+        slowness=slowness,
     )
     while True:
         try:
             next(planning)
         except StopIteration as exc:
-            found: Plan = exc.value
+            found: MapPlan = exc.value
             return found
 
 
-def steps(
-    demand: model.Demand,
-    used: model.ExpertMap,
-    limits: model.Limits,
+def plan_in_steps(
+    demand: expert_map.Demand,
+    current_map: expert_map.ExpertMap,
+    limits: expert_map.ExpertLimits,
     *,
-    most_copies: int,
+    max_copies_per_rank: int,
     slowness: Sequence[float] = (),
-) -> Generator[None, None, Plan]:
-    """Plan as :func:`plan` does, a fraction of a millisecond at a time.
+) -> Generator[None, None, MapPlan]:
+    """Plan as :func:`plan_map` does, a fraction of a millisecond at a time.
 
     Whoever must not block its process for long does something else
     between two steps.
     """
-    slow = tuple(slowness) or (1.0,) * used.size
-    budget = [most_copies] * used.size
-    sets = []
-    for num, weights in enumerate(demand):
-        ranks = [rank[num] for rank in used.ranks]
-        one = placing.Placing(weights, ranks, limits, budget, slow)
-        sets.append((one, _Trail(one)))
+    slowness_factors = tuple(slowness) or (1.0,) * current_map.rank_count
+    copies_left = [max_copies_per_rank] * current_map.rank_count
+    placements = []
+    for set_index, weights in enumerate(demand):
+        ranks = [rank[set_index] for rank in current_map.ranks]
+        placement = set_placement.SetPlacement(
+            weights, ranks, limits, copies_left, slowness_factors
+        )
+        placements.append((placement, _BestPlacement(placement)))
         yield
     # Every set adds its most loaded rank to a pass: the worst goes first,
     # so that it finds copies left.
-    open_sets = list(sets)
-    while open_sets:
-        worst = max(open_sets, key=_highest)
-        one, trail = worst
-        step = one.best() if one.highest > _EVEN else None
-        if step is None:
-            open_sets.remove(worst)
+    open_placements = list(placements)
+    while open_placements:
+        worst = max(open_placements, key=_max_load)
+        placement, best = worst
+        relocation = (
+            placement.best_relocation()
+            if placement.max_load > _EVEN_LOAD_RATIO
+            else None
+        )
+        if relocation is None:
+            open_placements.remove(worst)
         else:
-            one.apply(step)
-            trail.note()
+            placement.apply(relocation)
+            best.update()
         yield
-    after = model.ExpertMap(
+    after = expert_map.ExpertMap(
         tuple(
-            tuple(tuple(sorted(trail.best[rank])) for _, trail in sets)
-            for rank in range(used.size)
+            tuple(tuple(sorted(best.ranks[rank])) for _, best in placements)
+            for rank in range(current_map.rank_count)
         )
     )
-    return Plan(
-        next=after,
-        skew_before=model.skew(demand, used, slow),
-        skew_after=model.skew(demand, after, slow),
-        copies=after.copies(used),
+    return MapPlan(
+        next_map=after,
+        skew_before=expert_map.load_skew(
+            demand, current_map, slowness_factors
+        ),
+        skew_after=expert_map.load_skew(demand, after, slowness_factors),
+        max_copies_per_rank=after.max_copies_per_rank(current_map),
     )
 
 
-def _highest(one: "tuple[placing.Placing, _Trail]") -> float:
-    return one[0].highest
+def _max_load(
+    candidate: "tuple[set_placement.SetPlacement, _BestPlacement]",
+) -> float:
+    return candidate[0].max_load
 
 
 @final
-class _Trail:
+class _BestPlacement:
     """The best of the placements that the steps of a set have passed.
 
     Where several ranks are as loaded as each other, the first steps lower
@@ -130,14 +144,14 @@
     is not copied.
     """
 
-    def __init__(self, one: placing.Placing) -> None:
-        self._one = one
-        self.best = [frozenset(held) for held in one.ranks]
-        self._highest = one.highest
+    def __init__(self, placement: set_placement.SetPlacement) -> None:
+        self._placement = placement
+        self.ranks = [frozenset(held) for held in placement.ranks]
+        self._max_load = placement.max_load
 
-    def note(self) -> None:
+    def update(self) -> None:
         """Take a step that was just made into account."""
-        highest = self._one.highest
-        if highest < self._highest - _NEAR_BEST:
-            self._highest = highest
-            self.best = [frozenset(held) for held in self._one.ranks]
+        highest = self._placement.max_load
+        if highest < self._max_load - _MIN_LOAD_DECREASE_RATIO:
+            self._max_load = highest
+            self.ranks = [frozenset(held) for held in self._placement.ranks]
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -26,21 +26,21 @@
 import enum
 from typing import final
 
-from lugcross.experts import model
+from lugcross.experts import expert_map
 from lugcross.experts import orders
 
 #: Tries of one rank's order to prepare after which the switch is left. No
 #: harm is done yet; where orders go unanswered so often, arming all ranks
 #: would hold up the group for long.
-_PREPARE_TRIES = 3
+_MAX_PREPARE_COUNT = 3
 #: Tries to hold a pass. Each refusal means that the pass had begun.
-_HOLD_TRIES = 6
+_MAX_HOLD_COUNT = 6
 #: Refusals of one rank to be armed after which it is asked to decide
 #: against the switch; copying may last a little longer than reckoned.
-_ARM_REFUSALS = 4
+_MAX_ARM_REFUSAL_COUNT = 4
 
 
-class Phase(enum.Enum):
+class SwitchPhase(enum.Enum):
     """What is being done."""
 
     PREPARE = "prepare"
@@ -53,100 +53,107 @@
     OVER = "over"
 
 
-class Outcome(enum.Enum):
+class SwitchOutcome(enum.Enum):
     """What came of it."""
 
     SWITCHED = "switched"
-    LEFT = "left"
+    CANCELLED = "left"
     VOIDED = "voided"
 
 
 @final
-class Switch:
+class MapSwitch:
     """One change of one group's map; no I/O.
 
-    Whoever drives it sends all of :meth:`todo`, hands each verdict to
-    :meth:`take` and begins again, until :attr:`phase` is ``OVER``.
+    Whoever drives it sends all of :meth:`pending_orders`, hands each verdict
+    to :meth:`apply_result` and begins again, until :attr:`phase` is ``OVER``.
 
     :param version: version of the new map, above all the ranks had.
-    :param since: pass that had begun when the switch was planned.
-    :param after: the new map; none where a left one is only finished.
-    :param before: the map in use, given to ranks when the new is voided.
+    :param pass_at_planning: pass that had begun when the switch was planned.
+    :param new_map: the new map; none where a left one is only finished.
+    :param old_map: the map in use, given to ranks when the new is voided.
     """
 
     def __init__(
         self,
         *,
-        size: int,
+        rank_count: int,
         version: orders.MapVersion,
-        after: model.ExpertMap | None,
-        before: model.ExpertMap,
-        owner: orders.Owner,
-        since: orders.Step = orders.Step(0),
+        new_map: expert_map.ExpertMap | None,
+        old_map: expert_map.ExpertMap,
+        allocator: orders.NumberAllocator,
+        pass_at_planning: orders.PassNumber = orders.PassNumber(0),
     ) -> None:
-        self._since = since
-        self._size = size
+        self._pass_at_planning = pass_at_planning
+        self._rank_count = rank_count
         self._version = version
-        self._after = after
-        self._before = before
-        self._owner = owner
-        self._void_version = owner.version(version)
-        self._left = self._all()
-        self._tries = 0
-        self._refusals: collections.Counter[orders.Rank] = (
+        self._new_map = new_map
+        self._old_map = old_map
+        self._allocator = allocator
+        self._void_version = allocator.next_version(version)
+        self._ranks_left = self._all_ranks()
+        self._hold_count = 0
+        self._refusal_counts: collections.Counter[orders.Rank] = (
             collections.Counter()
         )
-        self._unheard: collections.Counter[orders.Rank] = collections.Counter()
-        self._decider = orders.Rank(0)
+        self._unanswered_counts: collections.Counter[orders.Rank] = (
+            collections.Counter()
+        )
+        self._deciding_rank = orders.Rank(0)
         self._may_arm = True
-        self._disarmed: set[orders.Rank] = set()
-        self._step = orders.Step(0)
-        self._held: set[orders.Step] = set()
-        self._ended = Outcome.LEFT
-        self.phase = Phase.PREPARE
+        self._disarmed_ranks: set[orders.Rank] = set()
+        self._target_pass = orders.PassNumber(0)
+        self._held_passes: set[orders.PassNumber] = set()
+        self._outcome = SwitchOutcome.CANCELLED
+        self.phase = SwitchPhase.PREPARE
 
     @classmethod
-    def found(
+    def resume(
         cls,
         *,
-        size: int,
-        newest: orders.MapVersion,
-        armed: orders.MapVersion | None,
-        step: orders.Step,
-        before: model.ExpertMap,
-        owner: orders.Owner,
-    ) -> "Switch":
+        rank_count: int,
+        highest_version: orders.MapVersion,
+        armed_version: orders.MapVersion | None,
+        held_pass: orders.PassNumber,
+        old_map: expert_map.ExpertMap,
+        allocator: orders.NumberAllocator,
+    ) -> "MapSwitch":
         """Return one that finishes what another process has left.
 
-        :param newest: highest version that any rank tells of.
-        :param armed: version that a rank is armed with for ``step``. None
-            is voided: to arm a version that another pass may have been
-            named for could change that pass at some ranks only.
-        :param step: the pass that is held.
+        :param highest_version: highest version that any rank tells of.
+        :param armed_version: version that a rank is armed with for
+            ``held_pass``. None is voided: to arm a version that another
+            pass may have been named for could change that pass at some
+            ranks only.
+        :param held_pass: the pass that is held.
         """
-        made = cls(
-            size=size,
-            version=newest if armed is None else armed,
-            after=None,
-            before=before,
-            owner=owner,
+        switch = cls(
+            rank_count=rank_count,
+            version=highest_version
+            if armed_version is None
+            else armed_version,
+            new_map=None,
+            old_map=old_map,
+            allocator=allocator,
+        )
+        switch._void_version = allocator.next_version(highest_version)
+        switch._may_arm = armed_version is not None
+        switch._target_pass = held_pass
+        switch._held_passes = {held_pass}
+        switch._enter_phase(
+            SwitchPhase.ARM if switch._may_arm else SwitchPhase.DECIDE
         )
-        made._void_version = owner.version(newest)
-        made._may_arm = armed is not None
-        made._step = step
-        made._held = {step}
-        made._enter(Phase.ARM if made._may_arm else Phase.DECIDE)
-        return made
+        return switch
 
     @property
-    def holds(self) -> bool:
+    def may_hold_pass(self) -> bool:
         """Whether a pass may be held, so that it must be brought to an end."""
-        return bool(self._held) and self.phase is not Phase.OVER
+        return bool(self._held_passes) and self.phase is not SwitchPhase.OVER
 
     @property
-    def outcome(self) -> Outcome:
+    def outcome(self) -> SwitchOutcome:
         """What came of it, once it is over."""
-        return self._ended
+        return self._outcome
 
     @property
     def version(self) -> orders.MapVersion:
@@ -154,213 +161,238 @@
         return self._version
 
     @property
-    def step(self) -> orders.Step:
+    def target_pass(self) -> orders.PassNumber:
         """The pass at which the ranks take up the new map."""
-        return self._step
+        return self._target_pass
 
-    def todo(self) -> list[tuple[orders.Rank, orders.Order]]:
+    def pending_orders(self) -> list[tuple[orders.Rank, orders.Order]]:
         """Return what to send now, to whom."""
-        if self.phase is Phase.PREPARE:
-            assert self._after is not None
-            order = orders.Prepare(self._version, self._after)
-            return [(rank, order) for rank in sorted(self._left)]
-        if self.phase is Phase.HOLD:
-            return [(orders.Rank(0), orders.Hold(self.step))]
-        if self.phase is Phase.ARM:
-            arm = orders.Arm(self._version, self.step)
-            return [(rank, arm) for rank in sorted(self._left)]
-        if self.phase is Phase.DECIDE:
-            return [(self._decider, self._higher())]
-        if self.phase is Phase.VOID:
-            return [(rank, self._undo(rank)) for rank in sorted(self._left)]
-        if self.phase is Phase.RELEASE:
+        if self.phase is SwitchPhase.PREPARE:
+            assert self._new_map is not None
+            order = orders.Prepare(self._version, self._new_map)
+            return [(rank, order) for rank in sorted(self._ranks_left)]
+        if self.phase is SwitchPhase.HOLD:
+            return [(orders.Rank(0), orders.Hold(self.target_pass))]
+        if self.phase is SwitchPhase.ARM:
+            arm = orders.Arm(self._version, self.target_pass)
+            return [(rank, arm) for rank in sorted(self._ranks_left)]
+        if self.phase is SwitchPhase.DECIDE:
+            return [(self._deciding_rank, self._void_prepare())]
+        if self.phase is SwitchPhase.VOID:
+            return [
+                (rank, self._void_order(rank))
+                for rank in sorted(self._ranks_left)
+            ]
+        if self.phase is SwitchPhase.RELEASE:
             return [
                 (orders.Rank(0), orders.Release(step))
-                for step in sorted(self._held)
+                for step in sorted(self._held_passes)
             ]
         return []
 
-    def take(
-        self, rank: orders.Rank, order: orders.Order, verdict: orders.Verdict
+    def apply_result(
+        self,
+        rank: orders.Rank,
+        order: orders.Order,
+        result: orders.OrderResult,
     ) -> None:
-        """Take over what became of an order that :meth:`todo` named.
+        """Take over what became of an order that :meth:`pending_orders` named.
 
         Orders of one round are answered in any order; what an earlier
         answer has made needless is left out.
         """
-        if verdict is orders.Verdict.FENCED:
+        if result is orders.OrderResult.FENCED:
             # A later holder is at work; it finishes what this one left.
-            self._end(Outcome.LEFT)
+            self._finish(SwitchOutcome.CANCELLED)
             return
-        if (rank, order) not in self.todo():
+        if (rank, order) not in self.pending_orders():
             return
-        if self.phase is Phase.PREPARE:
-            self._prepared(rank, verdict)
-        elif self.phase is Phase.HOLD:
-            self._hold_tried(verdict)
-        elif self.phase is Phase.ARM:
-            self._arm_tried(rank, verdict)
-        elif self.phase is Phase.DECIDE:
-            self._decided(verdict)
-        elif self.phase is Phase.VOID:
-            self._undone(rank, order, verdict)
-        elif self.phase is Phase.RELEASE:
-            self._released(order, verdict)
-
-    def copied(self, now: orders.Step, *, ahead: int = 0) -> None:
+        if self.phase is SwitchPhase.PREPARE:
+            self._handle_prepare(rank, result)
+        elif self.phase is SwitchPhase.HOLD:
+            self._handle_hold(result)
+        elif self.phase is SwitchPhase.ARM:
+            self._handle_arm(rank, result)
+        elif self.phase is SwitchPhase.DECIDE:
+            self._handle_decide(result)
+        elif self.phase is SwitchPhase.VOID:
+            self._handle_void(rank, order, result)
+        elif self.phase is SwitchPhase.RELEASE:
+            self._handle_release(order, result)
+
+    def note_copied(
+        self, current_pass: orders.PassNumber, *, passes_ahead: int = 0
+    ) -> None:
         """Go on once the ranks have probably copied what they need.
 
-        :param now: pass that began last, as a report tells.
-        :param ahead: passes that may begin from that report until all
+        :param current_pass: pass that began last, as a report tells.
+        :param passes_ahead: passes that may begin from that report until all
             ranks are armed; more of them delay the map, fewer hold up the
             group.
         """
-        if self.phase is not Phase.COPY:
+        if self.phase is not SwitchPhase.COPY:
             return
-        if now <= self._since:
-            self._end(Outcome.LEFT)
+        if current_pass <= self._pass_at_planning:
+            self._finish(SwitchOutcome.CANCELLED)
             return
-        self._enter(Phase.HOLD)
-        self._name(now, ahead)
+        self._enter_phase(SwitchPhase.HOLD)
+        self._choose_pass(current_pass, passes_ahead)
 
-    def hold_later(self, now: orders.Step) -> None:
+    def hold_later_pass(self, current_pass: orders.PassNumber) -> None:
         """Hold a later pass where the one that was named had begun.
 
-        :param now: pass that began last, as a report tells. That the
+        :param current_pass: pass that began last, as a report tells. That the
             named one has begun is newer, so that the next one is near.
         """
         if self.hold_refused:
-            self._name(orders.Step(max(now, self._step)), 1)
+            self._choose_pass(
+                orders.PassNumber(max(current_pass, self._target_pass)), 1
+            )
 
     @property
     def hold_refused(self) -> bool:
         """Whether a later pass must be named before going on."""
-        return self.phase is Phase.HOLD and self._step not in self._held
+        return (
+            self.phase is SwitchPhase.HOLD
+            and self._target_pass not in self._held_passes
+        )
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Give up before anything is armed; a hold may stand or come."""
-        if self.phase in (Phase.PREPARE, Phase.COPY):
-            self._end(Outcome.LEFT)
-        elif self.phase is Phase.HOLD:
-            self._ended = Outcome.LEFT
-            self._enter(Phase.RELEASE if self._held else Phase.OVER)
-
-    def epoch_over(self) -> None:
+        if self.phase in (SwitchPhase.PREPARE, SwitchPhase.COPY):
+            self._finish(SwitchOutcome.CANCELLED)
+        elif self.phase is SwitchPhase.HOLD:
+            self._outcome = SwitchOutcome.CANCELLED
+            self._enter_phase(
+                SwitchPhase.RELEASE if self._held_passes else SwitchPhase.OVER
+            )
+
+    def note_epoch_ended(self) -> None:
         """End: the group has a new life, and knows none of this."""
-        self._end(Outcome.LEFT)
+        self._finish(SwitchOutcome.CANCELLED)
 
-    def _name(self, now: orders.Step, ahead: int) -> None:
+    def _choose_pass(
+        self, current_pass: orders.PassNumber, passes_ahead: int
+    ) -> None:
         """Choose the pass; from now on it may be held."""
-        self._step = self._owner.step(orders.Step(now + ahead))
-        self._held.add(self._step)
+        self._target_pass = self._allocator.next_pass(
+            orders.PassNumber(current_pass + passes_ahead)
+        )
+        self._held_passes.add(self._target_pass)
 
-    def _all(self) -> set[orders.Rank]:
-        return {orders.Rank(rank) for rank in range(self._size)}
+    def _all_ranks(self) -> set[orders.Rank]:
+        return {orders.Rank(rank) for rank in range(self._rank_count)}
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter_phase(self, phase: SwitchPhase) -> None:
         self.phase = phase
-        self._left = self._all()
-        self._tries = 0
-        self._refusals.clear()
-
-    def _end(self, outcome: Outcome) -> None:
-        self._ended = outcome
-        self.phase = Phase.OVER
-
-    def _prepared(self, rank: orders.Rank, verdict: orders.Verdict) -> None:
-        if verdict is orders.Verdict.REFUSED:
-            self._end(Outcome.LEFT)
-        elif verdict is orders.Verdict.DONE:
-            self._left.discard(rank)
-            if not self._left:
-                self._enter(Phase.COPY)
+        self._ranks_left = self._all_ranks()
+        self._hold_count = 0
+        self._refusal_counts.clear()
+
+    def _finish(self, outcome: SwitchOutcome) -> None:
+        self._outcome = outcome
+        self.phase = SwitchPhase.OVER
+
+    def _handle_prepare(
+        self, rank: orders.Rank, result: orders.OrderResult
+    ) -> None:
+        if result is orders.OrderResult.REFUSED:
+            self._finish(SwitchOutcome.CANCELLED)
+        elif result is orders.OrderResult.DONE:
+            self._ranks_left.discard(rank)
+            if not self._ranks_left:
+                self._enter_phase(SwitchPhase.COPY)
         else:
-            self._unheard[rank] += 1
-            if self._unheard[rank] >= _PREPARE_TRIES:
-                self._end(Outcome.LEFT)
+            self._unanswered_counts[rank] += 1
+            if self._unanswered_counts[rank] >= _MAX_PREPARE_COUNT:
+                self._finish(SwitchOutcome.CANCELLED)
 
-    def _hold_tried(self, verdict: orders.Verdict) -> None:
-        if verdict is orders.Verdict.DONE:
-            self._enter(Phase.ARM)
+    def _handle_hold(self, result: orders.OrderResult) -> None:
+        if result is orders.OrderResult.DONE:
+            self._enter_phase(SwitchPhase.ARM)
             return
-        self._tries += 1
-        if verdict is orders.Verdict.REFUSED:
-            self._held.discard(self._step)
-        if self._tries >= _HOLD_TRIES:
-            self.leave()
-
-    def _arm_tried(self, rank: orders.Rank, verdict: orders.Verdict) -> None:
-        if verdict is orders.Verdict.DONE:
-            self._left.discard(rank)
-            if not self._left:
-                self._ended = Outcome.SWITCHED
-                self._enter(Phase.RELEASE)
-        elif verdict is orders.Verdict.REFUSED:
-            self._refusals[rank] += 1
-            if self._refusals[rank] >= _ARM_REFUSALS:
-                self._decider = rank
-                self._enter(Phase.DECIDE)
-
-    def _decided(self, verdict: orders.Verdict) -> None:
-        if verdict is orders.Verdict.DONE:
-            self._disarmed = set()
-            self._enter(Phase.VOID)
-            self._left.discard(self._decider)
-        elif verdict is orders.Verdict.REFUSED:
+        self._hold_count += 1
+        if result is orders.OrderResult.REFUSED:
+            self._held_passes.discard(self._target_pass)
+        if self._hold_count >= _MAX_HOLD_COUNT:
+            self.cancel()
+
+    def _handle_arm(
+        self, rank: orders.Rank, result: orders.OrderResult
+    ) -> None:
+        if result is orders.OrderResult.DONE:
+            self._ranks_left.discard(rank)
+            if not self._ranks_left:
+                self._outcome = SwitchOutcome.SWITCHED
+                self._enter_phase(SwitchPhase.RELEASE)
+        elif result is orders.OrderResult.REFUSED:
+            self._refusal_counts[rank] += 1
+            if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
+                self._deciding_rank = rank
+                self._enter_phase(SwitchPhase.DECIDE)
+
+    def _handle_decide(self, result: orders.OrderResult) -> None:
+        if result is orders.OrderResult.DONE:
+            self._disarmed_ranks = set()
+            self._enter_phase(SwitchPhase.VOID)
+            self._ranks_left.discard(self._deciding_rank)
+        elif result is orders.OrderResult.REFUSED:
             # It is armed by now, or has had a higher version.
             self._raise_void_version()
             if self._may_arm:
-                self._enter(Phase.ARM)
+                self._enter_phase(SwitchPhase.ARM)
             else:
-                self._refused_unarmed(self._decider)
+                self._count_void_refusal(self._deciding_rank)
 
-    def _refused_unarmed(self, rank: orders.Rank) -> None:
+    def _count_void_refusal(self, rank: orders.Rank) -> None:
         """Leave it after a few refusals: the rank is armed with something.
 
         Newer reports tell with what, and it is found again.
         """
-        self._refusals[rank] += 1
-        if self._refusals[rank] >= _ARM_REFUSALS:
-            self._end(Outcome.LEFT)
+        self._refusal_counts[rank] += 1
+        if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
+            self._finish(SwitchOutcome.CANCELLED)
 
-    def _undo(self, rank: orders.Rank) -> orders.Order:
-        if rank in self._disarmed or not self._may_arm:
-            return self._higher()
+    def _void_order(self, rank: orders.Rank) -> orders.Order:
+        if rank in self._disarmed_ranks or not self._may_arm:
+            return self._void_prepare()
         return orders.Disarm(self._version)
 
-    def _undone(
+    def _handle_void(
         self,
         rank: orders.Rank,
         order: orders.Order,
-        verdict: orders.Verdict,
+        result: orders.OrderResult,
     ) -> None:
         if isinstance(order, orders.Disarm):
-            if verdict is orders.Verdict.DONE:
-                self._disarmed.add(rank)
-        elif verdict is orders.Verdict.DONE:
-            self._left.discard(rank)
-        elif verdict is orders.Verdict.REFUSED:
+            if result is orders.OrderResult.DONE:
+                self._disarmed_ranks.add(rank)
+        elif result is orders.OrderResult.DONE:
+            self._ranks_left.discard(rank)
+        elif result is orders.OrderResult.REFUSED:
             # A late order has armed it anew, or it had a higher version.
-            self._disarmed.discard(rank)
+            self._disarmed_ranks.discard(rank)
             self._raise_void_version()
             if not self._may_arm:
-                self._refused_unarmed(rank)
+                self._count_void_refusal(rank)
                 return
-        if not self._left:
-            self._ended = Outcome.VOIDED
-            self._enter(Phase.RELEASE)
+        if not self._ranks_left:
+            self._outcome = SwitchOutcome.VOIDED
+            self._enter_phase(SwitchPhase.RELEASE)
 
-    def _released(self, order: orders.Order, verdict: orders.Verdict) -> None:
-        if verdict is orders.Verdict.UNKNOWN:
+    def _handle_release(
+        self, order: orders.Order, result: orders.OrderResult
+    ) -> None:
+        if result is orders.OrderResult.UNKNOWN:
             return
         assert isinstance(order, orders.Release)
         # Refused means that the group has a new life by now.
-        self._held.discard(order.step)
-        if not self._held:
-            self.phase = Phase.OVER
+        self._held_passes.discard(order.pass_number)
+        if not self._held_passes:
+            self.phase = SwitchPhase.OVER
 
-    def _higher(self) -> orders.Prepare:
-        return orders.Prepare(self._void_version, self._before)
+    def _void_prepare(self) -> orders.Prepare:
+        return orders.Prepare(self._void_version, self._old_map)
 
     def _raise_void_version(self) -> None:
-        self._void_version = self._owner.version(self._void_version)
+        self._void_version = self._allocator.next_version(self._void_version)
--- a/src/lugcross/routing/__init__.py
+++ b/src/lugcross/routing/__init__.py
@@ -1,24 +1,24 @@
 # SPDX-License-Identifier: Apache-2.0
 """Where a request goes, and whether it may go again."""
 
-from lugcross.routing.budget import RetryBudget
-from lugcross.routing.choice import Candidate
-from lugcross.routing.choice import Choice
-from lugcross.routing.choice import choose
-from lugcross.routing.hashing import first
-from lugcross.routing.hashing import rank
-from lugcross.routing.health import Health
-from lugcross.routing.homes import homes
-from lugcross.routing.window import RepeatBudget
+from lugcross.routing.backend_choice import BackendChoice
+from lugcross.routing.backend_choice import Candidate
+from lugcross.routing.backend_choice import choose_backend
+from lugcross.routing.health import BackendHealth
+from lugcross.routing.key_affinity import backends_for_key
+from lugcross.routing.rendezvous_hashing import rendezvous_first
+from lugcross.routing.rendezvous_hashing import rendezvous_order
+from lugcross.routing.retry_budget import RetryBudget
+from lugcross.routing.windowed_retry_budget import WindowedRetryBudget
 
 __all__ = [
     "Candidate",
-    "Choice",
-    "Health",
-    "RepeatBudget",
+    "BackendChoice",
+    "BackendHealth",
+    "WindowedRetryBudget",
     "RetryBudget",
-    "choose",
-    "first",
-    "homes",
-    "rank",
+    "choose_backend",
+    "rendezvous_first",
+    "backends_for_key",
+    "rendezvous_order",
 ]
--- a/src/lugcross/routing/homes.py
+++ b/src/lugcross/routing/key_affinity.py
@@ -3,14 +3,14 @@
 
 from lugcross import cfg
 from lugcross import ids
-from lugcross.routing import hashing
+from lugcross.routing import rendezvous_hashing
 
 
-def homes(
+def backends_for_key(
     config: cfg.Config,
     workspace: ids.WorkspaceName,
     service: ids.ServiceName,
-    key: ids.OnceKey,
+    key: ids.IdempotencyKey,
 ) -> list[ids.BackendName]:
     """Return the service's backend servers, the key's first one first.
 
@@ -18,7 +18,7 @@
     preference: the claim in the log decides who may run it.
     """
     backends = config.by_service.get(service, ())
-    return hashing.rank(
+    return rendezvous_hashing.rendezvous_order(
         f"{workspace}\0{service}\0{key}",
         [ids.BackendName(backend.name) for backend in backends],
     )
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -59,9 +59,9 @@
         return found
 
 
-def filled(count: int) -> tuple[standin.MemoryLog, cfg.Config]:
+def filled(count: int) -> tuple[standin.InMemoryLog, cfg.Config]:
     """Return a log with ``count`` changes, and what they lead to."""
-    log = standin.MemoryLog()
+    log = standin.InMemoryLog()
     config = cfg.Config()
     for num in range(1, count + 1):
         data = cfg.encode(change(num, num - 1, share=float(num)))
@@ -171,11 +171,11 @@
     log, _ = filled(3)
     node = Node(log, clock, "e1", poll_s=9.0)
     node.follower.read_next()
-    log.waits.clear()
+    log.read_waits_s.clear()
     rests = []
     for log.down in (False, True, True, False, False):
         rests.append(bool(node.follower.read_next()))
-    assert log.waits == [9.0, 9.0, 0.0, 0.0, 9.0]
+    assert log.read_waits_s == [9.0, 9.0, 0.0, 0.0, 9.0]
     assert rests == [False, True, True, False, False]
 
 
@@ -270,18 +270,18 @@
     def relays_among(live: list[ids.NodeName]) -> list[str]:
         found = []
         for name in live:
-            near = membership.Neighbours(name, domain)
+            near = membership.SeenEntryHosts(name, domain)
             near.on_entries("l1", [seen(one) for one in live[:4]])
             near.on_entries("l2", [seen(one) for one in live[2:]])
-            if near.is_relay():
+            if near.is_log_relay():
                 found.append(name)
         return found
 
     first = relays_among(names)
-    assert len(first) == membership.RELAYS
+    assert len(first) == membership.RELAYS_PER_DOMAIN
     left = [name for name in names if name != first[0]]
     after = relays_among(left)
-    assert len(after) == membership.RELAYS
+    assert len(after) == membership.RELAYS_PER_DOMAIN
     assert first[1] in after
 
 
@@ -294,7 +294,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.log = standin.MemoryLog()
+        self.log = standin.InMemoryLog()
         self.clock = clock_lib.ManualClock()
         self.nodes = {name: self.begin(name) for name in NAMES}
         self.links: set[tuple[str, str]] = set()
--- a/testing/edge/test_pool.py
+++ b/testing/edge/test_connection_pool.py
@@ -8,18 +8,18 @@
 import pytest
 
 from lugcross import clock as clock_lib
-from lugcross.edge import pool as pool_lib
+from lugcross.edge import connection_pool
 from lugcross import http1
 
 BACKEND = edge_rig.backend()
-KEEP = datetime.timedelta(seconds=9)
+KEEP_ALIVE = datetime.timedelta(seconds=9)
 
 
-class _Conn:
+class _FakeConnection:
     """Takes the place of a connection."""
 
     closing = False
-    pending = False
+    has_unread_data = False
     reusable = True
 
     def close(self) -> None:
@@ -27,17 +27,19 @@
 
 
 @pytest.fixture
-def pool(manual_clock: clock_lib.ManualClock, monkeypatch) -> pool_lib.Pool:
+def pool(
+    manual_clock: clock_lib.ManualClock, monkeypatch
+) -> connection_pool.ConnectionPool:
     async def connect(host, port, *, timeout_s):
         del host, port, timeout_s
-        return _Conn()
+        return _FakeConnection()
 
     monkeypatch.setattr(http1, "connect", connect)
-    return pool_lib.Pool(manual_clock)
+    return connection_pool.ConnectionPool(manual_clock)
 
 
 @pytest.mark.parametrize(
-    ("rested_s", "once", "kept"),
+    ("idle_s", "not_repeatable", "kept"),
     [
         (0.5, True, True),
         (2.0, True, False),
@@ -51,40 +53,40 @@
         "over-what-the-server-keeps",
     ],
 )
-def test_what_rested_is_not_used_for_what_must_not_be_repeated(
-    pool, manual_clock, rested_s, once, kept
+def test_idle_connection_is_not_used_for_what_must_not_be_repeated(
+    pool, manual_clock, idle_s, not_repeatable, kept
 ):
     # Symptom: requests that must not be repeated ended with 502 or at their
     # deadline. Sequence: the connection was kept from an earlier request;
     # the server had forgotten it or it had gone silent; what was sent on it
     # may have run for all that is known. Cause: any kept one was used.
     async def act() -> bool:
-        conn = await pool.take(BACKEND)
-        pool.give(BACKEND, conn, KEEP)
-        manual_clock.advance(datetime.timedelta(seconds=rested_s))
-        return await pool.take(BACKEND, once=once) is conn
+        conn = await pool.acquire(BACKEND)
+        pool.release(BACKEND, conn, KEEP_ALIVE)
+        manual_clock.advance(datetime.timedelta(seconds=idle_s))
+        return (
+            await pool.acquire(BACKEND, not_repeatable=not_repeatable) is conn
+        )
 
     assert asyncio.run(act()) is kept
 
 
-def test_what_was_left_alone_is_there_for_repeatable_requests(
-    pool, manual_clock
-):
+def test_idle_connection_is_kept_for_repeatable_requests(pool, manual_clock):
     async def act() -> bool:
-        conn = await pool.take(BACKEND)
-        pool.give(BACKEND, conn, KEEP)
+        conn = await pool.acquire(BACKEND)
+        pool.release(BACKEND, conn, KEEP_ALIVE)
         manual_clock.advance(datetime.timedelta(seconds=2))
-        await pool.take(BACKEND, once=True)
-        return await pool.take(BACKEND) is conn
+        await pool.acquire(BACKEND, not_repeatable=True)
+        return await pool.acquire(BACKEND) is conn
 
     assert asyncio.run(act())
 
 
-def test_connections_to_a_silent_host_are_closed(pool):
+def test_close_idle_closes_connections_to_a_silent_host(pool):
     async def act() -> bool:
-        conn = await pool.take(BACKEND)
-        pool.give(BACKEND, conn, KEEP)
-        pool.drop(BACKEND.key)
-        return conn.closing and await pool.take(BACKEND) is not conn
+        conn = await pool.acquire(BACKEND)
+        pool.release(BACKEND, conn, KEEP_ALIVE)
+        pool.close_idle(BACKEND.key)
+        return conn.closing and await pool.acquire(BACKEND) is not conn
 
     assert asyncio.run(act())
--- a/testing/edge/test_waiting.py
+++ b/testing/edge/test_long_poll.py
@@ -7,14 +7,14 @@
 from hypothesis import strategies as st
 import pytest
 
-from lugcross.edge import waiting
+from lugcross.edge import long_poll
 
-ANSWER_S = waiting.ANSWER.total_seconds()
+ANSWER_TIMEOUT_S = long_poll.ANSWER_TIMEOUT.total_seconds()
 GAP = datetime.timedelta(seconds=0.4)
 
 
 def _wait_s(peers: int, bound_s: float, contact_s: float) -> float:
-    wait = waiting.news(
+    wait = long_poll.wait_time(
         peers=peers,
         bound=datetime.timedelta(seconds=bound_s),
         contact=datetime.timedelta(seconds=contact_s),
@@ -42,7 +42,7 @@
         "contact-shorter-than-an-answer",
     ],
 )
-def test_wait_follows_company_and_bounds(peers, bound_s, contact_s, expected):
+def test_wait_follows_peers_and_bounds(peers, bound_s, contact_s, expected):
     assert _wait_s(peers, bound_s, contact_s) == expected
 
 
@@ -51,12 +51,12 @@
     bound_s, contact_s
 ):
     wait_s = _wait_s(5, bound_s, contact_s)
-    most_s = max(bound_s / 2, contact_s - ANSWER_S - 0.9)
+    most_s = max(bound_s / 2, contact_s - ANSWER_TIMEOUT_S - 0.9)
     assert wait_s == pytest.approx(min(most_s, 4.0), abs=1e-6)
 
 
 @hypothesis.given(
     st.integers(0, 9), st.floats(0.1, 10.0), st.floats(0.1, 60.0)
 )
-def test_read_waits_at_all(peers, bound_s, contact_s):
+def test_wait_is_positive(peers, bound_s, contact_s):
     assert _wait_s(peers, bound_s, contact_s) > 0.0
--- a/testing/edge/test_foreign_bytes.py
+++ b/testing/edge/test_malformed_messages.py
@@ -10,9 +10,9 @@
 import pytest
 
 from lugcross import clock as clock_lib
-from lugcross.edge import casenews
+from lugcross import crash_suspects
 from lugcross.edge import messages
-from lugcross import suspects
+from lugcross.edge import suspect_gossip
 
 VALUES = strategies.recursive(
     strategies.none()
@@ -31,10 +31,12 @@
 )
 DECODERS = [
     messages.decode_datagram,
-    messages.decode_ask,
-    messages.decode_state,
+    messages.decode_state_request,
+    messages.decode_state_response,
 ]
-BEAT = messages.Beat("n", "i", "d", 1, False, 1, 1, {"a": 1}, ["h:1"])
+HEARTBEAT = messages.Heartbeat(
+    "n", "i", "d", 1, False, 1, 1, {"a": 1}, ["h:1"]
+)
 #: Nested deeper than any decoder goes, and lengths that no bytes follow.
 EXTREMES = [
     b"",
@@ -87,35 +89,37 @@
 def test_bad_suspects_are_refused_and_change_nothing(value, end, field):
     suspect = [b"x" * 16, [["i-1", "v1", 5, 5]], -1]
     suspect[field] = end if field == 1 else value
-    fields = cbor2.loads(messages.encode(BEAT))
+    fields = cbor2.loads(messages.encode(HEARTBEAT))
     fields[-1] = [suspect]
     try:
-        beat = messages.decode_datagram(cbor2.dumps(fields))
+        heartbeat = messages.decode_datagram(cbor2.dumps(fields))
     except msgspec.ValidationError:
         return
-    ledger = suspects.Ledger()
+    ledger = crash_suspects.SuspectRegistry()
     clock = clock_lib.ManualClock()
-    casenews.CaseNews(ledger, clock).hear(beat.suspects)
-    sound = suspects.Fingerprint(b"y" * suspects.SIZE)
+    suspect_gossip.SuspectGossip(ledger, clock).merge(heartbeat.suspects)
+    sound = crash_suspects.Fingerprint(b"y" * crash_suspects.FINGERPRINT_BYTES)
     now = clock.monotonic()
-    standing = ledger.standing(sound, frozenset(["v1"]), now)
-    assert standing is suspects.Standing.FREE
+    standing = ledger.status(sound, frozenset(["v1"]), now)
+    assert standing is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 def test_false_news_of_ends_end_with_the_next_answer():
     """A peer tells that servers ended which answer: nobody is refused."""
     clock = clock_lib.ManualClock()
-    ledger = suspects.Ledger()
-    news = casenews.CaseNews(ledger, clock)
-    request = suspects.Fingerprint(b"y" * suspects.SIZE)
+    ledger = crash_suspects.SuspectRegistry()
+    gossip = suspect_gossip.SuspectGossip(ledger, clock)
+    request = crash_suspects.Fingerprint(
+        b"y" * crash_suspects.FINGERPRINT_BYTES
+    )
     ends = [messages.ServerEnd(f"i-{num}", "v1", 0, 5) for num in range(4)]
     told = messages.Suspect(request, ends)
-    news.hear([told])
+    gossip.merge([told])
     clock.advance(clock_lib.seconds(1))
     for num in range(4):
-        ledger.answered(f"i-{num}", clock.monotonic())
+        ledger.record_answer(f"i-{num}", clock.monotonic())
     clock.advance(clock_lib.seconds(1))
-    news.hear(
+    gossip.merge(
         [
             messages.Suspect(
                 request,
@@ -126,19 +130,19 @@
             )
         ]
     )
-    standing = ledger.standing(request, frozenset(["v1"]), clock.monotonic())
-    assert standing is suspects.Standing.FREE
+    standing = ledger.status(request, frozenset(["v1"]), clock.monotonic())
+    assert standing is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 @given(
     place=strategies.integers(
-        min_value=0, max_value=len(BEAT.__struct_fields__) - 1
+        min_value=0, max_value=len(HEARTBEAT.__struct_fields__) - 1
     ),
     value=VALUES,
 )
-def test_beat_with_any_field_replaced_is_a_message_or_refused(
+def test_heartbeat_with_any_field_replaced_is_a_message_or_refused(
     place: int, value: object
 ):
-    fields = cbor2.loads(messages.encode(BEAT))
+    fields = cbor2.loads(messages.encode(HEARTBEAT))
     fields[place] = value
     _read(messages.decode_datagram, cbor2.dumps(fields))
--- a/testing/edge/test_maps.py
+++ b/testing/edge/test_map_manager.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whoever has the duty sees demand, switches maps and tells of outages."""
+"""The leader sees demand, switches maps and tells of outages."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -8,82 +8,87 @@
 import datetime
 
 import edge_rig
-import model_ranks
 import pytest
+import rank_simulator
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import groups as groups_lib
-from lugcross.edge import maps as maps_lib
+from lugcross.edge import edge_state as edge_state_lib
+from lugcross.edge import map_manager
+from lugcross.edge import rank_groups
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
 
-SIZE = 4
+RANK_COUNT = 4
 SERVICE = ids.ServiceName("llm")
-LIMITS = experts.Limits(
-    sets=1, experts=8, places=4, spare=2, copy_s=0.1, share=0.8
+LIMITS = experts.ExpertLimits(
+    layer_set_count=1,
+    expert_count=8,
+    max_experts_per_rank=4,
+    max_new_experts_per_map=2,
+    copy_s=0.1,
+    expert_time_ratio=0.8,
 )
-FIRST = experts.dealt_out(SIZE, LIMITS)
+INITIAL_MAP = experts.round_robin_map(RANK_COUNT, LIMITS)
 #: Uses of each expert in one reading; the first has nearly all.
-HOT = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
+HOT_USES = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
 SECOND = datetime.timedelta(seconds=1)
 
 
-class Engines:
+class SimulatedEngines:
     """Ranks that make one pass for each 50 ms that are waited."""
 
     def __init__(self) -> None:
-        self.group = model_ranks.ModelGroup(SIZE, FIRST)
-        self.uses = [0] * LIMITS.experts
+        self.group = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
+        self.uses = [0] * LIMITS.expert_count
         self.is_open = True
-        self.silent: set[int] = set()
-        self.deaf: set[int] = set()
+        self.unreachable: set[int] = set()
+        self.not_receiving: set[int] = set()
         self.orders: list[experts.Order] = []
         #: Ranks that were asked or ordered, as often as they were.
-        self.called: list[int] = []
+        self.called_ranks: list[int] = []
         self.generations: list[experts.Generation | None] = []
 
-    def passed(self, seconds: float) -> None:
+    def run_passes(self, seconds: float) -> None:
         """Go on for a while, under load."""
         for _ in range(max(1, int(seconds / 0.05))):
             self.group.begin_pass()
         for rank in self.group.ranks:
-            rank.copied = True
+            rank.has_copied = True
         self.uses = [
-            old + new for old, new in zip(self.uses, HOT, strict=True)
+            old + new for old, new in zip(self.uses, HOT_USES, strict=True)
         ]
 
     def _rank(self, backend: desired.Backend) -> int:
         rank = int(backend.key)
-        self.called.append(rank)
-        if rank in self.silent:
-            raise platform.EngineError("silent", remedy="")
+        self.called_ranks.append(rank)
+        if rank in self.unreachable:
+            raise platform.EngineQueryError("silent", remedy="")
         return rank
 
-    async def report(self, backend: desired.Backend) -> experts.Report:
+    async def report(self, backend: desired.Backend) -> experts.RankReport:
         rank = self._rank(backend)
         report = self.group.report(rank)
         return dataclasses.replace(report, is_open=self.is_open)
 
     async def counts(
-        self, backend: desired.Backend, limits: experts.Limits
-    ) -> experts.Counts:
+        self, backend: desired.Backend, limits: experts.ExpertLimits
+    ) -> experts.ExpertCounts:
         self._rank(backend)
         assert limits is LIMITS
-        return experts.Counts(
+        return experts.ExpertCounts(
             experts.Epoch(self.group.epoch),
-            experts.Step(self.group.step),
+            experts.PassNumber(self.group.last_pass),
             (tuple(self.uses),),
         )
 
     async def held_experts(
         self, backend: desired.Backend
-    ) -> experts.RankExperts:
+    ) -> experts.ExpertsBySet:
         rank = self._rank(backend)
-        return self.group.ranks[rank].used[1].ranks[rank]
+        return self.group.ranks[rank].version_and_map[1].ranks[rank]
 
     async def order(
         self,
@@ -91,36 +96,39 @@
         order: experts.Order,
         epoch: experts.Epoch,
         generation: experts.Generation | None,
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         self.orders.append(order)
         self.generations.append(generation)
         rank = int(backend.key)
-        self.called.append(rank)
-        if rank in self.silent or rank in self.deaf:
-            return experts.Verdict.UNKNOWN
-        return self.group.obey(rank, order, epoch, generation)
+        self.called_ranks.append(rank)
+        if rank in self.unreachable or rank in self.not_receiving:
+            return experts.OrderResult.UNKNOWN
+        return self.group.execute(rank, order, epoch, generation)
 
 
-class Duty:
-    """A duty that a test gives and takes away."""
+class MapLeadership:
+    """A leadership that a test gives and takes away."""
 
     def __init__(self) -> None:
-        self.has = True
-        self.number: experts.Generation | None = None
-        self.spent: list[experts.Generation] = []
+        self.leads = True
+        self.current_generation: experts.Generation | None = None
+        self.refused_generations: list[experts.Generation] = []
 
-    def mine(self) -> bool:
-        return self.has
+    def is_leader(self) -> bool:
+        return self.leads
 
     def generation(self) -> experts.Generation | None:
-        return self.number
+        return self.current_generation
 
-    def may_order(self, number: experts.Generation | None) -> bool:
-        return number == self.number and number not in self.spent
+    def may_order(self, generation: experts.Generation | None) -> bool:
+        return (
+            generation == self.current_generation
+            and generation not in self.refused_generations
+        )
 
-    def refused(self, number: experts.Generation) -> None:
-        self.spent.append(number)
-        self.has = False
+    def note_refused(self, generation: experts.Generation) -> None:
+        self.refused_generations.append(generation)
+        self.leads = False
 
 
 class Rig:
@@ -128,63 +136,65 @@
 
     def __init__(self, cfg: settings_lib.Maps) -> None:
         self.clock = clock_lib.ManualClock()
-        self.engines = Engines()
-        self.world = world_lib.World(
+        self.engines = SimulatedEngines()
+        self.edge_state = edge_state_lib.EdgeState(
             edge_rig.settings(), clock=self.clock, rng=edge_rig.new_rng()
         )
-        self.duty = Duty()
-        self.news = 0
-        self.maps = maps_lib.Maps(
-            self.world,
+        self.leadership = MapLeadership()
+        self.notification_count = 0
+        self.maps = map_manager.MapManager(
+            self.edge_state,
             self.engines,
             clock=self.clock,
             sleep=self._sleep,
-            duty=self.duty,
-            owner=experts.Owner(1),
-            changed=self._changed,
+            leadership=self.leadership,
+            allocator=experts.NumberAllocator(1),
+            on_group_state_change=self._changed,
             node="n1",
             cfg=cfg,
         )
         self._adopt()
 
     def _changed(self) -> None:
-        self.news += 1
+        self.notification_count += 1
 
     def _adopt(self) -> None:
-        engine = desired.Engine(slots=6, kv_tokens=1000, experts=LIMITS)
+        engine = desired.EngineSpec(
+            slots=6, kv_cache_tokens=1000, experts=LIMITS
+        )
         service = desired.Service(name=SERVICE, engine=engine)
-        state = desired.Desired(
+        state = desired.DesiredState(
             version=1,
             routes={},
             services={SERVICE: service},
             limits=edge_rig.LIMITS,
-            keys={},
-            keyed=False,
+            workspaces_by_key={},
+            keys_required=False,
         )
-        self.world.adopt(state, b"")
+        self.edge_state.adopt(state, b"")
         rows = tuple(
             platform.KeyedRecord(
                 ids.Offset(rank),
                 str(rank),
-                edge_rig.entry("llm", f"10.0.0.1:{1000 + rank}"),
+                edge_rig.backend_entry("llm", f"10.0.0.1:{1000 + rank}"),
             )
-            for rank in range(SIZE)
+            for rank in range(RANK_COUNT)
         )
-        tail = platform.Tail(end=ids.Offset(SIZE), records=rows)
-        self.world.backends.apply(tail, store_was_away=False)
+        tail = platform.ReadResult(end=ids.Offset(RANK_COUNT), records=rows)
+        self.edge_state.backends.apply(tail, store_was_away=False)
 
     async def _sleep(self, seconds: float) -> None:
         self.clock.advance(datetime.timedelta(seconds=seconds))
-        self.engines.passed(seconds)
+        self.engines.run_passes(seconds)
         await asyncio.sleep(0)
 
     async def rounds(self, count: int) -> None:
         """Let a second pass before each of some rounds."""
         for _ in range(count):
             self.clock.advance(SECOND)
-            self.engines.passed(1.0)
+            self.engines.run_passes(1.0)
             await self.maps.round()
-            await self.maps.switches.idle()
+            await self.maps.switch_runner.wait_idle()
 
 
 def run(
@@ -200,31 +210,31 @@
 def test_hot_expert_gets_replicas_and_all_ranks_change_together():
     async def act(rig: Rig) -> None:
         await rig.rounds(5)
-        used = [rank.used for rank in rig.engines.group.ranks]
+        used = [rank.version_and_map for rank in rig.engines.group.ranks]
         assert used[0][0] > 0
-        assert used == [used[0]] * SIZE
-        before = experts.dealt_out(SIZE, LIMITS)
-        assert experts.skew([rig.engines.uses], before) > 1.9
-        assert experts.skew([rig.engines.uses], used[0][1]) <= 1.4
+        assert used == [used[0]] * RANK_COUNT
+        before = experts.round_robin_map(RANK_COUNT, LIMITS)
+        assert experts.load_skew([rig.engines.uses], before) > 1.9
+        assert experts.load_skew([rig.engines.uses], used[0][1]) <= 1.4
         assert sum(0 in rank[0] for rank in used[0][1].ranks) > 1
 
     run(act)
 
 
-def test_process_without_the_duty_asks_and_orders_nothing():
+def test_process_that_does_not_lead_asks_and_orders_nothing():
     async def act(rig: Rig) -> None:
-        rig.duty.has = False
+        rig.leadership.leads = False
         await rig.rounds(5)
         assert not rig.engines.orders
-        assert rig.engines.group.ranks[0].used == (0, FIRST)
+        assert rig.engines.group.ranks[0].version_and_map == (0, INITIAL_MAP)
 
     run(act)
 
 
-def test_even_demand_is_left_alone():
+def test_even_demand_causes_no_switch():
     async def act(rig: Rig) -> None:
-        rig.engines.passed = lambda seconds: None
-        rig.engines.uses = [0] * LIMITS.experts
+        rig.engines.run_passes = lambda seconds: None
+        rig.engines.uses = [0] * LIMITS.expert_count
         for _ in range(4):
             rig.engines.uses = [one + 5000 for one in rig.engines.uses]
             rig.engines.group.begin_pass()
@@ -243,15 +253,15 @@
         await rig.rounds(1)
         rest = 6 * SECOND
         for rank in resting:
-            rig.world.rests.asked(desired.BackendKey(str(rank)), rest)
-        rig.engines.called.clear()
+            rig.edge_state.rests.start(desired.BackendKey(str(rank)), rest)
+        rig.engines.called_ranks.clear()
         await rig.rounds(5)
-        assert not set(resting) & set(rig.engines.called)
+        assert not set(resting) & set(rig.engines.called_ranks)
         assert not rig.engines.orders
         # Nothing speaks for it that its group is broken.
-        assert not rig.world.outages.servers()
+        assert not rig.edge_state.outages.servers()
         await rig.rounds(5)
-        assert rig.engines.group.ranks[0].used != (0, FIRST)
+        assert rig.engines.group.ranks[0].version_and_map != (0, INITIAL_MAP)
 
     run(act)
 
@@ -278,8 +288,8 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         group = rig.engines.group
-        held = experts.Hold(experts.Step(group.step + 1))
-        group.obey(0, held, group.epoch)
+        held = experts.Hold(experts.PassNumber(group.last_pass + 1))
+        group.execute(0, held, group.epoch)
         assert not group.begin_pass()
         await rig.rounds(3)
         assert group.begin_pass()
@@ -287,19 +297,19 @@
     run(act)
 
 
-def test_group_is_told_broken_and_open_again():
+def test_group_is_reported_broken_and_open_again():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.edge_state.serving(SERVICE)) == RANK_COUNT
         rig.engines.is_open = False
-        before = rig.news
+        before = rig.notification_count
         await rig.rounds(1)
-        assert not rig.world.serving(SERVICE)
-        assert len(rig.maps.seen_broken()) == SIZE
-        assert rig.news > before
+        assert not rig.edge_state.serving(SERVICE)
+        assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
+        assert rig.notification_count > before
         rig.engines.is_open = True
         await rig.rounds(1)
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert len(rig.edge_state.serving(SERVICE)) == RANK_COUNT
 
     run(act)
 
@@ -307,13 +317,13 @@
 def test_state_is_known_though_the_first_rank_is_silent():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
-        rig.engines.silent = {0}
+        rig.engines.unreachable = {0}
         rig.engines.is_open = False
         await rig.rounds(1)
-        assert len(rig.maps.seen_broken()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
         rig.engines.is_open = True
         await rig.rounds(1)
-        assert not rig.maps.seen_broken()
+        assert not rig.maps.servers_of_broken_groups()
 
     run(act)
 
@@ -321,13 +331,13 @@
 def test_group_is_open_though_its_first_rank_is_silent():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        rig.engines.silent = {0}
+        rig.engines.unreachable = {0}
         for _ in range(3):
             await rig.rounds(1)
-            assert not rig.maps.seen_broken()
-        rig.engines.silent = set(range(SIZE))
+            assert not rig.maps.servers_of_broken_groups()
+        rig.engines.unreachable = set(range(RANK_COUNT))
         await rig.rounds(1)
-        assert len(rig.maps.seen_broken()) == SIZE
+        assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
 
     run(act)
 
@@ -338,14 +348,14 @@
 
     async def watched(
         backend: desired.Backend, one: experts.Order, *args: object
-    ) -> experts.Verdict:
+    ) -> experts.OrderResult:
         if isinstance(one, at):
             gone = platform.KeyedRecord(ids.Offset(50), "0", b"")
-            tail = platform.Tail(end=ids.Offset(51), records=(gone,))
-            rig.world.backends.apply(tail, store_was_away=False)
-            rig.world.backends.forget(desired.BackendKey("0"), "test")
-            group = rig.maps._groups.of(SERVICE)[0]
-            group.members.pop(experts.Rank(0), None)
+            tail = platform.ReadResult(end=ids.Offset(51), records=(gone,))
+            rig.edge_state.backends.apply(tail, store_was_away=False)
+            rig.edge_state.backends.forget(desired.BackendKey("0"), "test")
+            group = rig.maps._groups.of_service(SERVICE)[0]
+            group.servers_by_rank.pop(experts.Rank(0), None)
         return await order(backend, one, *args)
 
     rig.engines.order = watched
@@ -372,62 +382,66 @@
         _lose_first_entry(rig, at)
         await rig.rounds(5)
         assert "a switch failed" not in caplog.text
-        used = [rank.used for rank in rig.engines.group.ranks]
-        assert used == [used[0]] * SIZE
+        used = [rank.version_and_map for rank in rig.engines.group.ranks]
+        assert used == [used[0]] * RANK_COUNT
 
     run(act)
 
 
-def test_report_of_an_earlier_life_changes_nothing():
-    group = groups_lib.Group("g", SERVICE, LIMITS, SIZE)
-    ranks = model_ranks.ModelGroup(SIZE, FIRST)
+def test_report_of_an_earlier_epoch_changes_nothing():
+    group = rank_groups.RankGroup("g", SERVICE, LIMITS, RANK_COUNT)
+    ranks = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
     old = ranks.report(1)
-    ranks.form()
-    group.take(ranks.report(0), SECOND)
-    group.take(dataclasses.replace(old, is_open=False), SECOND)
+    ranks.form_anew()
+    group.apply_report(ranks.report(0), SECOND)
+    group.apply_report(dataclasses.replace(old, is_open=False), SECOND)
     assert group.is_open
     assert group.epoch == 2
 
 
-def test_process_that_loses_the_duty_tells_of_no_outage():
+def test_process_that_loses_the_leadership_tells_of_no_outage():
     async def act(rig: Rig) -> None:
         rig.engines.is_open = False
         await rig.rounds(2)
-        rig.duty.has = False
+        rig.leadership.leads = False
         await rig.rounds(1)
-        assert not rig.maps.seen_broken()
-        assert len(rig.world.serving(SERVICE)) == SIZE
+        assert not rig.maps.servers_of_broken_groups()
+        assert len(rig.edge_state.serving(SERVICE)) == RANK_COUNT
 
     run(act)
 
 
-def test_switch_that_cannot_get_on_leaves_the_duty_to_others():
+def test_process_whose_switch_is_stuck_reports_it():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
-        rig.engines.deaf = {2}
+        rig.engines.not_receiving = {2}
         group = rig.engines.group
-        group.obey(0, experts.Hold(experts.Step(group.step + 9)), group.epoch)
-        assert not rig.maps.switches.is_stuck()
+        group.execute(
+            0,
+            experts.Hold(experts.PassNumber(group.last_pass + 9)),
+            group.epoch,
+        )
+        assert not rig.maps.switch_runner.is_stuck()
         await rig.rounds(3)
-        assert rig.maps.switches.is_stuck()
+        assert rig.maps.switch_runner.is_stuck()
 
     run(act)
 
 
-def test_fault_in_one_round_does_not_end_the_looking():
+def test_fault_in_one_round_does_not_stop_the_loop():
     async def act(rig: Rig) -> None:
         rounds = []
 
-        async def fail(backend: desired.Backend) -> experts.Report:
+        async def fail(backend: desired.Backend) -> experts.RankReport:
             rounds.append(backend)
             raise KeyError("a fault of our own")
 
         rig.engines.report = fail
-        looking = asyncio.create_task(rig.maps.run())
-        while len(rounds) < 3 * SIZE and not looking.done():
+        loop_task = asyncio.create_task(rig.maps.run())
+        while len(rounds) < 3 * RANK_COUNT and not loop_task.done():
             await asyncio.sleep(0)
-        assert not looking.done()
-        looking.cancel()
+        assert not loop_task.done()
+        loop_task.cancel()
 
     run(act)
 
@@ -436,13 +450,13 @@
     async def act(rig: Rig) -> None:
         order = rig.engines.order
 
-        async def fail(*args: object) -> experts.Verdict:
+        async def fail(*args: object) -> experts.OrderResult:
             rig.engines.order = order
             raise KeyError("a fault of our own")
 
         rig.engines.order = fail
         await rig.rounds(6)
-        assert rig.engines.group.ranks[0].used[0] > 0
+        assert rig.engines.group.ranks[0].version_and_map[0] > 0
 
     run(act)
 
@@ -452,15 +466,18 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(4)
         for _ in range(epochs):
-            rig.engines.group.form()
-            assert rig.engines.group.ranks[0].used == (0, FIRST)
+            rig.engines.group.form_anew()
+            assert rig.engines.group.ranks[0].version_and_map == (
+                0,
+                INITIAL_MAP,
+            )
             await rig.rounds(3)
-        assert rig.engines.group.ranks[0].used[0] > 0
+        assert rig.engines.group.ranks[0].version_and_map[0] > 0
 
     run(act)
 
 
-def test_group_that_breaks_at_each_change_is_left_alone():
+def test_group_that_breaks_at_each_switch_is_left_alone():
     """A rank ends whenever it is told to prepare a map.
 
     The group formed anew and was told the same again, every round: 60
@@ -474,8 +491,8 @@
         async def order(backend, order, epoch, generation):
             if isinstance(order, experts.Prepare) and engines.is_open:
                 engines.is_open = False
-                engines.group.form()
-                return experts.Verdict.UNKNOWN
+                engines.group.form_anew()
+                return experts.OrderResult.UNKNOWN
             return await obey(backend, order, epoch, generation)
 
         engines.order = order
@@ -490,67 +507,67 @@
 
 def test_every_order_carries_the_number_of_the_lease():
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4)
+        rig.leadership.current_generation = experts.Generation(4)
         await rig.rounds(5)
         assert rig.engines.orders
         assert set(rig.engines.generations) == {4}
-        assert rig.engines.group.ranks[0].used[0] > 0
+        assert rig.engines.group.ranks[0].version_and_map[0] > 0
 
     run(act)
 
 
 def test_refused_holder_stops_at_once_and_for_good():
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4)
+        rig.leadership.current_generation = experts.Generation(4)
         for rank in rig.engines.group.ranks:
-            rank.fence = 5
+            rank.min_generation = 5
         await rig.rounds(5)
-        assert rig.duty.spent
+        assert rig.leadership.refused_generations
         # The one round of orders that was refused.
-        assert len(rig.engines.orders) == SIZE
-        assert rig.engines.group.ranks[0].used == (0, FIRST)
+        assert len(rig.engines.orders) == RANK_COUNT
+        assert rig.engines.group.ranks[0].version_and_map == (0, INITIAL_MAP)
 
     run(act)
 
 
 def test_holder_whose_lease_goes_during_a_switch_gives_no_further_order():
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4)
+        rig.leadership.current_generation = experts.Generation(4)
         order = rig.engines.order
 
-        async def taken(*args: object) -> experts.Verdict:
-            rig.duty.number = None
+        async def taken(*args: object) -> experts.OrderResult:
+            rig.leadership.current_generation = None
             return await order(*args)
 
         rig.engines.order = taken
         await rig.rounds(4)
-        assert len(rig.engines.orders) == SIZE
-        assert rig.maps.switches.is_stuck()
+        assert len(rig.engines.orders) == RANK_COUNT
+        assert rig.maps.switch_runner.is_stuck()
 
     run(act)
 
 
 #: Uses once demand has jumped: another expert has nearly all.
-JUMPED = (1000, 1000, 1000, 100_000, 1000, 1000, 1000, 1000)
+JUMPED_USES = (1000, 1000, 1000, 100_000, 1000, 1000, 1000, 1000)
 
 
-class Jumping:
+class JumpingDemand:
     """Engines whose demand jumps, and a stream that feels it."""
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
         self.reads = 0
-        self.uses = HOT
+        self.uses = HOT_USES
         counts = rig.engines.counts
 
-        async def counted(*args: object) -> experts.Counts:
+        async def counted(*args: object) -> experts.ExpertCounts:
             self.reads += 1
             return await counts(*args)
 
         rig.engines.counts = counted
-        rig.engines.passed = self.passed
+        rig.engines.run_passes = self.run_passes
 
-    def passed(self, seconds: float) -> None:
+    def run_passes(self, seconds: float) -> None:
         for _ in range(max(1, int(seconds / 0.05))):
             self.rig.engines.group.begin_pass()
         if seconds > 0.5:
@@ -562,65 +579,65 @@
 
     def copied(self) -> None:
         for rank in self.rig.engines.group.ranks:
-            rank.copied = True
+            rank.has_copied = True
 
     def event(self, pause_ms: float) -> None:
         """Let a stream get its next event."""
         pause = datetime.timedelta(milliseconds=pause_ms)
         self.rig.clock.advance(pause)
-        self.rig.world.on_pause(desired.BackendKey("1"), pause)
+        self.rig.edge_state.on_pause(desired.BackendKey("1"), pause)
 
     async def short_rounds(self, count: int) -> None:
         """Let some passes go by, with a round at each."""
         for _ in range(count):
             self.rig.clock.advance(datetime.timedelta(seconds=0.1))
-            self.passed(0.1)
+            self.run_passes(0.1)
             await self.rig.maps.round()
 
 
-def test_jump_of_passes_has_counts_read_at_once_and_once_more():
+def test_jump_of_pass_times_triggers_two_reads_of_counts():
     async def act(rig: Rig) -> None:
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         await rig.rounds(4)
-        jumping.event(50)
-        before = jumping.reads
-        await jumping.short_rounds(2)
-        assert jumping.reads == before
-        jumping.event(120)
-        await jumping.short_rounds(3)
-        assert jumping.reads == before + 2
+        jumping_demand.event(50)
+        before = jumping_demand.reads
+        await jumping_demand.short_rounds(2)
+        assert jumping_demand.reads == before
+        jumping_demand.event(120)
+        await jumping_demand.short_rounds(3)
+        assert jumping_demand.reads == before + 2
 
     run(act, settings_lib.Maps(least_saving=1.0))
 
 
 @pytest.mark.parametrize("jumps", [True, False], ids=["jump", "steady"])
-def test_map_that_demand_has_left_is_not_copied_to_the_end(jumps: bool):
+def test_outdated_map_is_not_copied_to_the_end(jumps: bool):
     async def act(rig: Rig) -> None:
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         released = asyncio.Event()
-        sleep = rig.maps.switches._sleep
+        sleep = rig.maps.switch_runner._sleep
 
         async def held(seconds: float) -> None:
             await released.wait()
             await sleep(seconds)
 
-        rig.maps.switches._sleep = held
+        rig.maps.switch_runner._sleep = held
         for _ in range(4):
             rig.clock.advance(SECOND)
-            jumping.passed(0.1)
+            jumping_demand.run_passes(0.1)
             await rig.maps.round()
         for _ in range(20):
             await asyncio.sleep(0)
         first = list(rig.engines.orders)
         assert {type(one) for one in first} == {experts.Prepare}
         if jumps:
-            jumping.uses = JUMPED
-        jumping.event(50)
-        jumping.event(120)
-        await jumping.short_rounds(3)
+            jumping_demand.uses = JUMPED_USES
+        jumping_demand.event(50)
+        jumping_demand.event(120)
+        await jumping_demand.short_rounds(3)
         released.set()
-        jumping.copied()
-        await rig.maps.switches.idle()
+        jumping_demand.copied()
+        await rig.maps.switch_runner.wait_idle()
         armed = {
             one.version
             for one in rig.engines.orders
@@ -634,14 +651,16 @@
 @pytest.mark.parametrize("leased", [True, False], ids=["lease", "none"])
 def test_new_holder_of_a_lease_releases_what_is_held_at_once(leased: bool):
     async def act(rig: Rig) -> None:
-        rig.duty.number = experts.Generation(4) if leased else None
+        rig.leadership.current_generation = (
+            experts.Generation(4) if leased else None
+        )
         group = rig.engines.group
-        held = experts.Hold(experts.Step(group.step + 1))
-        group.obey(0, held, group.epoch)
+        held = experts.Hold(experts.PassNumber(group.last_pass + 1))
+        group.execute(0, held, group.epoch)
         for _ in range(3):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
             await rig.maps.round()
-            await rig.maps.switches.idle()
+            await rig.maps.switch_runner.wait_idle()
         assert group.begin_pass() == leased
 
     run(act)
@@ -650,12 +669,12 @@
 def test_first_demand_after_a_takeover_is_seen_within_a_few_passes():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        jumping = Jumping(rig)
+        jumping_demand = JumpingDemand(rig)
         for _ in range(8):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
-            jumping.passed(0.05)
+            jumping_demand.run_passes(0.05)
             await rig.maps.round()
-        assert jumping.reads == 2
+        assert jumping_demand.reads == 2
 
     run(act, settings_lib.Maps(least_saving=1.0))
 
@@ -663,13 +682,13 @@
 def test_group_that_forms_anew_is_planned_for_by_what_was_seen_before():
     async def act(rig: Rig) -> None:
         await rig.rounds(6)
-        jumping = Jumping(rig)
-        rig.engines.group.form()
-        rig.engines.uses = [0] * LIMITS.experts
-        before = jumping.reads
+        jumping_demand = JumpingDemand(rig)
+        rig.engines.group.form_anew()
+        rig.engines.uses = [0] * LIMITS.expert_count
+        before = jumping_demand.reads
         for _ in range(12):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
-            jumping.passed(0.05)
+            jumping_demand.run_passes(0.05)
             await rig.maps.round()
             await asyncio.sleep(0)
         # Prepared before a second reading in its new life was made.
@@ -678,7 +697,7 @@
             for one in rig.engines.orders
             if isinstance(one, experts.Prepare)
         ]
-        assert len(prepared) > SIZE
-        assert jumping.reads <= before + 2
+        assert len(prepared) > RANK_COUNT
+        assert jumping_demand.reads <= before + 2
 
     run(act)
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -6,70 +6,72 @@
 from lugcross import desired
 from lugcross import ids
 
-KEYS = [desired.BackendKey("i-0")]
+BACKEND_KEYS = [desired.BackendKey("i-0")]
 
 
-def _count_looks(rig: edge_rig.Rig) -> list[None]:
+def _count_serving_calls(rig: edge_rig.Rig) -> list[None]:
     """Return a list that grows with each look for a place."""
-    looks: list[None] = []
-    serving = rig.world.serving
+    calls: list[None] = []
+    serving = rig.edge_state.serving
 
     def count(service: ids.ServiceName) -> list[desired.Backend]:
-        looks.append(None)
+        calls.append(None)
         return serving(service)
 
-    rig.world.serving = count
-    return looks
+    rig.edge_state.serving = count
+    return calls
 
 
-def test_first_request_of_a_broken_group_is_refused_at_once(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
-        rig.world.outages.told("peer", KEYS)
+def test_first_request_of_a_broken_group_is_refused_at_once(run_with_rig):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
+        rig.edge_state.outages.report("peer", BACKEND_KEYS)
         got = await rig.ask()
         assert not rig.backends[0].seen
         return got
 
-    got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
     assert got.status == 503
     # As late as leaves time for an answer: a group takes seconds to form.
     assert 1.0 < float(got.headers[b"retry-after"]) < 5.0 / 3
 
 
-def test_request_that_comes_back_to_a_broken_group_is_refused_at_once(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
+def test_request_that_comes_back_to_a_broken_group_is_refused_at_once(
+    run_with_rig,
+):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
-        rig.world.outages.told("peer", KEYS)
-        looks = _count_looks(rig)
+        rig.edge_state.outages.report("peer", BACKEND_KEYS)
+        calls = _count_serving_calls(rig)
         got = await rig.ask(time_left=4000)
-        # One choice, one picture for the verdict, one for the log line.
-        assert len(looks) <= 3
+        # One choice, one snapshot for the verdict, one for the log line.
+        assert len(calls) <= 3
         assert len(rig.backends[0].seen) == 1
         return got
 
-    got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
     assert got.status == 503
     assert b"retry-after" in got.headers
 
 
-def test_request_that_comes_back_to_an_open_group_is_served(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
-        rig.world.outages.told("peer", KEYS)
+def test_request_that_comes_back_to_an_open_group_is_served(run_with_rig):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
+        rig.edge_state.outages.report("peer", BACKEND_KEYS)
         await rig.ask(time_left=5000)
-        rig.world.outages.told("peer", [])
+        rig.edge_state.outages.report("peer", [])
         return await rig.ask(time_left=4000)
 
-    got = play(edge_rig.SAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_refused_request_that_may_not_be_repeated_has_not_run(play):
-    async def act(rig: edge_rig.Rig) -> edge_rig.Got:
+def test_refused_request_that_may_not_be_repeated_has_not_run(run_with_rig):
+    async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
-        rig.world.outages.told("peer", KEYS)
+        rig.edge_state.outages.report("peer", BACKEND_KEYS)
         got = await rig.ask(time_left=1000)
         assert len(rig.backends[0].seen) == 1
         return got
 
-    got = play(edge_rig.UNSAFE, [[edge_rig.answer()]], act)
+    got = run_with_rig(edge_rig.UNSAFE_ROUTE, [[edge_rig.answer()]], act)
     assert got.status == 503
     assert b"retry-after" in got.headers
--- a/testing/edge/test_rest.py
+++ b/testing/edge/test_server_backoffs.py
@@ -21,48 +21,48 @@
 import itertools
 import random
 
+import crash_rig
 import edge_rig
-import ending_rig
 import msgspec
 import pytest
 import virtual_time
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import rests as rests_lib
+from lugcross.edge import server_backoffs as server_backoffs_lib
 from lugcross import ids
 from lugcross import platform
 
 KEY = desired.BackendKey("i-0")
 OTHER = desired.BackendKey("i-1")
-REST_S = 3.0
-REST = datetime.timedelta(seconds=REST_S)
+BACKOFF_S = 3.0
+BACKOFF = datetime.timedelta(seconds=BACKOFF_S)
 SECOND = datetime.timedelta(seconds=1)
 A_MOMENT = datetime.timedelta(milliseconds=100)
 #: What was on its way may still arrive this long after a server has asked.
-CROSSING_S = 0.5
+IN_FLIGHT_S = 0.5
 #: Requests that may arrive all the same, by what servers' owners allow.
-CROSSING_MOST = 2
+MAX_IN_FLIGHT = 2
 #: Until every process has read the store and heard of the others, s.
 SETTLED_S = 4.0
 #: Ordinary requests a second: four in ten of all places.
-LOAD = 36.0
-SHED_S = 9.0
+LOAD_PER_S = 36.0
+OVERLOAD_S = 9.0
 #: Repeats that all processes may send in ten seconds beyond a fifth of what
 #: callers send.
-REPEATS = 90
+REPEAT_SLACK = 90
 #: Requests that were served of the wave while nobody went by refusals.
-SERVED_BEFORE = 2478
+MIN_SERVED = 2478
 #: Part of the requests from which on users want an alert.
-REFUSED_MOST = 0.1
+MAX_REFUSED_RATIO = 0.1
 
-AWAY = edge_rig.answer(
+TURNS_AWAY = edge_rig.answer(
     503, b"", b"Not-Executed: 1", b"Retry-After: 3", seal=False
 )
-GOOD = edge_rig.answer()
+SUCCEEDS = edge_rig.answer()
 
 
-def _play(scripts, act, one=edge_rig.SAFE):
+def _play(scripts, act, one=edge_rig.SAFE_ROUTE):
     """Run ``act`` before servers that follow scripts, by a manual clock."""
 
     async def main():
@@ -78,18 +78,18 @@
     return asyncio.run(main())
 
 
-def test_server_that_asks_for_rest_gets_nothing_until_it_is_over():
+def test_server_gets_no_request_during_its_backoff():
     async def act(rig, clock):
         for _ in range(5):
             assert (await rig.ask()).status == 200
             clock.advance(A_MOMENT)
         assert len(rig.backends[0].seen) == 1
-        clock.advance(REST)
+        clock.advance(BACKOFF)
         for _ in range(5):
             assert (await rig.ask()).status == 200
         return len(rig.backends[0].seen)
 
-    assert _play([[AWAY] + [GOOD] * 5, [GOOD] * 10], act) > 1
+    assert _play([[TURNS_AWAY] + [SUCCEEDS] * 5, [SUCCEEDS] * 10], act) > 1
 
 
 def test_server_that_says_it_leaves_gets_nothing_past_the_drain_bound():
@@ -98,27 +98,27 @@
 
     async def act(rig, clock):
         # Whichever is chosen by chance, the first one is to tell it.
-        rig.world.outages.told("peer", [OTHER])
+        rig.edge_state.outages.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.world.outages.told("peer", [])
+        rig.edge_state.outages.report("peer", [])
         clock.advance(drain + A_MOMENT)
         for _ in range(3):
             assert (await rig.ask()).status == 200
         return [len(one.seen) for one in rig.backends]
 
-    assert _play([[leaves] * 4, [GOOD] * 3], act) == [1, 3]
+    assert _play([[leaves] * 4, [SUCCEEDS] * 3], act) == [1, 3]
 
 
 def _late_sends(
-    fleet: ending_rig.Fleet, rest_s: float = REST_S
+    fleet: crash_rig.Fleet, rest_s: float = BACKOFF_S
 ) -> dict[tuple[str, str], int]:
     """Return the most that any server got in a rest, by who sent it."""
     pairs = collections.defaultdict(list)
-    for one in fleet.away:
+    for one in fleet.refusals:
         pairs[one.node, one.server].append(one.at)
     most = {
         pair: max(
-            sum(at + CROSSING_S < late <= at + rest_s for late in moments)
+            sum(at + IN_FLIGHT_S < late <= at + rest_s for late in moments)
             for at in moments
         )
         for pair, moments in pairs.items()
@@ -126,17 +126,17 @@
     return {pair: count for pair, count in most.items() if count}
 
 
-def _fleet(monkeypatch, seed: int, *, servers: int) -> ending_rig.Fleet:
+def _fleet(monkeypatch, seed: int, *, servers: int) -> crash_rig.Fleet:
     """Return five processes that may repeat as often as users allow."""
-    fleet = ending_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
+    fleet = crash_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
     for node in fleet.nodes.values():
-        node.world.bounds = msgspec.structs.replace(
-            edge_rig.BOUNDS, repeat_slack=REPEATS
+        node.edge_state.bounds = msgspec.structs.replace(
+            edge_rig.BOUNDS, repeat_slack=REPEAT_SLACK
         )
     return fleet
 
 
-def _shed(monkeypatch, seed: int, share: float) -> ending_rig.Fleet:
+def _shed_load(monkeypatch, seed: int, share: float) -> crash_rig.Fleet:
     """Let a part of the servers turn everything away for some seconds."""
 
     async def main():
@@ -144,16 +144,16 @@
         fleet = _fleet(monkeypatch, seed, servers=16)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
+        with fleet.under_load(LOAD_PER_S):
             await asyncio.sleep(1.0)
             some = fleet.rng.sample(fleet.servers, int(share * 16))
             for one in some:
-                one.rest_s = REST_S
-            await asyncio.sleep(SHED_S)
+                one.backoff_s = BACKOFF_S
+            await asyncio.sleep(OVERLOAD_S)
             for one in some:
-                one.rest_s = None
-            await asyncio.sleep(REST_S)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+                one.backoff_s = None
+            await asyncio.sleep(BACKOFF_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
 
@@ -164,41 +164,41 @@
     late = {}
     refused = {}
     for seed, share in itertools.product((1, 2, 3), (0.3, 0.7)):
-        fleet = _shed(monkeypatch, seed, share)
+        fleet = _shed_load(monkeypatch, seed, share)
         late[seed, share] = max(_late_sends(fleet).values(), default=0)
         answers = collections.Counter(one.status for one in fleet.answers)
         refused[seed, share] = answers[503] / answers.total()
-    assert max(late.values()) <= CROSSING_MOST, late
+    assert max(late.values()) <= MAX_IN_FLIGHT, late
     # With a third of the servers away the others have room for all. The red
     # code refused 0.43 to 0.53 of the requests.
     few = [part for (_, share), part in refused.items() if share == 0.3]
-    assert max(few) < REFUSED_MOST, refused
+    assert max(few) < MAX_REFUSED_RATIO, refused
 
 
-def test_request_that_waits_for_its_connection_is_not_sent_into_a_rest():
+def test_request_waiting_for_its_connection_is_not_sent_during_a_backoff():
     async def act(rig, clock):
         del clock
         first = rig.backends[0]
-        take = rig.world.pool.take
+        acquire = rig.edge_state.pool.acquire
 
-        async def take_late(backend, **kwargs):
-            conn = await take(backend, **kwargs)
+        async def acquire_late(backend, **kwargs):
+            conn = await acquire(backend, **kwargs)
             # Another request is turned away meanwhile.
-            rig.world.rests.asked(backend.key, REST)
+            rig.edge_state.rests.start(backend.key, BACKOFF)
             return conn
 
-        rig.world.pool.take = take_late
+        rig.edge_state.pool.acquire = acquire_late
         got = await rig.ask()
         assert not first.seen
         return got
 
-    got = _play([[GOOD]], act)
+    got = _play([[SUCCEEDS]], act)
     assert got.status == 503
     # As soon as the server has rested, and spread over a moment.
-    assert REST_S - 0.1 < float(got.headers[b"retry-after"]) < REST_S + 1
+    assert BACKOFF_S - 0.1 < float(got.headers[b"retry-after"]) < BACKOFF_S + 1
 
 
-def test_caller_is_told_when_the_first_server_has_rested():
+def test_caller_is_told_when_the_first_backoff_ends():
     away = edge_rig.answer(
         503, b"", b"Not-Executed: 1", b"Retry-After: 2.5", seal=False
     )
@@ -210,7 +210,7 @@
         assert [len(one.seen) for one in rig.backends] == [1, 1]
         return first, second
 
-    for got in _play([[AWAY], [away]], act):
+    for got in _play([[TURNS_AWAY], [away]], act):
         assert got.status == 503
         assert b"asked for rest" in got.body
         assert 2.4 <= float(got.headers[b"retry-after"]) < 3.3
@@ -233,81 +233,87 @@
         pytest.param(b"", None, id="empty"),
     ],
 )
-def test_rest_is_read_as_seconds(value, rest_s):
-    head = platform.read_answer_head(503, [(b"retry-after", value)])
-    assert head.rest == (rest_s and datetime.timedelta(seconds=rest_s))
+def test_retry_after_is_read_as_seconds(value, rest_s):
+    head = platform.parse_backend_response_head(503, [(b"retry-after", value)])
+    assert head.retry_after == (rest_s and datetime.timedelta(seconds=rest_s))
 
 
 @pytest.mark.parametrize("status", [200, 202, 302, 404, 421])
-def test_who_could_serve_does_not_ask_for_rest(status):
+def test_retry_after_is_ignored_for_other_statuses(status):
     headers = [(b"retry-after", b"3")]
-    assert platform.read_answer_head(status, headers).rest is None
+    assert (
+        platform.parse_backend_response_head(status, headers).retry_after
+        is None
+    )
 
 
 @pytest.mark.parametrize("status", [429, 500, 503, 504])
-def test_longest_of_several_rests_counts(status):
+def test_longest_of_several_retry_after_headers_counts(status):
     told = [(b"retry-after", one) for one in (b"1", b"soon", b"4", b"2")]
-    assert platform.read_answer_head(status, told).rest == 4 * SECOND
+    assert (
+        platform.parse_backend_response_head(status, told).retry_after
+        == 4 * SECOND
+    )
 
 
-def test_shorter_rest_does_not_end_a_longer_one(manual_clock):
-    rests = rests_lib.Rests(manual_clock)
-    rests.asked(KEY, REST)
-    rests.asked(KEY, A_MOMENT)
+def test_shorter_backoff_does_not_end_a_longer_one(manual_clock):
+    backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
+    backoffs.start(KEY, BACKOFF)
+    backoffs.start(KEY, A_MOMENT)
     manual_clock.advance(2 * A_MOMENT)
-    assert rests.rests(KEY)
-    assert rests.left([KEY]) == REST - 2 * A_MOMENT
-    manual_clock.advance(REST)
-    assert not rests.rests(KEY)
-    assert rests.left([KEY]) is None
+    assert backoffs.is_active(KEY)
+    assert backoffs.time_left([KEY]) == BACKOFF - 2 * A_MOMENT
+    manual_clock.advance(BACKOFF)
+    assert not backoffs.is_active(KEY)
+    assert backoffs.time_left([KEY]) is None
 
 
-def test_server_on_trial_whose_caller_leaves_is_tried_again():
+def test_server_on_probation_is_probed_again_after_its_caller_leaves():
     async def act(rig, clock):
         # Turned away and rested; the trial's caller leaves before its answer.
-        health = rig.world.loads.health(KEY)
-        health.rests(clock.monotonic())
+        health = rig.edge_state.loads.health(KEY)
+        health.record_backoff(clock.monotonic())
         clock.advance(A_MOMENT)
         reader, writer = await asyncio.open_connection(edge_rig.HOST, rig.port)
         del reader
         writer.write(edge_rig.request())
-        await rig.backends[0].asked.wait()
-        assert health.ejected(clock.monotonic())
+        await rig.backends[0].request_received.wait()
+        assert health.is_ejected(clock.monotonic())
         writer.close()
-        await rig.backends[0].gone.wait()
-        return health.ejected(clock.monotonic())
+        await rig.backends[0].disconnected.wait()
+        return health.is_ejected(clock.monotonic())
 
-    assert not _play([[edge_rig.hang]], act)
+    assert not _play([[edge_rig.never_answer]], act)
 
 
-SAYS = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
+SAYS_LEAVING = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
 
 
 @pytest.mark.parametrize(
     "state", ["ready", "draining"], ids=["list-is-old", "list-knows"]
 )
-def test_what_the_list_says_does_not_undo_that_a_server_leaves(state):
+def test_backend_list_does_not_undo_that_a_server_leaves(state):
     drain = edge_rig.BOUNDS.drain
 
     async def act(rig, clock):
         first, second = rig.backends
         # The second one is broken until the first has told that it leaves.
-        rig.world.outages.told("peer", [OTHER])
+        rig.edge_state.outages.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.world.outages.told("peer", [])
+        rig.edge_state.outages.report("peer", [])
         gone = platform.KeyedRecord(ids.Offset(10), "i-0", b"")
         address = f"{edge_rig.HOST}:{first.port}"
-        entry = edge_rig.entry("app", address, "d1", state=state)
+        entry = edge_rig.backend_entry("app", address, "d1", state=state)
         again = platform.KeyedRecord(ids.Offset(11), "i-0", entry)
         for record in (gone, again):
-            tail = platform.Tail(end=record.offset, records=(record,))
-            rig.world.backends.apply(tail, store_was_away=True)
+            tail = platform.ReadResult(end=record.position, records=(record,))
+            rig.edge_state.backends.apply(tail, store_was_away=True)
             clock.advance(drain)
         for _ in range(5):
             assert (await rig.ask()).status == 200
         return len(first.seen), len(second.seen)
 
-    assert _play([[SAYS] * 6, [GOOD] * 5], act) == (1, 5)
+    assert _play([[SAYS_LEAVING] * 6, [SUCCEEDS] * 5], act) == (1, 5)
 
 
 def test_last_server_that_leaves_is_used_for_a_while():
@@ -317,19 +323,19 @@
         clock.advance(edge_rig.BOUNDS.drain)
         return (await rig.ask()).status, len(rig.backends[0].seen)
 
-    assert _play([[SAYS] * 3], act) == (503, 2)
+    assert _play([[SAYS_LEAVING] * 3], act) == (503, 2)
 
 
-def test_answer_of_another_life_tells_nothing_of_this_one():
+def test_leaving_header_of_another_incarnation_is_ignored():
     moved = edge_rig.answer(
         421, b"", b"Not-Executed: 1", b"Server-Leaving: 1", seal=False
     )
 
     async def act(rig, clock):
         await rig.ask()
-        return rig.world.backends._said
+        return rig.edge_state.backends._leaving_answer_at
 
-    assert not _play([[moved], [GOOD]], act)
+    assert not _play([[moved], [SUCCEEDS]], act)
 
 
 @pytest.mark.parametrize(
@@ -348,67 +354,71 @@
         ),
     ],
 )
-def test_whatever_answer_asks_for_rest_it_is_given(script):
+def test_any_failure_answer_can_start_a_backoff(script):
     async def act(rig, clock):
         for _ in range(6):
             await rig.ask()
             clock.advance(A_MOMENT)
         return len(rig.backends[0].seen)
 
-    assert _play([[script], [GOOD] * 6], act) == 1
+    assert _play([[script], [SUCCEEDS] * 6], act) == 1
 
 
-def test_late_answer_to_an_earlier_request_counts(play):
-    late = edge_rig.raw(
+def test_late_answer_to_an_earlier_request_counts(run_with_rig):
+    late = edge_rig.raw_bytes(
         b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n"
         b"Attempt-Identifier: other\r\nRetry-After: 3\r\n\r\n"
     )
 
     async def both(seen, writer):
         await late(seen, writer)
-        await GOOD(seen, writer)
+        await SUCCEEDS(seen, writer)
 
     async def act(rig, clock):
         del clock
         assert (await rig.ask()).status == 200
-        return rig.world.rests.rests(KEY)
+        return rig.edge_state.rests.is_active(KEY)
 
     assert _play([[both]], act)
 
 
-def test_new_life_owes_nothing_of_the_old_one(manual_clock):
-    rests = rests_lib.Rests(manual_clock)
-    rests.asked(desired.BackendKey("i-0 1"), REST)
-    assert not rests.rests(desired.BackendKey("i-0 2"))
+def test_new_incarnation_does_not_inherit_the_backoff(manual_clock):
+    backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
+    backoffs.start(desired.BackendKey("i-0 1"), BACKOFF)
+    assert not backoffs.is_active(desired.BackendKey("i-0 2"))
 
 
-def test_urgent_messages_in_a_rest_are_two(manual_clock):
-    rests = rests_lib.Rests(manual_clock)
-    assert all(rests.may_disturb(KEY) for _ in range(9))
-    rests.asked(KEY, REST)
-    assert [rests.may_disturb(KEY) for _ in range(4)] == [True, True] + [
-        False
-    ] * 2
-    assert not rests.may_ask(KEY)
-    manual_clock.advance(REST)
-    assert rests.may_ask(KEY)
-    rests.asked(KEY, REST)
-    assert rests.may_disturb(KEY)
+def test_two_urgent_messages_are_allowed_during_a_backoff(manual_clock):
+    backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
+    assert all(backoffs.take_urgent_allowance(KEY) for _ in range(9))
+    backoffs.start(KEY, BACKOFF)
+    assert [backoffs.take_urgent_allowance(KEY) for _ in range(4)] == [
+        True,
+        True,
+    ] + [False] * 2
+    assert not backoffs.may_send_deferrable(KEY)
+    manual_clock.advance(BACKOFF)
+    assert backoffs.may_send_deferrable(KEY)
+    backoffs.start(KEY, BACKOFF)
+    assert backoffs.take_urgent_allowance(KEY)
 
 
-def test_first_server_that_has_rested_gets_one_request_at_first():
+def test_server_gets_one_probe_after_its_backoff():
     async def act(rig, clock):
         await rig.ask()
-        clock.advance(REST)
+        clock.advance(BACKOFF)
         trial = asyncio.create_task(rig.ask())
-        await rig.backends[0].asked.wait()
+        await rig.backends[0].request_received.wait()
         while len(rig.backends[0].seen) < 2:
             await asyncio.sleep(0)
         others = [await rig.ask() for _ in range(3)]
         trial.cancel()
         return others, len(rig.backends[0].seen)
 
-    others, seen = _play([[AWAY, edge_rig.hang, GOOD, GOOD, GOOD]], act)
+    others, seen = _play(
+        [[TURNS_AWAY, edge_rig.never_answer, SUCCEEDS, SUCCEEDS, SUCCEEDS]],
+        act,
+    )
     assert seen == 2
     for got in others:
         assert got.status == 503
@@ -418,43 +428,45 @@
 def test_peers_hear_that_a_server_leaves():
     async def act(rig, clock):
         del clock
-        rig.world.outages.told("peer", [OTHER])
+        rig.edge_state.outages.report("peer", [OTHER])
         await rig.ask()
-        return rig.world.backends.said_only()
+        return rig.edge_state.backends.leaving_by_answer_only()
 
-    assert _play([[SAYS], [GOOD]], act) == [KEY]
+    assert _play([[SAYS_LEAVING], [SUCCEEDS]], act) == [KEY]
 
 
-def _wave(monkeypatch, seed: int, rest_s: float | None):
+def _overload_waves(monkeypatch, seed: int, rest_s: float | None):
     """Overload few servers, which turn away what they have no slot for."""
 
     async def main():
         random.seed(seed)
         fleet = _fleet(monkeypatch, seed, servers=10)
         for one in fleet.servers:
-            one.rest_when_full_s = rest_s
+            one.backoff_when_full_s = rest_s
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
+        with fleet.under_load(LOAD_PER_S):
             for count in (1, 2, 10):
                 some = fleet.rng.sample(fleet.servers, count)
                 for one in some:
                     one.slots = 2
                 await asyncio.sleep(4.0)
                 for one in some:
-                    one.slots = ending_rig.SLOTS
+                    one.slots = crash_rig.SLOTS_PER_SERVER
                 await asyncio.sleep(4.0)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
 
     return virtual_time.run(main())
 
 
-def test_rest_at_one_server_is_none_at_each_by_turns(monkeypatch):
+def test_backoffs_of_single_servers_do_not_lower_the_number_served(
+    monkeypatch,
+):
     served = {}
     for seed, rest_s in itertools.product((1, 2, 3), (None, 1.0)):
-        fleet = _wave(monkeypatch, seed, rest_s)
+        fleet = _overload_waves(monkeypatch, seed, rest_s)
         answers = collections.Counter(one.status for one in fleet.answers)
         served[seed, rest_s] = answers[200]
         if rest_s:
@@ -462,10 +474,10 @@
     # As many at least as were served with the same seeds, without rests, by
     # the code that sent to these servers again at once; 2487 now.
     with_rest = sum(n for (_, rest_s), n in served.items() if rest_s)
-    assert with_rest >= SERVED_BEFORE, served
+    assert with_rest >= MIN_SERVED, served
 
 
-def _turn_away(monkeypatch, seed: int) -> float:
+def _refused_ratio(monkeypatch, seed: int) -> float:
     """Return the part refused while a third takes nothing, without a time."""
 
     async def main():
@@ -473,11 +485,11 @@
         fleet = _fleet(monkeypatch, seed, servers=16)
         fleet.start()
         await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
+        with fleet.under_load(LOAD_PER_S):
             for one in fleet.rng.sample(fleet.servers, 5):
                 one.slots = 0
-            await asyncio.sleep(SHED_S)
-        await asyncio.sleep(2 * ending_rig.WORK_S)
+            await asyncio.sleep(OVERLOAD_S)
+        await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         answers = collections.Counter(one.status for one in fleet.answers)
         return answers[503] / answers.total()
@@ -488,5 +500,5 @@
 def test_servers_that_only_turn_away_do_not_draw_the_load(monkeypatch):
     # They look idle, too: 0.84 to 0.85 were refused while that counted, 0.38
     # to 0.40 since they are left alone for up to 0.8 s after each refusal.
-    refused = [_turn_away(monkeypatch, seed) for seed in (1, 2, 3)]
-    assert max(refused) < REFUSED_MOST, refused
+    refused = [_refused_ratio(monkeypatch, seed) for seed in (1, 2, 3)]
+    assert max(refused) < MAX_REFUSED_RATIO, refused
