--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -13,21 +13,21 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import figures
+from lugcross.edge import metrics
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import uses
+from lugcross.edge import workspace_usage
 from lugcross import ids
 from lugcross import shares
 
 SERVICE = ids.ServiceName("s")
-A, B = ids.WorkspaceName("a"), ids.WorkspaceName("b")
+SPACE_A, SPACE_B = ids.WorkspaceName("a"), ids.WorkspaceName("b")
 
 SURGE = bench_shares.SURGE
 OTHERS = bench_shares.OTHERS
 RATES = bench_shares.RATES
 
 
-def _play(
+def _run_fleet(
     load: share_fleet.Load, processes: int, news: share_fleet.News, **kwargs
 ) -> share_fleet.Fleet:
     fleet = share_fleet.Fleet(
@@ -58,7 +58,7 @@
     place that came free. Settled by this load: without the workspaces looked
     at, the others are served 0.49 of the time.
     """
-    fleet = _play(SURGE, processes, news, seed=seed)
+    fleet = _run_fleet(SURGE, processes, news, seed=seed)
     assert fleet.share_served(OTHERS, 4, 12) > least
     # What the others leave goes to the one that asks for it.
     hot = fleet.share_served({"w0"}, 4, 12)
@@ -68,19 +68,21 @@
 
 @pytest.mark.parametrize("seed", range(2))
 def test_the_load_shows_the_fault_without_shares(seed: int):
-    fleet = _play(SURGE, 7, share_fleet.News(), seed=seed, by_workspace=False)
+    fleet = _run_fleet(
+        SURGE, 7, share_fleet.News(), seed=seed, by_workspace=False
+    )
     assert fleet.share_served(OTHERS, 4, 12) < 0.6
 
 
 def test_process_that_hears_nobody_shares_what_it_sees():
     """Cut off, a process still goes by its own requests in progress."""
-    fleet = _play(SURGE, 1, share_fleet.News(gap_s=0.0), seed=1)
+    fleet = _run_fleet(SURGE, 1, share_fleet.News(gap_s=0.0), seed=1)
     assert fleet.share_served(OTHERS, 4, 12) > 0.95
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_usual_load_of_a_large_workspace_is_not_cut(seed: int):
-    fleet = _play(
+    fleet = _run_fleet(
         share_fleet.Load(rates=RATES), 7, share_fleet.News(), seed=seed
     )
     assert fleet.share_served({"w0"}, 0, 12) > 0.98
@@ -88,7 +90,7 @@
 
 def test_two_that_want_everything_end_up_with_equally_many():
     load = share_fleet.Load(rates={"w0": 60.0, "w1": 25.0, "w2": 1.0})
-    fleet = _play(load, 7, share_fleet.News(), seed=1)
+    fleet = _run_fleet(load, 7, share_fleet.News(), seed=1)
     served = {
         name: sum(fleet.served[name, second] for second in range(4, 12))
         for name in load.rates
@@ -103,9 +105,9 @@
     st.floats(0.5, 4.0),
 )
 def test_who_may_have_one_more_may_have_fewer(use, room, weight):
-    claim = shares.Claim(use=use, weight=weight)
-    less = shares.Claim(use=max(0, use - 1), weight=weight)
-    assert less.fits(room) or not claim.fits(room)
+    claim = shares.WorkspaceUse(in_progress=use, weight=weight)
+    less = shares.WorkspaceUse(in_progress=max(0, use - 1), weight=weight)
+    assert less.may_take_place(room) or not claim.may_take_place(room)
 
 
 @given(
@@ -114,36 +116,38 @@
 )
 def test_shares_of_all_that_ask_make_up_the_whole(weights, places):
     parts = [
-        shares.Claim(use=0, weight=one, weights=sum(weights)).share(places)
+        shares.WorkspaceUse(
+            in_progress=0, weight=one, total_weight=sum(weights)
+        ).fair_share(places)
         for one in weights
     ]
     assert sum(parts) == pytest.approx(places)
 
 
-def _uses(**weights: float) -> uses.Uses:
-    found = uses.Uses(clock_lib.ManualClock())
-    found.adopt([SERVICE], [A, B])
+def _workspace_usage(**weights: float) -> workspace_usage.WorkspaceUsage:
+    found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
+    found.set_names([SERVICE], [SPACE_A, SPACE_B])
     found.weights = weights
     return found
 
 
 def test_what_peers_have_counts_for_the_workspace():
-    here, there = _uses(), _uses()
-    there.began(SERVICE, A)
-    there.began(SERVICE, A)
-    here.peer_told("n2", there.own())
-    here.began(SERVICE, B)
-    assert here.claim(SERVICE, A).use == 2
-    assert here.claim(SERVICE, A).weights == 2.0
-    here.peer_told("n2", {})
-    assert here.claim(SERVICE, A).use == 0
+    here, there = _workspace_usage(), _workspace_usage()
+    there.request_started(SERVICE, SPACE_A)
+    there.request_started(SERVICE, SPACE_A)
+    here.apply_peer_counts("n2", there.own_counts())
+    here.request_started(SERVICE, SPACE_B)
+    assert here.claim(SERVICE, SPACE_A).in_progress == 2
+    assert here.claim(SERVICE, SPACE_A).total_weight == 2.0
+    here.apply_peer_counts("n2", {})
+    assert here.claim(SERVICE, SPACE_A).in_progress == 0
 
 
 def test_weight_of_the_settings_counts():
-    found = _uses(a=3.0)
-    found.began(SERVICE, B)
-    assert found.claim(SERVICE, A).share(40.0) == 30.0
-    assert found.claim(SERVICE, B).share(40.0) == 40.0
+    found = _workspace_usage(a=3.0)
+    found.request_started(SERVICE, SPACE_B)
+    assert found.claim(SERVICE, SPACE_A).fair_share(40.0) == 30.0
+    assert found.claim(SERVICE, SPACE_B).fair_share(40.0) == 40.0
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf")], ids=str)
@@ -153,80 +157,93 @@
 
 
 def test_only_the_heaviest_are_told():
-    found = uses.Uses(clock_lib.ManualClock())
+    found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
     for num in range(40):
         for _ in range(1 + num):
-            found.began(SERVICE, ids.WorkspaceName(f"w{num}"))
-    told = found.own()
+            found.request_started(SERVICE, ids.WorkspaceName(f"w{num}"))
+    told = found.own_counts()
     assert len(told) == 32
     assert min(told.values()) == 9
 
 
 def test_number_that_nobody_knows_changes_nothing():
-    found = _uses()
-    found.peer_told("n2", {12345: 9})
-    assert found.claim(SERVICE, A).use == 0
+    found = _workspace_usage()
+    found.apply_peer_counts("n2", {12345: 9})
+    assert found.claim(SERVICE, SPACE_A).in_progress == 0
 
 
-def _asking(**fields) -> admission.Asking:
-    return admission.Asking(**fields)
+def _requester(**fields) -> admission.Requester:
+    return admission.Requester(**fields)
 
 
-def _picture(busy: int) -> admission.Picture:
-    return admission.Picture(
-        servers=16, slots=96, busy=busy, least=busy // 16, unseen=0.0
+def _load_snapshot(busy: int) -> admission.LoadSnapshot:
+    return admission.LoadSnapshot(
+        servers=16, slots=96, busy=busy, min_busy=busy // 16, unseen=0.0
     )
 
 
 def test_workspace_below_its_share_goes_past_what_is_full_up_to_the_slots():
-    below = shares.Claim(use=1, weights=10.0)
-    over = shares.Claim(use=40, weights=10.0)
-    full = _picture(64)
-    assert admission.admit(full, 4.0, _asking(claim=below)) is None
-    assert admission.admit(full, 4.0, _asking(claim=over))
-    slots_taken = _picture(96)
-    assert admission.admit(slots_taken, 4.0, _asking(claim=below))
+    below = shares.WorkspaceUse(in_progress=1, total_weight=10.0)
+    over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
+    full = _load_snapshot(64)
+    assert admission.refusal_reason(full, 4.0, _requester(claim=below)) is None
+    assert admission.refusal_reason(full, 4.0, _requester(claim=over))
+    slots_taken = _load_snapshot(96)
+    assert admission.refusal_reason(slots_taken, 4.0, _requester(claim=below))
 
 
 def test_refusal_tells_a_surge_from_a_full_service():
-    over = shares.Claim(use=40, weights=10.0)
+    over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     assert "its workspace" in (
-        admission.admit(_picture(62), 4.0, _asking(claim=over)) or ""
+        admission.refusal_reason(
+            _load_snapshot(62), 4.0, _requester(claim=over)
+        )
+        or ""
     )
     assert "every backend" in (
-        admission.admit(_picture(64), 4.0, _asking(claim=over)) or ""
+        admission.refusal_reason(
+            _load_snapshot(64), 4.0, _requester(claim=over)
+        )
+        or ""
     )
 
 
 def test_what_is_less_urgent_goes_first_out_of_a_full_service():
-    nearly = _picture(61)
-    assert admission.admit(nearly, 4.0, _asking()) is None
-    assert admission.admit(nearly, 4.0, _asking(behind=1))
+    nearly = _load_snapshot(61)
+    assert admission.refusal_reason(nearly, 4.0, _requester()) is None
+    assert admission.refusal_reason(
+        nearly, 4.0, _requester(more_urgent_priorities=1)
+    )
     # Never below half of the slots, however many kinds are more urgent.
-    assert admission.admit(_picture(47), 3.0, _asking(behind=9)) is None
+    assert (
+        admission.refusal_reason(
+            _load_snapshot(47), 3.0, _requester(more_urgent_priorities=9)
+        )
+        is None
+    )
 
 
-def _state(*priorities: int) -> desired.Desired:
+def _state(*priorities: int) -> desired.DesiredState:
     routes = tuple(
         desired.Route(
             name=f"r{num}",
             host="h",
-            prefix=f"/{num}/",
-            kind=desired.Kind.SAFE,
-            shares=(desired.Share(SERVICE, 1.0),),
+            path_prefix=f"/{num}/",
+            kind=desired.RouteKind.SAFE,
+            weighted_services=(desired.WeightedService(SERVICE, 1.0),),
             timeout=datetime.timedelta(seconds=1),
-            target=datetime.timedelta(seconds=1),
+            latency_target=datetime.timedelta(seconds=1),
             priority=priority,
         )
         for num, priority in enumerate(priorities)
     )
-    return desired.Desired(
+    return desired.DesiredState(
         version=1,
         routes={"h": routes},
         services={},
         limits=edge_rig.LIMITS,
-        keys={},
-        keyed=False,
+        workspaces_by_key={},
+        keys_required=False,
     )
 
 
@@ -234,16 +251,16 @@
     ("priority", "behind"), [(1, 0), (2, 1), (5, 2), (9, 3), (0, 0)], ids=str
 )
 def test_more_urgent_kinds_of_one_service_are_counted(priority, behind):
-    assert _state(1, 2, 2, 5).behind(SERVICE, priority) == behind
-    assert _state(1).behind(ids.ServiceName("other"), 9) == 0
+    assert _state(1, 2, 2, 5).priorities_ahead(SERVICE, priority) == behind
+    assert _state(1).priorities_ahead(ids.ServiceName("other"), 9) == 0
 
 
 def test_figures_name_the_heaviest_workspaces_only():
-    found = figures.Figures()
+    found = metrics.EdgeMetrics()
     counts = {ids.WorkspaceName(f"w{num}"): 1 + num for num in range(25)}
-    found.running({SERVICE: counts})
+    found.set_workspace_running({SERVICE: counts})
     for num in range(25):
-        found.refused("s", f"w{num}")
+        found.count_workspace_refused("s", f"w{num}")
     text = found.text().decode()
     running = [
         line
--- a/testing/edge/test_knowledge.py
+++ b/testing/edge/test_state_sync.py
@@ -14,13 +14,13 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import follow
-from lugcross.edge import knowledge as knowledge_lib
-from lugcross.edge import loads as loads_lib
+from lugcross.edge import backend_loads as backend_loads_lib
+from lugcross.edge import edge_state as edge_state_lib
 from lugcross.edge import messages
 from lugcross.edge import peers as peers_lib
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
+from lugcross.edge import state_sync as state_sync_lib
+from lugcross.edge import topic_follower
 from lugcross import ids
 from lugcross import platform
 from lugcross.standin import store as standin
@@ -28,7 +28,7 @@
 HOST = edge_rig.HOST
 
 
-BACKEND = edge_rig.entry("s", "10.0.0.1:80")
+BACKEND = edge_rig.backend_entry("s", "10.0.0.1:80")
 
 
 class _Node:
@@ -51,15 +51,15 @@
             seeds=seeds,
         )
         clock = clock_lib.SystemClock()
-        self.world = world_lib.World(
+        self.edge_state = edge_state_lib.EdgeState(
             settings, clock=clock, rng=edge_rig.new_rng()
         )
         self.client = platform.StoreClient(
             store, timeout=datetime.timedelta(seconds=30)
         )
-        self.knowledge = knowledge_lib.Knowledge(
+        self.state_sync = state_sync_lib.StateSync(
             settings,
-            self.world,
+            self.edge_state,
             self.client,
             clock=clock,
             rng=edge_rig.new_rng(),
@@ -90,12 +90,12 @@
         for offset, version in enumerate((3, 5, 4)):
             record = platform.KeyedRecord(
                 ids.Offset(offset),
-                platform.DESIRED_KEY,
-                fleet_rig.state(version),
+                platform.DESIRED_STATE_KEY,
+                fleet_rig.desired_record(version),
             )
-            tail = platform.Tail(end=ids.Offset(9), records=(record,))
-            node.knowledge.take_desired(tail, newest=True)
-        return node.world.desired.version
+            tail = platform.ReadResult(end=ids.Offset(9), records=(record,))
+            node.state_sync.apply_desired(tail, newest=True)
+        return node.edge_state.desired.version
 
     assert _play(act) == 5
 
@@ -103,13 +103,13 @@
 def test_malformed_desired_state_leaves_the_one_in_force():
     async def act(store, address):
         node = _Node("n1", address, ())
-        for value in (fleet_rig.state(3), b"{"):
+        for value in (fleet_rig.desired_record(3), b"{"):
             record = platform.KeyedRecord(
-                ids.Offset(0), platform.DESIRED_KEY, value
+                ids.Offset(0), platform.DESIRED_STATE_KEY, value
             )
-            tail = platform.Tail(end=ids.Offset(9), records=(record,))
-            node.knowledge.take_desired(tail, newest=False)
-        return node.world.desired.version
+            tail = platform.ReadResult(end=ids.Offset(9), records=(record,))
+            node.state_sync.apply_desired(tail, newest=False)
+        return node.edge_state.desired.version
 
     assert _play(act) == 3
 
@@ -117,26 +117,31 @@
 def test_process_that_starts_while_the_store_is_away_asks_a_seed():
     async def act(store, address):
         one = _Node("n1", address, ())
-        await one.knowledge.start()
-        one.world.adopt(
-            platform.read_desired(fleet_rig.state(7)), fleet_rig.state(7)
+        await one.state_sync.start()
+        one.edge_state.adopt(
+            platform.decode_desired(fleet_rig.desired_record(7)),
+            fleet_rig.desired_record(7),
         )
         row = platform.KeyedRecord(ids.Offset(4), "i-1", BACKEND)
-        one.world.backends.apply(
-            platform.Tail(end=ids.Offset(5), records=(row,)),
+        one.edge_state.backends.apply(
+            platform.ReadResult(end=ids.Offset(5), records=(row,)),
             store_was_away=False,
         )
-        store.busy = True
+        store.unavailable = True
         two = _Node("n2", address, (one.state,))
-        await two.knowledge.start()
-        task = asyncio.create_task(two.knowledge.run())
-        await _until(lambda: two.world.desired is not None)
+        await two.state_sync.start()
+        task = asyncio.create_task(two.state_sync.run())
+        await _until(lambda: two.edge_state.desired is not None)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        one.knowledge.close()
-        two.knowledge.close()
-        known = [backend.key for backend in two.world.backends.all()]
-        return two.world.desired.version, known, two.world.backends.end
+        one.state_sync.close()
+        two.state_sync.close()
+        known = [backend.key for backend in two.edge_state.backends.all()]
+        return (
+            two.edge_state.desired.version,
+            known,
+            two.edge_state.backends.end,
+        )
 
     assert _play(act) == (7, ["i-1"], 5)
 
@@ -147,21 +152,22 @@
         two = _Node("n2", address, ())
         tasks = []
         for node in (one, two):
-            await node.knowledge.start()
-            tasks.append(asyncio.create_task(node.knowledge.run()))
-        await _until(lambda: bool(one.knowledge.peers.live()))
+            await node.state_sync.start()
+            tasks.append(asyncio.create_task(node.state_sync.run()))
+        await _until(lambda: bool(one.state_sync.peers.live()))
         # Only one of them is told, as if the other's read hung.
-        one.world.adopt(
-            platform.read_desired(fleet_rig.state(8)), fleet_rig.state(8)
+        one.edge_state.adopt(
+            platform.decode_desired(fleet_rig.desired_record(8)),
+            fleet_rig.desired_record(8),
         )
-        one.knowledge.peers.changed()
-        await _until(lambda: two.world.desired is not None)
+        one.state_sync.peers.schedule_send()
+        await _until(lambda: two.edge_state.desired is not None)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        one.knowledge.close()
-        two.knowledge.close()
-        return two.world.desired.version
+        one.state_sync.close()
+        two.state_sync.close()
+        return two.edge_state.desired.version
 
     assert _play(act) == 8
 
@@ -172,23 +178,23 @@
             address, timeout=datetime.timedelta(seconds=30)
         )
         taken = []
-        trouble = follow.Trouble(clock_lib.SystemClock())
-        follower = follow.Follower(
+        health = topic_follower.StoreHealth(clock_lib.SystemClock())
+        follower = topic_follower.TopicFollower(
             client,
             "keyed.t",
             lambda tail, newest: taken.append(
                 (newest, [record.value for record in tail.records])
             ),
-            trouble,
-            gap=datetime.timedelta,
-            wait=datetime.timedelta,
+            health,
+            min_interval=datetime.timedelta,
+            poll_wait=datetime.timedelta,
         )
         store.append("keyed.t", "a", b"1")
         task = asyncio.create_task(follower.run())
         await _until(lambda: len(taken) >= 2)
         store.append("keyed.t", "a", b"2")
         store.append("keyed.t", "b", b"3")
-        store.drop_history("keyed.t")
+        store.compact("keyed.t")
         await _until(lambda: (True, [b"2", b"3"]) in taken)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
@@ -202,7 +208,7 @@
     peers = peers_lib.Peers(
         lambda known: None,
         lambda peer: None,
-        own="127.0.0.1:1",
+        own_address="127.0.0.1:1",
         domain="d1",
         clock=clock_lib.ManualClock(),
     )
@@ -214,10 +220,10 @@
 @pytest.mark.parametrize(
     "fields",
     [
-        {"uses": {1: -1}},
-        {"uses": {1: 10**12}},
-        {"desired_ms": 2**63},
-        {"backends_ms": -2},
+        {"workspace_uses": {1: -1}},
+        {"workspace_uses": {1: 10**12}},
+        {"desired_age_ms": 2**63},
+        {"backends_age_ms": -2},
     ],
     ids=str,
 )
@@ -226,24 +232,26 @@
     peers = peers_lib.Peers(
         lambda known: None,
         heard.append,
-        own="own:9",
+        own_address="own:9",
         domain="d1",
         clock=clock_lib.ManualClock(),
     )
-    peers.datagram_received(_encoded(_beat("n2", "d1", **fields)), (HOST, 9))
+    peers.datagram_received(
+        _encoded(_heartbeat("n2", "d1", **fields)), (HOST, 9)
+    )
     assert heard == []
-    peers.datagram_received(_encoded(_beat("n2", "d1")), (HOST, 9))
+    peers.datagram_received(_encoded(_heartbeat("n2", "d1")), (HOST, 9))
     assert len(heard) == 1
 
 
 def test_requests_of_a_silent_peer_count_no_more():
     clock = clock_lib.ManualClock()
-    loads = loads_lib.Loads(clock)
+    loads = backend_loads_lib.BackendLoads(clock)
     key = desired.BackendKey("i-1")
-    loads.peer_told("n2", {key: 3})
-    assert loads.busy(key) == 3
+    loads.record_peer_requests("n2", {key: 3})
+    assert loads.requests_at(key) == 3
     clock.advance(datetime.timedelta(seconds=2))
-    assert loads.busy(key) == 0
+    assert loads.requests_at(key) == 0
 
 
 class _Wire:
@@ -259,8 +267,10 @@
         return sum(1 for host, _ in self.sent if host in hosts)
 
 
-def _beat(node: str, domain: str, **fields: object) -> messages.Beat:
-    return messages.Beat(node, node, domain, 1, False, 0, 0, {}, [], **fields)
+def _heartbeat(node: str, domain: str, **fields: object) -> messages.Heartbeat:
+    return messages.Heartbeat(
+        node, node, domain, 1, False, 0, 0, {}, [], **fields
+    )
 
 
 def _encoded(message: msgspec.Struct) -> bytes:
@@ -274,9 +284,9 @@
         self.clock = clock_lib.ManualClock()
         self.wire = _Wire()
         self.peers = peers_lib.Peers(
-            lambda known: _beat("own", "d1"),
+            lambda known: _heartbeat("own", "d1"),
             lambda peer: None,
-            own="own:9",
+            own_address="own:9",
             domain="d1",
             clock=self.clock,
         )
@@ -287,14 +297,14 @@
             ("far1", "d2"),
             ("far2", "d2"),
         ):
-            self.hear(host, _beat(host, domain))
+            self.hear(host, _heartbeat(host, domain))
 
     def hear(self, host: str, message: msgspec.Struct) -> None:
         self.peers.datagram_received(_encoded(message), (host, 9))
 
     def tell(self, count: int, *, urgent: bool = False) -> None:
         for _ in range(count):
-            self.peers.changed(urgent=urgent)
+            self.peers.schedule_send(urgent=urgent)
             self.peers.send_due()
             self.clock.advance(datetime.timedelta(milliseconds=50))
 
@@ -323,19 +333,19 @@
 
 def test_news_of_another_domain_are_passed_on_within_this_one():
     gossip = _Gossip()
-    beat = _beat("far1", "d2", pass_on=True, number=3)
-    gossip.hear("far1", beat)
-    passed = _encoded(messages.PassedOn("far1:9", beat))
+    heartbeat = _heartbeat("far1", "d2", relay=True, sequence=3)
+    gossip.hear("far1", heartbeat)
+    passed = _encoded(messages.RelayedHeartbeat("far1:9", heartbeat))
     assert gossip.wire.sent == [("near1", passed), ("near2", passed)]
 
 
 def test_news_that_were_passed_on_count_as_their_senders():
     gossip = _Gossip()
     gossip.clock.advance(datetime.timedelta(seconds=30))
-    beat = _beat("far3", "d2", generation=7, pass_on=True)
-    gossip.hear("near1", messages.PassedOn("far3:9", beat))
+    heartbeat = _heartbeat("far3", "d2", generation=7, relay=True)
+    gossip.hear("near1", messages.RelayedHeartbeat("far3:9", heartbeat))
     live = gossip.peers.live()
-    assert [(peer.host, peer.beat.generation) for peer in live] == [
+    assert [(peer.host, peer.heartbeat.generation) for peer in live] == [
         ("far3", 7)
     ]
     # Passed on once only.
@@ -344,16 +354,16 @@
 
 def test_own_news_that_come_back_are_dropped():
     gossip = _Gossip()
-    before = gossip.peers.known()
-    beat = _beat("own", "d1")
-    gossip.hear("near1", messages.PassedOn("own:9", beat))
-    assert gossip.peers.known() == before
+    before = gossip.peers.count()
+    heartbeat = _heartbeat("own", "d1")
+    gossip.hear("near1", messages.RelayedHeartbeat("own:9", heartbeat))
+    assert gossip.peers.count() == before
 
 
 def test_older_news_never_replace_newer_ones():
     gossip = _Gossip()
-    gossip.hear("far1", _beat("far1", "d2", number=5, generation=2))
-    old = _beat("far1", "d2", number=4, generation=1)
-    gossip.hear("near1", messages.PassedOn("far1:9", old))
-    numbers = {p.host: p.beat.generation for p in gossip.peers.live()}
+    gossip.hear("far1", _heartbeat("far1", "d2", sequence=5, generation=2))
+    old = _heartbeat("far1", "d2", sequence=4, generation=1)
+    gossip.hear("near1", messages.RelayedHeartbeat("far1:9", old))
+    numbers = {p.host: p.heartbeat.generation for p in gossip.peers.live()}
     assert numbers["far1"] == 2
--- a/testing/edge/test_unseen.py
+++ b/testing/edge/test_unreported_requests.py
@@ -14,27 +14,27 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import loads as loads_lib
+from lugcross.edge import backend_loads as backend_loads_lib
 from lugcross import ids
 
 MS = datetime.timedelta(milliseconds=1)
 SERVICE = ids.ServiceName("s")
 KEY = desired.BackendKey("i-1")
 #: Time from one beat to the next, nearby and to other domains.
-NEAR_MS, FAR_MS = 50, 200
-LIFE_MS = 1700
+SAME_DOMAIN_GAP_MS, OTHER_DOMAIN_GAP_MS = 50, 200
+REQUEST_MS = 1700
 
 
 @dataclasses.dataclass
 class _Peer:
-    near: bool
+    same_domain: bool
     starts: list[int]
     told_at: int = 0
 
     def running(self, at: int) -> int:
-        return sum(1 for one in self.starts if at - LIFE_MS < one <= at)
+        return sum(1 for one in self.starts if at - REQUEST_MS < one <= at)
 
-    def unseen(self) -> int:
+    def unreported(self) -> int:
         return sum(1 for one in self.starts if one > self.told_at)
 
 
@@ -45,9 +45,11 @@
         self.rng = random.Random(seed)
         self.rate = rate / peers / 1000.0
         self.clock = clock_lib.ManualClock()
-        self.loads = loads_lib.Loads(self.clock, service_of=lambda _: SERVICE)
+        self.loads = backend_loads_lib.BackendLoads(
+            self.clock, service_of=lambda _: SERVICE
+        )
         self.peers = [
-            _Peer(near=num % 5 == 0, starts=[]) for num in range(peers)
+            _Peer(same_domain=num % 5 == 0, starts=[]) for num in range(peers)
         ]
         self.errors: list[float] = []
         self.truth: list[int] = []
@@ -58,20 +60,22 @@
             for num, peer in enumerate(self.peers):
                 self._step(num, peer, now)
             if now > 1000 and now % 20 == 0:
-                truth = sum(peer.unseen() for peer in self.peers)
-                seen = self.loads.unseen(SERVICE)
+                truth = sum(peer.unreported() for peer in self.peers)
+                seen = self.loads.unreported_requests(SERVICE)
                 self.truth.append(truth)
                 self.errors.append(seen - truth)
 
     def _step(self, num: int, peer: _Peer, now: int) -> None:
         if self.rng.random() < self.rate:
             peer.starts.append(now)
-        gap = NEAR_MS if peer.near else FAR_MS
+        gap = SAME_DOMAIN_GAP_MS if peer.same_domain else OTHER_DOMAIN_GAP_MS
         if (now + 7 * num) % gap == 0:
             peer.told_at = now
             running = peer.running(now)
             counts = {KEY: running} if running else {}
-            self.loads.peer_told(str(num), counts, near=peer.near)
+            self.loads.record_peer_requests(
+                str(num), counts, same_domain=peer.same_domain
+            )
 
 
 #: Peers, requests a second, and the typical error as a part of the mean. Of
@@ -101,17 +105,17 @@
     assert typical < most * mean
 
 
-def test_nothing_is_unseen_after_a_rest():
+def test_nothing_is_unreported_after_an_idle_second():
     fleet = _Fleet(6, 40.0, 1)
     fleet.run(1500)
     fleet.clock.advance(datetime.timedelta(seconds=1))
-    assert fleet.loads.unseen(SERVICE) < 0.01
+    assert fleet.loads.unreported_requests(SERVICE) < 0.01
 
 
-def test_peer_that_was_silent_has_not_begun_all_that_it_has():
+def test_requests_of_a_silent_peer_do_not_count_as_new():
     clock = clock_lib.ManualClock()
-    loads = loads_lib.Loads(clock, service_of=lambda _: SERVICE)
-    loads.peer_told("n2", {KEY: 1})
+    loads = backend_loads_lib.BackendLoads(clock, service_of=lambda _: SERVICE)
+    loads.record_peer_requests("n2", {KEY: 1})
     clock.advance(datetime.timedelta(seconds=3))
-    loads.peer_told("n2", {KEY: 30})
-    assert loads.unseen(SERVICE) == 0.0
+    loads.record_peer_requests("n2", {KEY: 30})
+    assert loads.unreported_requests(SERVICE) == 0.0
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -9,63 +9,64 @@
 
 import hypothesis
 from hypothesis import strategies as st
-import model_ranks
 import pytest
+import rank_simulator
 
 from lugcross import experts
 
-SIZE = 3
+RANK_COUNT = 3
 MAPS = [
-    experts.ExpertMap(tuple(((num, rank),) for rank in range(SIZE)))
+    experts.ExpertMap(tuple(((num, rank),) for rank in range(RANK_COUNT)))
     for num in range(3)
 ]
-OWNERS = 2
+PROCESS_COUNT = 2
 #: Classes of passes that numbers stand for. Passes of one class may be
 #: held by two processes at once, and then one releases the other's (see
 #: docs/design/0006-expert-maps.md); so whoever is at work here has a class
 #: of its own, and a process that starts anew has not that of the last one.
-STEP_CLASSES = 4
+PASS_CLASS_COUNT = 4
 #: Walks of one seed, and events in each.
-WALKS = 60
-STEPS = 500
+WALK_COUNT = 60
+EVENTS_PER_WALK_COUNT = 500
 
 Event = tuple[Callable[["Fleet", int], None], int]
 
 
 @dataclasses.dataclass
-class Holder:
-    """A process that believes that maps are its duty.
+class SwitchingProcess:
+    """A process that believes that it leads.
 
-    :param waits: orders of the round whose answers it still waits for.
+    :param unanswered_count: orders of the round whose answers it still waits
+        for.
     :param generation: number of its lease, where ranks check it; it may
         have been superseded without its knowing.
     """
 
     index: int
-    owner: experts.Owner
+    allocator: experts.NumberAllocator
     life: int = 0
-    switch: experts.Switch | None = None
+    switch: experts.MapSwitch | None = None
     epoch: int = 0
-    waits: int = 0
+    unanswered_count: int = 0
     generation: int | None = None
 
 
 @dataclasses.dataclass
-class Flying:
+class InFlightOrder:
     """An order on its way; nobody waits for its answer once it is late."""
 
     rank: experts.Rank
     order: experts.Order
     epoch: int
-    sender: Holder | None
-    switch: experts.Switch | None
+    sender: SwitchingProcess | None
+    switch: experts.MapSwitch | None
     life: tuple[int, int]
     generation: int | None
 
 
-def _number(index: int, life: int) -> int:
+def _allocator_number(index: int, life: int) -> int:
     """Return a number never used before, of a class not used lately."""
-    return life * OWNERS + index
+    return life * PROCESS_COUNT + index
 
 
 class Fleet:
@@ -79,100 +80,107 @@
     def __init__(self, *, fenced: bool = False) -> None:
         self.fenced = fenced
         self.claims = 0
-        self.group = model_ranks.ModelGroup(SIZE, MAPS[0])
-        self.holders = [
-            Holder(num, experts.Owner(_number(num, 0)))
-            for num in range(OWNERS)
+        self.group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
+        self.processes = [
+            SwitchingProcess(
+                num, experts.NumberAllocator(_allocator_number(num, 0))
+            )
+            for num in range(PROCESS_COUNT)
         ]
-        self.flying: list[Flying] = []
-        self.look(0)
+        self.in_flight: list[InFlightOrder] = []
+        self.read_reports(0)
 
-    def _holder(self, pick: int) -> Holder:
-        return self.holders[pick % OWNERS]
+    def _process(self, pick: int) -> SwitchingProcess:
+        return self.processes[pick % PROCESS_COUNT]
 
     def claim(self, pick: int) -> None:
         """Take the lease, whoever has it; that one is not told."""
-        holder = self._holder(pick)
-        if self.fenced and holder.switch is None:
+        process = self._process(pick)
+        if self.fenced and process.switch is None:
             self.claims += 1
-            holder.generation = self.claims
-            holder.owner.take_turn(experts.Generation(self.claims))
+            process.generation = self.claims
+            process.allocator.use_generation(experts.Generation(self.claims))
 
-    def _may_begin(self, holder: Holder) -> bool:
-        rests = self.fenced and holder.generation is None
-        return holder.switch is None and not rests
+    def _may_begin(self, process: SwitchingProcess) -> bool:
+        rests = self.fenced and process.generation is None
+        return process.switch is None and not rests
 
     def start(self, pick: int) -> None:
-        holder = self._holder(pick)
-        if not self._may_begin(holder) or self.old[0].held is not None:
+        process = self._process(pick)
+        if (
+            not self._may_begin(process)
+            or self.last_reports[0].held_pass is not None
+        ):
             return
-        newest = max(report.newest for report in self.old)
-        self._begin(
-            holder,
-            experts.Switch(
-                size=SIZE,
-                version=holder.owner.version(newest),
-                after=MAPS[pick % len(MAPS)],
-                before=self.group.ranks[0].used[1],
-                owner=holder.owner,
-                since=experts.Step(self.group.step),
+        newest = max(report.highest_version for report in self.last_reports)
+        self._start_switch(
+            process,
+            experts.MapSwitch(
+                rank_count=RANK_COUNT,
+                version=process.allocator.next_version(newest),
+                new_map=MAPS[pick % len(MAPS)],
+                old_map=self.group.ranks[0].version_and_map[1],
+                allocator=process.allocator,
+                pass_at_planning=experts.PassNumber(self.group.last_pass),
             ),
         )
 
-    def finish_what_is_held(self, pick: int) -> None:
-        holder = self._holder(pick)
-        held = self.old[0].held
-        if not self._may_begin(holder) or held is None:
+    def resume_switch(self, pick: int) -> None:
+        process = self._process(pick)
+        held = self.last_reports[0].held_pass
+        if not self._may_begin(process) or held is None:
             return
         armed = [
-            one.armed.version
-            for one in self.old
-            if one.armed and one.armed.step == held
+            one.armed_order.version
+            for one in self.last_reports
+            if one.armed_order and one.armed_order.pass_number == held
         ]
-        newest = max(one.newest for one in self.old)
-        self._begin(
-            holder,
-            experts.Switch.found(
-                size=SIZE,
-                newest=newest,
-                armed=max(armed, default=None),
-                step=held,
-                before=self.group.ranks[0].used[1],
-                owner=holder.owner,
+        newest = max(one.highest_version for one in self.last_reports)
+        self._start_switch(
+            process,
+            experts.MapSwitch.resume(
+                rank_count=RANK_COUNT,
+                highest_version=newest,
+                armed_version=max(armed, default=None),
+                held_pass=held,
+                old_map=self.group.ranks[0].version_and_map[1],
+                allocator=process.allocator,
             ),
         )
 
-    def _begin(self, holder: Holder, switch: experts.Switch) -> None:
-        holder.epoch = self.old[0].epoch
-        holder.waits = 0
-        holder.switch = switch
+    def _start_switch(
+        self, process: SwitchingProcess, switch: experts.MapSwitch
+    ) -> None:
+        process.epoch = self.last_reports[0].epoch
+        process.unanswered_count = 0
+        process.switch = switch
 
     def send(self, pick: int) -> None:
-        holder = self._holder(pick)
-        switch = holder.switch
-        if switch is None or holder.waits:
+        process = self._process(pick)
+        switch = process.switch
+        if switch is None or process.unanswered_count:
             return
-        if switch.phase is experts.Phase.OVER:
-            holder.switch = None
-        elif switch.phase is experts.Phase.COPY or switch.hold_refused:
+        if switch.phase is experts.SwitchPhase.OVER:
+            process.switch = None
+        elif switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
             report = self.group.report(0)
-            if report.held is not None:
+            if report.held_pass is not None:
                 return
-            switch.copied(report.step)
-            switch.hold_later(report.step)
+            switch.note_copied(report.last_pass)
+            switch.hold_later_pass(report.last_pass)
         else:
-            todo = switch.todo()
-            life = holder.index, holder.life
-            holder.waits = len(todo)
-            self.flying += [
-                Flying(
+            todo = switch.pending_orders()
+            life = process.index, process.life
+            process.unanswered_count = len(todo)
+            self.in_flight += [
+                InFlightOrder(
                     rank,
                     order,
-                    holder.epoch,
-                    holder,
+                    process.epoch,
+                    process,
                     switch,
                     life,
-                    holder.generation,
+                    process.generation,
                 )
                 for rank, order in todo
             ]
@@ -184,52 +192,60 @@
         self._arrive(pick, heard=False)
 
     def _arrive(self, pick: int, *, heard: bool) -> None:
-        if not self.flying:
+        if not self.in_flight:
             return
-        one = self.flying.pop(pick % len(self.flying))
-        verdict = self.group.obey(
+        one = self.in_flight.pop(pick % len(self.in_flight))
+        result = self.group.execute(
             one.rank, one.order, one.epoch, one.generation
         )
-        self._tell(one, verdict if heard else experts.Verdict.UNKNOWN)
+        self._deliver_result(
+            one, result if heard else experts.OrderResult.UNKNOWN
+        )
 
     def time_out(self, pick: int) -> None:
         """Its sender waits no more; the order itself comes later."""
-        waiting = [one for one in self.flying if one.sender is not None]
+        waiting = [one for one in self.in_flight if one.sender is not None]
         if waiting:
             one = waiting[pick % len(waiting)]
-            self._tell(one, experts.Verdict.UNKNOWN)
+            self._deliver_result(one, experts.OrderResult.UNKNOWN)
             one.sender = None
 
-    def _tell(self, one: Flying, verdict: experts.Verdict) -> None:
-        holder = one.sender
-        if holder is None or holder.switch is not one.switch:
+    def _deliver_result(
+        self, one: InFlightOrder, result: experts.OrderResult
+    ) -> None:
+        process = one.sender
+        if process is None or process.switch is not one.switch:
             return
-        assert holder.switch is not None
-        holder.waits -= 1
-        holder.switch.take(one.rank, one.order, verdict)
-        if verdict is experts.Verdict.FENCED:
-            assert holder.switch.phase is experts.Phase.OVER
-            holder.generation = None
+        assert process.switch is not None
+        process.unanswered_count -= 1
+        process.switch.apply_result(one.rank, one.order, result)
+        if result is experts.OrderResult.FENCED:
+            assert process.switch.phase is experts.SwitchPhase.OVER
+            process.generation = None
 
     def die(self, pick: int) -> None:
-        holder = self._holder(pick)
-        holder.switch = None
+        process = self._process(pick)
+        process.switch = None
         # What the life before the last one sent has arrived by now.
-        self.flying = [
+        self.in_flight = [
             one
-            for one in self.flying
-            if one.life != (holder.index, holder.life - 1)
+            for one in self.in_flight
+            if one.life != (process.index, process.life - 1)
         ]
-        holder.life += 1
-        holder.generation = None
-        holder.owner = experts.Owner(_number(holder.index, holder.life))
+        process.life += 1
+        process.generation = None
+        process.allocator = experts.NumberAllocator(
+            _allocator_number(process.index, process.life)
+        )
 
     def copy(self, pick: int) -> None:
-        self.group.ranks[pick % SIZE].copied = True
+        self.group.ranks[pick % RANK_COUNT].has_copied = True
 
-    def look(self, pick: int) -> None:
+    def read_reports(self, pick: int) -> None:
         del pick
-        self.old = [self.group.report(rank) for rank in range(SIZE)]
+        self.last_reports = [
+            self.group.report(rank) for rank in range(RANK_COUNT)
+        ]
 
     def pass_begins(self, pick: int) -> None:
         del pick
@@ -237,20 +253,20 @@
 
     def form_anew(self, pick: int) -> None:
         del pick
-        self.group.form()
+        self.group.form_anew()
 
 
 #: Events, each as often as it stands to the others in a walk.
 WEIGHTS = {
     Fleet.start: 3.0,
-    Fleet.finish_what_is_held: 1.0,
+    Fleet.resume_switch: 1.0,
     Fleet.send: 8.0,
     Fleet.arrive: 20.0,
     Fleet.arrive_unheard: 2.0,
     Fleet.time_out: 2.0,
     Fleet.die: 0.2,
     Fleet.copy: 6.0,
-    Fleet.look: 4.0,
+    Fleet.read_reports: 4.0,
     Fleet.pass_begins: 4.0,
     Fleet.form_anew: 0.05,
     Fleet.claim: 0.2,
@@ -289,33 +305,35 @@
     events = list(WEIGHTS)
     weights = list(WEIGHTS.values())
     switched = 0
-    for _ in range(WALKS):
+    for _ in range(WALK_COUNT):
         fleet = Fleet(fenced=fenced)
-        for event in rng.choices(events, weights, k=STEPS):
+        for event in rng.choices(events, weights, k=EVENTS_PER_WALK_COUNT):
             event(fleet, rng.randrange(60))
-        switched += fleet.group.ranks[0].used[0] > 0
+        switched += fleet.group.ranks[0].version_and_map[0] > 0
     # Walks in which nothing is ever switched would prove nothing.
-    assert switched > WALKS // 10
+    assert switched > WALK_COUNT // 10
 
 
 #: Makes what a sender hears of an order from what became of it.
-Hearing = Callable[[experts.Order, experts.Verdict], experts.Verdict]
+ResultFilter = Callable[
+    [experts.Order, experts.OrderResult], experts.OrderResult
+]
 
 
-def hears_all(
-    order: experts.Order, verdict: experts.Verdict
-) -> experts.Verdict:
+def all_results(
+    order: experts.Order, result: experts.OrderResult
+) -> experts.OrderResult:
     del order
-    return verdict
+    return result
 
 
 def advance(
-    group: model_ranks.ModelGroup,
-    switch: experts.Switch,
+    group: rank_simulator.SimulatedGroup,
+    switch: experts.MapSwitch,
     *,
-    copied: Sequence[int] = range(SIZE),
+    copied: Sequence[int] = range(RANK_COUNT),
     most: int | None = None,
-    hears: Hearing = hears_all,
+    result_filter: ResultFilter = all_results,
 ) -> int:
     """Carry out one round of a switch.
 
@@ -323,47 +341,47 @@
     :param most: orders that are sent at most.
     :returns: how many orders were sent.
     """
-    if switch.phase is experts.Phase.COPY or switch.hold_refused:
+    if switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
         for rank in copied:
-            group.ranks[rank].copied = True
+            group.ranks[rank].has_copied = True
         group.begin_pass()
-        switch.copied(experts.Step(group.step))
-        switch.hold_later(experts.Step(group.step))
+        switch.note_copied(experts.PassNumber(group.last_pass))
+        switch.hold_later_pass(experts.PassNumber(group.last_pass))
         return 0
-    todo = switch.todo()[:most]
+    todo = switch.pending_orders()[:most]
     for rank, order in todo:
-        verdict = group.obey(rank, order, group.epoch)
-        switch.take(rank, order, hears(order, verdict))
+        result = group.execute(rank, order, group.epoch)
+        switch.apply_result(rank, order, result_filter(order, result))
     return len(todo)
 
 
 def drive(
-    group: model_ranks.ModelGroup,
-    switch: experts.Switch,
+    group: rank_simulator.SimulatedGroup,
+    switch: experts.MapSwitch,
     *,
-    copied: Sequence[int] = range(SIZE),
-    hears: Hearing = hears_all,
+    copied: Sequence[int] = range(RANK_COUNT),
+    result_filter: ResultFilter = all_results,
 ) -> None:
     """Carry out a switch to its end."""
     for _ in range(200):
-        if switch.phase is experts.Phase.OVER:
+        if switch.phase is experts.SwitchPhase.OVER:
             return
-        advance(group, switch, copied=copied, hears=hears)
+        advance(group, switch, copied=copied, result_filter=result_filter)
     raise AssertionError(f"still in {switch.phase}")
 
 
-def assert_runs_on(group: model_ranks.ModelGroup) -> None:
+def assert_runs_on(group: rank_simulator.SimulatedGroup) -> None:
     for _ in range(5):
         assert group.begin_pass()
 
 
-def new_switch(version: int = 5) -> experts.Switch:
-    return experts.Switch(
-        size=SIZE,
+def new_switch(version: int = 5) -> experts.MapSwitch:
+    return experts.MapSwitch(
+        rank_count=RANK_COUNT,
         version=experts.MapVersion(version),
-        after=MAPS[1],
-        before=MAPS[0],
-        owner=experts.Owner(1),
+        new_map=MAPS[1],
+        old_map=MAPS[0],
+        allocator=experts.NumberAllocator(1),
     )
 
 
@@ -371,124 +389,132 @@
 def test_ranks_take_up_the_map_whatever_answers_are_lost(deaf: int) -> None:
     answers = itertools.count(1)
 
-    def hears(
-        order: experts.Order, verdict: experts.Verdict
-    ) -> experts.Verdict:
+    def result_filter(
+        order: experts.Order, result: experts.OrderResult
+    ) -> experts.OrderResult:
         del order
         lost = deaf and next(answers) % deaf == 0
-        return experts.Verdict.UNKNOWN if lost else verdict
+        return experts.OrderResult.UNKNOWN if lost else result
 
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    drive(group, switch, hears=hears)
-    assert switch.outcome is experts.Outcome.SWITCHED
+    drive(group, switch, result_filter=result_filter)
+    assert switch.outcome is experts.SwitchOutcome.SWITCHED
     assert_runs_on(group)
-    assert [rank.used for rank in group.ranks] == [(5, MAPS[1])] * SIZE
+    assert [rank.version_and_map for rank in group.ranks] == [
+        (5, MAPS[1])
+    ] * RANK_COUNT
 
 
 def test_group_runs_on_where_one_rank_cannot_be_armed() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    drive(group, switch, copied=range(SIZE - 1))
-    assert switch.outcome is experts.Outcome.VOIDED
+    drive(group, switch, copied=range(RANK_COUNT - 1))
+    assert switch.outcome is experts.SwitchOutcome.VOIDED
     assert_runs_on(group)
-    assert [rank.used[1] for rank in group.ranks] == [MAPS[0]] * SIZE
+    assert [rank.version_and_map[1] for rank in group.ranks] == [
+        MAPS[0]
+    ] * RANK_COUNT
 
 
 @pytest.mark.parametrize("sent", range(0, 14))
 def test_successor_ends_a_hold_wherever_the_holder_died(sent: int) -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     left = sent
-    while left > 0 and switch.phase is not experts.Phase.OVER:
+    while left > 0 and switch.phase is not experts.SwitchPhase.OVER:
         left -= advance(group, switch, most=left)
     report = group.report(0)
-    if report.held is not None:
-        armed = [one.armed for one in group.ranks if one.armed]
-        newest = max(group.report(rank).newest for rank in range(SIZE))
-        found = experts.Switch.found(
-            size=SIZE,
-            newest=newest,
-            armed=max((one.version for one in armed), default=None),
-            step=report.held,
-            before=MAPS[0],
-            owner=experts.Owner(2),
+    if report.held_pass is not None:
+        armed = [one.armed_order for one in group.ranks if one.armed_order]
+        newest = max(
+            group.report(rank).highest_version for rank in range(RANK_COUNT)
+        )
+        found = experts.MapSwitch.resume(
+            rank_count=RANK_COUNT,
+            highest_version=newest,
+            armed_version=max((one.version for one in armed), default=None),
+            held_pass=report.held_pass,
+            old_map=MAPS[0],
+            allocator=experts.NumberAllocator(2),
         )
         drive(group, found)
     assert_runs_on(group)
 
 
 def test_holder_that_wakes_after_a_successor_changes_nothing() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     slow = new_switch()
-    while slow.phase is not experts.Phase.ARM:
+    while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
-    late = slow.todo()
-    found = experts.Switch.found(
-        size=SIZE,
-        newest=slow.version,
-        armed=slow.version,
-        step=slow.step,
-        before=MAPS[0],
-        owner=experts.Owner(2),
+    late = slow.pending_orders()
+    found = experts.MapSwitch.resume(
+        rank_count=RANK_COUNT,
+        highest_version=slow.version,
+        armed_version=slow.version,
+        held_pass=slow.target_pass,
+        old_map=MAPS[0],
+        allocator=experts.NumberAllocator(2),
     )
     drive(group, found)
     for rank, order in late:
-        group.obey(rank, order, group.epoch)
+        group.execute(rank, order, group.epoch)
     assert_runs_on(group)
 
 
 def test_pass_is_released_though_the_first_release_gets_no_answer() -> None:
     lost: list[experts.Order] = []
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    while switch.phase is not experts.Phase.OVER:
-        todo = switch.todo()
+    while switch.phase is not experts.SwitchPhase.OVER:
+        todo = switch.pending_orders()
         releases = [one for _, one in todo if isinstance(one, experts.Release)]
         if releases and len(lost) < 3:
             # Lost on its way: the rank never hears of it.
             lost += releases
             for rank, order in todo:
-                switch.take(rank, order, experts.Verdict.UNKNOWN)
+                switch.apply_result(rank, order, experts.OrderResult.UNKNOWN)
             continue
         advance(group, switch)
     assert len(lost) == 3
-    assert not group.held
+    assert not group.next_pass_is_held
     assert group.begin_pass()
 
 
 def test_group_that_makes_no_passes_is_left_alone() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    for rank, order in switch.todo():
-        switch.take(rank, order, group.obey(rank, order, group.epoch))
-    switch.copied(experts.Step(group.step))
-    assert switch.phase is experts.Phase.OVER
-    assert switch.outcome is experts.Outcome.LEFT
+    for rank, order in switch.pending_orders():
+        switch.apply_result(
+            rank, order, group.execute(rank, order, group.epoch)
+        )
+    switch.note_copied(experts.PassNumber(group.last_pass))
+    assert switch.phase is experts.SwitchPhase.OVER
+    assert switch.outcome is experts.SwitchOutcome.CANCELLED
 
 
 def test_version_is_never_chosen_twice() -> None:
-    owner = experts.Owner(7)
-    first = owner.version(experts.MapVersion(0))
-    assert owner.version(experts.MapVersion(0)) > first
+    allocator = experts.NumberAllocator(7)
+    first = allocator.next_version(experts.MapVersion(0))
+    assert allocator.next_version(experts.MapVersion(0)) > first
 
 
-def test_orders_of_an_earlier_life_of_the_group_are_left() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+def test_switch_is_cancelled_when_its_epoch_ends() -> None:
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    switch.epoch_over()
-    assert switch.phase is experts.Phase.OVER
-    assert switch.outcome is experts.Outcome.LEFT
+    switch.note_epoch_ended()
+    assert switch.phase is experts.SwitchPhase.OVER
+    assert switch.outcome is experts.SwitchOutcome.CANCELLED
     assert group.begin_pass()
 
 
 @pytest.mark.parametrize("after", range(6))
 def test_processes_of_unlike_classes_never_hold_one_pass(after: int) -> None:
     steps = [
-        experts.Owner(number).step(experts.Step(after))
-        for number in range(STEP_CLASSES)
+        experts.NumberAllocator(number).next_pass(experts.PassNumber(after))
+        for number in range(PASS_CLASS_COUNT)
     ]
-    assert len(set(steps)) == STEP_CLASSES
+    assert len(set(steps)) == PASS_CLASS_COUNT
     assert min(steps) > after
 
 
@@ -496,22 +522,22 @@
 def test_holders_in_a_row_never_hold_one_pass(after: int) -> None:
     steps = []
     for generation in (7, 8):
-        owner = experts.Owner(3)
-        owner.take_turn(experts.Generation(generation))
-        steps.append(owner.step(experts.Step(after)))
+        allocator = experts.NumberAllocator(3)
+        allocator.use_generation(experts.Generation(generation))
+        steps.append(allocator.next_pass(experts.PassNumber(after)))
     assert len(set(steps)) == 2
     assert min(steps) == after + 1
 
 
 def test_superseded_holder_gives_no_further_order() -> None:
-    group = model_ranks.ModelGroup(SIZE, MAPS[0])
+    group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     slow = new_switch()
-    while slow.phase is not experts.Phase.ARM:
+    while slow.phase is not experts.SwitchPhase.ARM:
         advance(group, slow)
-    for rank in range(SIZE):
-        group.ranks[rank].fence = 2
-    (rank, order), *_ = slow.todo()
-    slow.take(rank, order, group.obey(rank, order, group.epoch, 1))
-    assert slow.phase is experts.Phase.OVER
-    assert not slow.todo()
-    assert not group.ranks[rank].armed
+    for rank in range(RANK_COUNT):
+        group.ranks[rank].min_generation = 2
+    (rank, order), *_ = slow.pending_orders()
+    slow.apply_result(rank, order, group.execute(rank, order, group.epoch, 1))
+    assert slow.phase is experts.SwitchPhase.OVER
+    assert not slow.pending_orders()
+    assert not group.ranks[rank].armed_order
--- a/testing/platform/test_engines.py
+++ b/testing/platform/test_engine_client.py
@@ -16,8 +16,13 @@
 from lugcross import platform
 
 BACKEND = edge_rig.backend()
-LIMITS = experts.Limits(
-    sets=2, experts=3, places=2, spare=1, copy_s=0.1, share=0.8
+LIMITS = experts.ExpertLimits(
+    layer_set_count=2,
+    expert_count=3,
+    max_experts_per_rank=2,
+    max_new_experts_per_map=1,
+    copy_s=0.1,
+    expert_time_ratio=0.8,
 )
 REPORT = {
     "group": {"name": "g", "epoch": 2, "rank": 1, "state": "open"},
@@ -32,7 +37,7 @@
 }
 
 
-class Wire:
+class FakeTransport:
     """Answers every request alike and keeps what was asked."""
 
     def __init__(self, status: int, answer: object) -> None:
@@ -43,59 +48,63 @@
     async def exchange(
         self, backend: desired.Backend, method: str, target: str, body: bytes
     ) -> tuple[int, bytes]:
-        assert backend == dataclasses.replace(BACKEND, born=backend.born)
+        assert backend == dataclasses.replace(
+            BACKEND, started_at_ms=backend.started_at_ms
+        )
         self.asked.append((method, target, body))
         if isinstance(self.answer, Exception):
             raise self.answer
         return self.status, json.dumps(self.answer).encode()
 
 
-def engines(
+def engine_client(
     answer: object, status: int = 200
-) -> tuple[platform.Engines, Wire]:
-    wire = Wire(status, answer)
-    return platform.Engines(wire.exchange, wire.exchange), wire
+) -> tuple[platform.EngineClient, FakeTransport]:
+    transport = FakeTransport(status, answer)
+    return platform.EngineClient(
+        transport.exchange, transport.exchange
+    ), transport
 
 
 def test_report_is_decoded_into_what_its_fields_say():
-    asked, wire = engines(REPORT)
-    report = asyncio.run(asked.report(BACKEND))
-    assert wire.asked == [("GET", "/report", b"")]
-    assert report == experts.Report(
+    client, transport = engine_client(REPORT)
+    report = asyncio.run(client.report(BACKEND))
+    assert transport.asked == [("GET", "/report", b"")]
+    assert report == experts.RankReport(
         group="g",
-        size=8,
+        rank_count=8,
         rank=experts.Rank(1),
         epoch=experts.Epoch(2),
         is_open=True,
-        running=4,
-        step=experts.Step(46),
-        used=experts.MapVersion(5),
-        prepared=experts.MapVersion(6),
-        armed=experts.Arm(experts.MapVersion(6), experts.Step(60)),
-        held=experts.Step(60),
+        request_count=4,
+        last_pass=experts.PassNumber(46),
+        version_in_use=experts.MapVersion(5),
+        prepared_version=experts.MapVersion(6),
+        armed_order=experts.Arm(experts.MapVersion(6), experts.PassNumber(60)),
+        held_pass=experts.PassNumber(60),
     )
 
 
 def test_engine_without_a_group_has_no_report():
-    asked, _ = engines({"running": 1})
-    assert asyncio.run(asked.report(BACKEND)) is None
+    client, _ = engine_client({"running": 1})
+    assert asyncio.run(client.report(BACKEND)) is None
 
 
 def test_group_that_is_not_open_is_broken():
     group = {**REPORT["group"], "state": "broken"}
-    asked, _ = engines({**REPORT, "group": group})
-    report = asyncio.run(asked.report(BACKEND))
+    client, _ = engine_client({**REPORT, "group": group})
+    report = asyncio.run(client.report(BACKEND))
     assert report is not None
     assert not report.is_open
 
 
 def test_counts_are_split_into_sets():
-    asked, wire = engines(
+    client, transport = engine_client(
         {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
     )
-    counts = asyncio.run(asked.counts(BACKEND, LIMITS))
-    assert wire.asked == [("GET", "/picked", b"")]
-    assert counts.sets == ((1, 2, 3), (4, 5, 6))
+    counts = asyncio.run(client.counts(BACKEND, LIMITS))
+    assert transport.asked == [("GET", "/picked", b"")]
+    assert counts.uses_by_set == ((1, 2, 3), (4, 5, 6))
 
 
 @pytest.mark.parametrize(
@@ -103,15 +112,15 @@
     [
         {"step": 9, "epoch": 1, "counts": [1, 2]},
         {"step": 9},
-        http1.BrokenError("cut", remedy=""),
+        http1.ConnectionBrokenError("cut", remedy=""),
         http1.NoConnectionError("none", remedy=""),
     ],
     ids=["short", "malformed", "cut", "unreached"],
 )
 def test_counts_that_cannot_be_had_are_an_error_that_says_so(answer: object):
-    asked, _ = engines(answer)
-    with pytest.raises(platform.EngineError, match="i-1"):
-        asyncio.run(asked.counts(BACKEND, LIMITS))
+    client, _ = engine_client(answer)
+    with pytest.raises(platform.EngineQueryError, match="i-1"):
+        asyncio.run(client.counts(BACKEND, LIMITS))
 
 
 @pytest.mark.parametrize(
@@ -120,8 +129,8 @@
     ids=["usual", "slow", "fast", "absurd"],
 )
 def test_rank_tells_how_slow_it_is(pace: float, slowness: float):
-    asked, _ = engines({**REPORT, "pace": pace})
-    report = asyncio.run(asked.report(BACKEND))
+    client, _ = engine_client({**REPORT, "pace": pace})
+    report = asyncio.run(client.report(BACKEND))
     assert report is not None
     assert report.slowness == slowness
 
@@ -138,37 +147,39 @@
     ),
 )
 def test_any_report_is_read_or_no_answer(field: str, value: object):
-    asked, _ = engines({**REPORT, field: value})
+    client, _ = engine_client({**REPORT, field: value})
     try:
-        report = asyncio.run(asked.report(BACKEND))
-    except platform.EngineError:
+        report = asyncio.run(client.report(BACKEND))
+    except platform.EngineQueryError:
         return
     assert report is None or 1.0 <= report.slowness <= 100.0
 
 
 @pytest.mark.parametrize("told", [2000, 1000, None])
-def test_answer_of_another_life_is_no_answer(told: int | None):
+def test_answer_of_another_instance_is_an_error(told: int | None):
     """An engine that started again knows nothing of what it was told before.
 
     Its address may stay: without a look at its start a new life's counts
     would be taken off those of the old one.
     """
-    backend = dataclasses.replace(BACKEND, born=1000)
+    backend = dataclasses.replace(BACKEND, started_at_ms=1000)
     answer = {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
-    asked, _ = engines(answer if told is None else {**answer, "born": told})
+    client, _ = engine_client(
+        answer if told is None else {**answer, "born": told}
+    )
     if told == 2000:
-        with pytest.raises(platform.EngineError, match="another life"):
-            asyncio.run(asked.counts(backend, LIMITS))
+        with pytest.raises(platform.EngineQueryError, match="another life"):
+            asyncio.run(client.counts(backend, LIMITS))
     else:
-        assert asyncio.run(asked.counts(backend, LIMITS)).step == 9
+        assert asyncio.run(client.counts(backend, LIMITS)).last_pass == 9
 
 
 def test_held_experts_are_those_of_the_map_in_use():
-    asked, wire = engines(
+    client, transport = engine_client(
         {"epoch": 1, "map": {"version": 3, "experts": [[0, 2], [1]]}}
     )
-    assert asyncio.run(asked.held_experts(BACKEND)) == ((0, 2), (1,))
-    assert wire.asked[0][1].startswith("/picked?lists")
+    assert asyncio.run(client.held_experts(BACKEND)) == ((0, 2), (1,))
+    assert transport.asked[0][1].startswith("/picked?lists")
 
 
 MAP = experts.ExpertMap((((0, 1), (2,)), ((2,), (0, 1))))
@@ -186,7 +197,7 @@
             },
         ),
         (
-            experts.Arm(experts.MapVersion(7), experts.Step(9)),
+            experts.Arm(experts.MapVersion(7), experts.PassNumber(9)),
             {"operation": "arm", "version": 7, "step": 9},
         ),
         (
@@ -194,53 +205,57 @@
             {"operation": "disarm", "version": 7},
         ),
         (
-            experts.Hold(experts.Step(9)),
+            experts.Hold(experts.PassNumber(9)),
             {"operation": "hold", "step": 9},
         ),
         (
-            experts.Release(experts.Step(9)),
+            experts.Release(experts.PassNumber(9)),
             {"operation": "go", "step": 9},
         ),
     ],
     ids=["prepare", "arm", "disarm", "hold", "release"],
 )
 def test_order_names_its_epoch(order: experts.Order, body: dict[str, object]):
-    asked, wire = engines({})
-    asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), None))
-    method, target, sent = wire.asked[0]
+    client, transport = engine_client({})
+    asyncio.run(client.order(BACKEND, order, experts.Epoch(4), None))
+    method, target, sent = transport.asked[0]
     assert (method, target) == ("POST", "/order")
     assert json.loads(sent) == {**body, "epoch": 4}
 
 
 def test_order_carries_the_number_of_the_lease():
-    asked, wire = engines({})
-    order = experts.Hold(experts.Step(1))
+    client, transport = engine_client({})
+    order = experts.Hold(experts.PassNumber(1))
     number = experts.Generation(7)
-    asyncio.run(asked.order(BACKEND, order, experts.Epoch(4), number))
-    assert json.loads(wire.asked[0][2])["fence"] == 7
+    asyncio.run(client.order(BACKEND, order, experts.Epoch(4), number))
+    assert json.loads(transport.asked[0][2])["fence"] == 7
 
 
 @pytest.mark.parametrize(
     ("status", "answer", "verdict"),
     [
-        (200, {}, experts.Verdict.DONE),
-        (202, {}, experts.Verdict.DONE),
-        (409, {}, experts.Verdict.REFUSED),
-        (412, {}, experts.Verdict.FENCED),
-        (503, {}, experts.Verdict.UNKNOWN),
-        (200, http1.BrokenError("cut", remedy=""), experts.Verdict.UNKNOWN),
+        (200, {}, experts.OrderResult.DONE),
+        (202, {}, experts.OrderResult.DONE),
+        (409, {}, experts.OrderResult.REFUSED),
+        (412, {}, experts.OrderResult.FENCED),
+        (503, {}, experts.OrderResult.UNKNOWN),
+        (
+            200,
+            http1.ConnectionBrokenError("cut", remedy=""),
+            experts.OrderResult.UNKNOWN,
+        ),
         (
             200,
             http1.NoConnectionError("none", remedy=""),
-            experts.Verdict.UNKNOWN,
+            experts.OrderResult.UNKNOWN,
         ),
     ],
     ids=["holds", "begun", "conflict", "fenced", "away", "cut", "unreached"],
 )
 def test_answer_to_an_order_tells_what_became_of_it(
-    status: int, answer: object, verdict: experts.Verdict
+    status: int, answer: object, verdict: experts.OrderResult
 ):
-    asked, _ = engines(answer, status)
-    order = experts.Hold(experts.Step(1))
-    found = asyncio.run(asked.order(BACKEND, order, experts.Epoch(1), None))
+    client, _ = engine_client(answer, status)
+    order = experts.Hold(experts.PassNumber(1))
+    found = asyncio.run(client.order(BACKEND, order, experts.Epoch(1), None))
     assert found is verdict
--- a/testing/platform/test_store.py
+++ b/testing/platform/test_store_client.py
@@ -23,7 +23,7 @@
 Act = Callable[[standin.StoreStandin, platform.StoreClient], Awaitable[object]]
 
 
-def _play(act: Act) -> object:
+def _run_with_store(act: Act) -> object:
     async def main() -> object:
         store = standin.StoreStandin()
         client = platform.StoreClient(
@@ -40,23 +40,23 @@
 
 def test_newest_records_come_from_all_pages_and_follow_the_first_end():
     async def act(store, client):
-        store.page = 2
+        store.page_size = 2
         for key in ("a", "b", "c", "a"):
             store.append(TOPIC, key, key.encode())
-        tail = await client.newest(TOPIC)
-        return [(r.offset, r.key) for r in tail.records], tail.end
+        tail = await client.read_newest(TOPIC)
+        return [(r.position, r.key) for r in tail.records], tail.end
 
-    assert _play(act) == ([(3, "a"), (1, "b"), (2, "c")], 4)
+    assert _run_with_store(act) == ([(3, "a"), (1, "b"), (2, "c")], 4)
 
 
-def test_tail_has_offsets_keys_values_and_removals():
+def test_read_has_positions_keys_values_and_removals():
     async def act(store, client):
         store.append(TOPIC, "a", b"1")
         store.append(TOPIC, "b", b"2")
         store.append(TOPIC, "a", b"")
-        return await client.tail(TOPIC, ids.Offset(1), wait=NO_WAIT)
+        return await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
 
-    tail = _play(act)
+    tail = _run_with_store(act)
     assert tail.end == 3
     assert tail.records == (
         platform.KeyedRecord(ids.Offset(1), "b", b"2"),
@@ -67,78 +67,78 @@
 def test_waiting_read_ends_with_the_next_record():
     async def act(store, client):
         read = asyncio.create_task(
-            client.tail(TOPIC, ids.Offset(0), wait=LONG)
+            client.read_from(TOPIC, ids.Offset(0), wait=LONG)
         )
-        while not store.calls:
+        while not store.called_paths:
             await asyncio.sleep(0)
         store.append(TOPIC, "a", b"1")
         return len((await read).records)
 
-    assert _play(act) == 1
+    assert _run_with_store(act) == 1
 
 
-def test_dropped_history_is_told_apart_from_an_outage():
+def test_compacted_history_is_told_apart_from_an_outage():
     async def act(store, client):
         store.append(TOPIC, "a", b"1")
-        store.drop_history(TOPIC)
+        store.compact(TOPIC)
         with pytest.raises(errors.OffsetExpiredError):
-            await client.tail(TOPIC, ids.Offset(0), wait=NO_WAIT)
-        store.busy = True
+            await client.read_from(TOPIC, ids.Offset(0), wait=NO_WAIT)
+        store.unavailable = True
         with pytest.raises(errors.LogUnavailableError):
-            await client.tail(TOPIC, ids.Offset(1), wait=NO_WAIT)
+            await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
         return True
 
-    assert _play(act)
+    assert _run_with_store(act)
 
 
-def test_put_is_read_back():
+def test_appended_record_is_read_back():
     async def act(store, client):
-        await client.put(TOPIC, "k", b"value")
-        tail = await client.newest(TOPIC)
+        await client.append(TOPIC, "k", b"value")
+        tail = await client.read_newest(TOPIC)
         return [(r.key, r.value) for r in tail.records]
 
-    assert _play(act) == [("k", b"value")]
+    assert _run_with_store(act) == [("k", b"value")]
 
 
 def test_store_that_is_not_there_is_an_outage():
     async def act(store, client):
         store.close()
         with pytest.raises(errors.LogUnavailableError):
-            await client.newest(TOPIC)
+            await client.read_newest(TOPIC)
         return True
 
-    assert _play(act)
+    assert _run_with_store(act)
 
 
 def test_connection_is_kept_between_calls():
     async def act(store, client):
-        await client.newest(TOPIC)
+        await client.read_newest(TOPIC)
         first = list(client._idle)
-        await client.newest(TOPIC)
+        await client.read_newest(TOPIC)
         return first == client._idle
 
-    assert _play(act)
+    assert _run_with_store(act)
 
 
-def test_conditional_write_counts_only_at_the_end_that_it_names():
+def test_conditional_append_counts_only_at_the_end_that_it_names():
     async def act(store, client):
-        end = await client.put_at(TOPIC, "a", b"1", ids.Offset(0))
+        end = await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
         with pytest.raises(errors.AppendConflictError):
-            await client.put_at(TOPIC, "a", b"2", ids.Offset(0))
-        return end, await client.newest(TOPIC)
+            await client.append_if_end(TOPIC, "a", b"2", ids.Offset(0))
+        return end, await client.read_newest(TOPIC)
 
-    end, tail = _play(act)
+    end, tail = _run_with_store(act)
     assert end == 1
     assert [record.value for record in tail.records] == [b"1"]
 
 
-def test_conditional_write_to_a_busy_store_is_unclear():
+def test_conditional_append_to_an_unavailable_store_is_unclear():
     async def act(store, client):
-        store.busy = True
+        store.unavailable = True
         with pytest.raises(errors.AppendUnknownError):
-            await client.put_at(TOPIC, "a", b"1", ids.Offset(0))
+            await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
 
-    _play(act)
+    _run_with_store(act)
 
 
 def test_silence_on_one_connection_gives_up_all_kept_ones(monkeypatch):
@@ -153,12 +153,12 @@
             "store:1", timeout=datetime.timedelta(seconds=1.5)
         )
         # Two calls side by side, so that two connections are kept.
-        await asyncio.gather(*(client.newest(TOPIC) for _ in range(2)))
+        await asyncio.gather(*(client.read_newest(TOPIC) for _ in range(2)))
         store.silence_connections()
         with pytest.raises(errors.LogUnavailableError, match="on a kept"):
-            await client.newest(TOPIC)
+            await client.read_newest(TOPIC)
         before = asyncio.get_running_loop().time()
-        await client.newest(TOPIC)
+        await client.read_newest(TOPIC)
         return asyncio.get_running_loop().time() - before
 
     assert virtual_time.run(main()) < 0.1
@@ -172,7 +172,7 @@
     async def call(target: str, body: bytes) -> tuple[int, bytes]:
         return 200, answer
 
-    monkeypatch.setattr(store.standin, "call", call)
+    monkeypatch.setattr(store.standin, "handle_request", call)
     return platform.StoreClient(
         "store:1", timeout=datetime.timedelta(seconds=1)
     )
@@ -200,12 +200,14 @@
         + b"".join(_words(len(one)) + one for one in (bad, good))
     )
 
-    async def main() -> platform.Tail:
+    async def main() -> platform.ReadResult:
         client = _client_of(monkeypatch, answer)
-        return await client.tail("t", ids.Offset(0), wait=datetime.timedelta())
+        return await client.read_from(
+            "t", ids.Offset(0), wait=datetime.timedelta()
+        )
 
     tail = virtual_time.run(main())
-    assert (tail.records[1].key, tail.records[1].offset) == ("a", 1)
+    assert (tail.records[1].key, tail.records[1].position) == ("a", 1)
     assert tail.records[0].value
 
 
@@ -216,9 +218,9 @@
     ]
     page = json.dumps({"items": items, "has_more": False, "end": 2})
 
-    async def main() -> platform.Tail:
+    async def main() -> platform.ReadResult:
         client = _client_of(monkeypatch, page.encode())
-        return await client.newest("t")
+        return await client.read_newest("t")
 
     tail = virtual_time.run(main())
     assert [one.key for one in tail.records] == ["a", "b"]
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -22,8 +22,8 @@
         name=ids.BackendName(name),
         domain=ids.DomainName(domain),
         usable=usable,
-        busy=busy,
-        sent=0,
+        reported_requests=busy,
+        sent_since_report=0,
         capacity=4,
     )
 
@@ -31,7 +31,7 @@
 def choose(
     *candidates: routing.Candidate, tried: tuple[str, ...] = ()
 ) -> str | None:
-    choice = routing.choose(
+    choice = routing.choose_backend(
         candidates,
         home=NEAR,
         tried=[ids.BackendName(name) for name in tried],
@@ -70,7 +70,9 @@
 def links(
     node: str, backends: list[cfg.BackendServer], count: int
 ) -> set[str]:
-    chosen = membership.subset(ids.NodeName(node), NEAR, backends, links=count)
+    chosen = membership.choose_backend_subset(
+        ids.NodeName(node), NEAR, backends, max_links=count
+    )
     assert len(chosen) == min(count, len(backends))
     return {one.name for one in chosen}
 
@@ -95,21 +97,21 @@
     assert "f0" in links("e", near + far, 24)
 
 
-def test_key_moves_only_when_its_own_home_goes() -> None:
+def test_key_moves_only_when_its_first_backend_is_removed() -> None:
     names = [ids.BackendName(f"b{num}") for num in range(20)]
     for num in range(200):
-        home = routing.first(f"key{num}", names)
+        home = routing.rendezvous_first(f"key{num}", names)
         others = [n for n in names if n != "b7"]
-        after = routing.first(f"key{num}", others)
+        after = routing.rendezvous_first(f"key{num}", others)
         assert after == home or home == "b7"
 
 
-def test_retries_stay_a_part_of_the_requests() -> None:
-    budget = routing.RetryBudget(ratio=0.1, saved=5.0)
+def test_retries_stay_within_the_ratio_of_requests() -> None:
+    budget = routing.RetryBudget(ratio=0.1, max_saved=5.0)
     spent = 0
     for _ in range(1000):
-        budget.earn()
-        spent += budget.spend()
+        budget.record_request()
+        spent += budget.try_spend()
     assert spent <= 105
 
 
@@ -130,38 +132,38 @@
     return datetime.timedelta(seconds=value)
 
 
-def failing(count: int) -> routing.Health:
-    health = routing.Health()
+def failing(count: int) -> routing.BackendHealth:
+    health = routing.BackendHealth()
     for _ in range(count):
-        health.failed(seconds(0))
+        health.record_failure(seconds(0))
     return health
 
 
 def test_faults_in_a_row_eject_and_a_success_between_does_not() -> None:
-    assert not failing(2).ejected(seconds(0))
-    assert failing(3).ejected(seconds(0))
+    assert not failing(2).is_ejected(seconds(0))
+    assert failing(3).is_ejected(seconds(0))
     health = failing(2)
-    health.worked()
-    health.failed(seconds(0))
-    assert not health.ejected(seconds(0))
+    health.record_success()
+    health.record_failure(seconds(0))
+    assert not health.is_ejected(seconds(0))
 
 
-def test_one_probe_decides_about_the_return() -> None:
+def test_one_probe_decides_whether_ejection_ends() -> None:
     health = failing(3)
     later = seconds(2)
-    assert not health.ejected(later)
-    health.sent(later)
-    assert health.ejected(later)
-    health.failed(later)
-    assert health.ejected(seconds(3.9))
-    assert not health.ejected(seconds(4.1))
-    health.sent(seconds(4.1))
-    health.worked()
-    assert not health.ejected(seconds(4.1))
-
-
-def test_probe_that_tells_nothing_lets_another_through() -> None:
+    assert not health.is_ejected(later)
+    health.record_sent(later)
+    assert health.is_ejected(later)
+    health.record_failure(later)
+    assert health.is_ejected(seconds(3.9))
+    assert not health.is_ejected(seconds(4.1))
+    health.record_sent(seconds(4.1))
+    health.record_success()
+    assert not health.is_ejected(seconds(4.1))
+
+
+def test_probe_without_result_lets_another_through() -> None:
     health = failing(3)
-    health.sent(seconds(2))
-    health.unclear()
-    assert not health.ejected(seconds(2))
+    health.record_sent(seconds(2))
+    health.record_no_result()
+    assert not health.is_ejected(seconds(2))
--- /dev/null
+++ b/testing/routing/test_windowed_retry_budget.py
@@ -0,0 +1,104 @@
+# SPDX-License-Identifier: Apache-2.0
+"""The repeat budget, for any run of requests and repeats."""
+
+import datetime
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from lugcross import routing
+
+RATIO = 0.2
+WINDOW_S = 10.0
+
+
+@given(
+    st.lists(
+        st.tuples(st.floats(0, 2), st.booleans()), min_size=1, max_size=300
+    )
+)
+def test_retries_of_any_window_stay_within_the_ratio(steps):
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
+    now = 0.0
+    asked: list[float] = []
+    spent: list[float] = []
+    for gap, asks in steps:
+        now += gap
+        moment = datetime.timedelta(seconds=now)
+        if asks:
+            budget.record_request(moment)
+            asked.append(now)
+        elif budget.try_spend(moment):
+            spent.append(now)
+            assert _retries_in_window(
+                spent, now
+            ) <= 1 + RATIO * _requests_within(asked, now, 1)
+        # Requests leave a window that goes on past its last repeat; they
+        # are in the one before it.
+        assert _retries_in_window(spent, now) <= 1 + RATIO * _requests_within(
+            asked, now, 2
+        )
+
+
+def _retries_in_window(spent: list[float], now: float) -> int:
+    """Return how many repeats lie in the last window."""
+    return sum(1 for time in spent if now - time < WINDOW_S)
+
+
+def _requests_within(asked: list[float], now: float, windows: int) -> int:
+    """Return how many requests lie in the last windows, edges included."""
+    return sum(1 for time in asked if now - time <= windows * WINDOW_S)
+
+
+def test_requests_may_leave_the_window_after_its_last_retry():
+    # At 9 s the second repeat is allowed by seven requests; at 11 s the
+    # window still holds both repeats, and two of the requests.
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
+    for now in (0, 0, 0, 0, 0, 1):
+        budget.record_request(datetime.timedelta(seconds=now))
+    assert budget.try_spend(datetime.timedelta(seconds=3))
+    budget.record_request(datetime.timedelta(seconds=7))
+    assert budget.try_spend(datetime.timedelta(seconds=9))
+    assert not budget.try_spend(datetime.timedelta(seconds=11))
+
+
+def test_budget_is_available_again_after_its_window():
+    budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
+    assert budget.try_spend(datetime.timedelta())
+    assert not budget.try_spend(datetime.timedelta(seconds=5))
+    assert budget.try_spend(datetime.timedelta(seconds=11))
+
+
+def test_slack_is_shared_among_all_processes_that_may_exist():
+    budgets = [
+        routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S, slack=80)
+        for _ in range(8)
+    ]
+    now = datetime.timedelta()
+    spent = sum(
+        budget.try_spend(now, peers=7)
+        for budget in budgets
+        for _ in range(100)
+    )
+    assert 8 < spent <= 80
+
+
+def test_process_without_known_peers_uses_no_slack():
+    budget = routing.WindowedRetryBudget(
+        ratio=RATIO, window_s=WINDOW_S, slack=80
+    )
+    now = datetime.timedelta()
+    assert sum(budget.try_spend(now) for _ in range(100)) == 1
+
+
+def test_refused_requests_leave_retries_for_broken_answers():
+    budget = routing.WindowedRetryBudget(
+        ratio=RATIO, window_s=WINDOW_S, slack=80
+    )
+    now = datetime.timedelta()
+    refused = sum(
+        budget.try_spend(now, usable_ratio=0.5, peers=3) for _ in range(99)
+    )
+    broken = sum(budget.try_spend(now, peers=3) for _ in range(99))
+    assert refused >= 1
+    assert broken >= refused
--- a/testing/shares/test_queue.py
+++ b/testing/shares/test_fair_queue.py
@@ -16,7 +16,7 @@
 ) -> shares.Ticket:
     return shares.Ticket(
         uid=str(uid),
-        group=ids.GroupName(group),
+        group=ids.WorkspaceGroupName(group),
         workspace=ids.WorkspaceName(workspace),
         cost=cost,
     )
@@ -36,7 +36,7 @@
     return got
 
 
-def test_rival_with_longer_requests_gets_no_more_than_its_share(
+def test_group_with_longer_requests_gets_no_more_than_its_share(
     queue: shares.FairQueue,
 ) -> None:
     for num in range(400):
@@ -68,7 +68,7 @@
     assert len(quiet) == 10
 
 
-def test_group_that_wakes_gets_no_credit_for_its_idle_time(
+def test_group_gets_no_credit_for_its_idle_time(
     queue: shares.FairQueue,
 ) -> None:
     for num in range(100):
@@ -92,7 +92,7 @@
         assert one is not None
         true = 40 if one.group == "y" else 10
         used[one.group] += true
-        queue.settle(one, true)
+        queue.correct_charge(one, true)
     assert used["y"] == pytest.approx(used["z"], rel=0.1)
 
 
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An edge process's runner before scripted backend servers, on loopback."""
+"""A request handler before scripted backend servers, on loopback."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -12,21 +12,21 @@
 
 from lugcross import clock as clock_lib
 from lugcross import desired
-from lugcross.edge import runner as runner_lib
+from lugcross.edge import edge_state as edge_state_lib
+from lugcross.edge import request_handler
 from lugcross.edge import settings as settings_lib
-from lugcross.edge import world as world_lib
 from lugcross import http1
 from lugcross import ids
 from lugcross import platform
 
 HOST = "127.0.0.1"
-KEY = "key-of-a"
+API_KEY = "key-of-a"
 #: Times are far off: no test waits for them.
-LIMITS = desired.Limits(
-    head_bytes=4096,
-    body_bytes=1024,
-    head_time=datetime.timedelta(seconds=30),
-    idle_time=datetime.timedelta(seconds=30),
+LIMITS = desired.RequestLimits(
+    max_head_bytes=4096,
+    max_body_bytes=1024,
+    head_timeout=datetime.timedelta(seconds=30),
+    idle_timeout=datetime.timedelta(seconds=30),
 )
 BOUNDS = settings_lib.Bounds(
     grace_s=8,
@@ -54,7 +54,7 @@
     )
 
 
-def entry(
+def backend_entry(
     service: str, address: str, domain: str = "d", /, **changes: object
 ) -> bytes:
     """Return a server's whole entry, as the list has it.
@@ -104,7 +104,7 @@
 
 
 @dataclasses.dataclass
-class Seen:
+class ReceivedRequest:
     """One request that reached a backend server."""
 
     line: bytes
@@ -113,7 +113,7 @@
 
 
 #: What a backend server does with one request.
-Script = Callable[[Seen, asyncio.StreamWriter], Awaitable[None]]
+Script = Callable[[ReceivedRequest, asyncio.StreamWriter], Awaitable[None]]
 
 
 def answer(
@@ -124,7 +124,9 @@
 ) -> Script:
     """Return a script that answers, with the request's id and a seal."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(
+        seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         lines = [
             b"HTTP/1.1 %d X" % status,
             b"Content-Length: %d" % len(body),
@@ -141,7 +143,9 @@
 def events(*parts: bytes, end: bool = True, seal: bytes = b"s1") -> Script:
     """Return a script that streams ``parts``; cut short without an end."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(
+        seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         attempt_id = seen.headers[b"attempt-identifier"]
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
@@ -162,10 +166,12 @@
     return script
 
 
-def raw(data: bytes, *, close: bool = False) -> Script:
+def raw_bytes(data: bytes, *, close: bool = False) -> Script:
     """Return a script that writes bytes as they are."""
 
-    async def script(seen: Seen, writer: asyncio.StreamWriter) -> None:
+    async def script(
+        seen: ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         del seen
         writer.write(data)
         if close:
@@ -174,7 +180,9 @@
     return script
 
 
-async def hang(seen: Seen, writer: asyncio.StreamWriter) -> None:
+async def never_answer(
+    seen: ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     """Never answer."""
     del seen, writer
 
@@ -184,10 +192,10 @@
 
     def __init__(self, scripts: list[Script]) -> None:
         self.scripts = scripts
-        self.seen: list[Seen] = []
+        self.seen: list[ReceivedRequest] = []
         self.connections = 0
-        self.gone = asyncio.Event()
-        self.asked = asyncio.Event()
+        self.disconnected = asyncio.Event()
+        self.request_received = asyncio.Event()
         self.port = 0
         self._server: asyncio.Server | None = None
 
@@ -209,13 +217,13 @@
                 self.seen.append(seen)
                 script = self.scripts.pop(0)
                 await script(seen, writer)
-                self.asked.set()
+                self.request_received.set()
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.gone.set()
+            self.disconnected.set()
             writer.close()
 
 
-async def _read(reader: asyncio.StreamReader) -> Seen:
+async def _read(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = await reader.readuntil(b"\r\n\r\n")
     line, *rest = head[:-4].split(b"\r\n")
     headers = {}
@@ -223,11 +231,11 @@
         name, _, value = one.partition(b":")
         headers[name.lower()] = value.strip()
     length = int(headers.get(b"content-length", b"0"))
-    return Seen(line, headers, await reader.readexactly(length))
+    return ReceivedRequest(line, headers, await reader.readexactly(length))
 
 
 @dataclasses.dataclass
-class Got:
+class CallerAnswer:
     """What a caller received, as raw bytes and taken apart."""
 
     status: int
@@ -237,7 +245,7 @@
 
 
 class Rig:
-    """A runner, its world and the backend servers before it."""
+    """A request handler, its edge state and the backend servers before it."""
 
     def __init__(self, clock: clock_lib.Clock | None = None) -> None:
         self.clock = clock or clock_lib.SystemClock()
@@ -254,13 +262,15 @@
             bounds=BOUNDS,
         )
         rng = new_rng()
-        self.world = world_lib.World(settings, clock=self.clock, rng=rng)
-        self.closed = False
+        self.edge_state = edge_state_lib.EdgeState(
+            settings, clock=self.clock, rng=rng
+        )
+        self.stopping = False
         self.leaving = False
-        self.runner = runner_lib.Runner(
-            self.world,
-            closed=lambda: self.closed,
-            changed=lambda: None,
+        self.request_handler = request_handler.RequestHandler(
+            self.edge_state,
+            is_stopping=lambda: self.stopping,
+            on_change=lambda: None,
             clock=self.clock,
             rng=rng,
         )
@@ -276,35 +286,37 @@
             await backend.start()
             self.backends.append(backend)
             # The slots make the first one the least busy by far.
-            value = entry(
+            value = backend_entry(
                 "app", f"{HOST}:{backend.port}", "d1", slots=100 - 10 * num
             )
             rows.append(
                 platform.KeyedRecord(ids.Offset(num), f"i-{num}", value)
             )
-        tail = platform.Tail(end=ids.Offset(len(rows)), records=tuple(rows))
-        self.world.backends.apply(tail, store_was_away=False)
+        tail = platform.ReadResult(
+            end=ids.Offset(len(rows)), records=tuple(rows)
+        )
+        self.edge_state.backends.apply(tail, store_was_away=False)
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
         assert self._server is not None
         self._server.close()
-        self.world.pool.close()
+        self.edge_state.pool.close()
         for backend in self.backends:
             backend.close()
 
     def adopt(self, *routes: desired.Route, version: int = 1) -> None:
         """Put a desired state with ``routes`` in force."""
         workspace = desired.Workspace(name=ids.WorkspaceName("space-a"))
-        self.world.adopt(
-            desired.Desired(
+        self.edge_state.adopt(
+            desired.DesiredState(
                 version=version,
                 routes={"h": routes},
                 services={},
                 limits=LIMITS,
-                keys={KEY: workspace},
-                keyed=True,
+                workspaces_by_key={API_KEY: workspace},
+                keys_required=True,
             ),
             b"",
         )
@@ -315,20 +327,20 @@
         conn = http1.ServerConn(
             reader,
             writer,
-            self.runner.handle,
+            self.request_handler.handle,
             limits=lambda: LIMITS,
-            leaving=lambda: self.leaving,
+            draining=lambda: self.leaving,
             clock=self.clock,
         )
         await conn.run()
 
-    async def send(self, data: bytes) -> Got:
+    async def send(self, data: bytes) -> CallerAnswer:
         """Send raw bytes and read until the connection ends."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(data)
         got = await reader.read()
         writer.close()
-        return take_apart(got)
+        return parse_answer(got)
 
     async def ask(
         self,
@@ -337,7 +349,7 @@
         path: bytes = b"/r/x",
         body: bytes = b"",
         time_left: int = 5000,
-    ) -> Got:
+    ) -> CallerAnswer:
         """Send one request with all that a proper one has."""
         return await self.send(
             request(
@@ -363,7 +375,7 @@
         b"Host: h",
         b"Attempt-Identifier: a1",
         b"Time-Remaining: %d" % time_left,
-        b"X-Api-Key: " + KEY.encode(),
+        b"X-Api-Key: " + API_KEY.encode(),
         b"Connection: close",
         *headers,
     ]
@@ -372,7 +384,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-def take_apart(data: bytes) -> Got:
+def parse_answer(data: bytes) -> CallerAnswer:
     """Return what the bytes of one answer say."""
     head, _, rest = data.partition(b"\r\n\r\n")
     line, *lines = head.split(b"\r\n")
@@ -386,7 +398,7 @@
     else:
         body = rest
         whole = len(rest) == int(headers.get(b"content-length", b"-1"))
-    return Got(status, headers, body, whole)
+    return CallerAnswer(status, headers, body, whole)
 
 
 def _unchunk(data: bytes) -> tuple[bytes, bool]:
@@ -401,24 +413,26 @@
 
 
 def route(
-    kind: desired.Kind, *, attempts: int = 2, resumable: bool = False
+    kind: desired.RouteKind, *, attempts: int = 2, resumable: bool = False
 ) -> desired.Route:
     """Return a route of ``kind`` to the service ``app``."""
     return desired.Route(
         name="r",
         host="h",
-        prefix="/r/",
+        path_prefix="/r/",
         kind=kind,
-        shares=(desired.Share(ids.ServiceName("app"), 1.0),),
+        weighted_services=(
+            desired.WeightedService(ids.ServiceName("app"), 1.0),
+        ),
         timeout=datetime.timedelta(seconds=5),
-        target=datetime.timedelta(milliseconds=400),
-        attempts=attempts,
+        latency_target=datetime.timedelta(milliseconds=400),
+        max_attempts=attempts,
         resumable=resumable,
     )
 
 
-SAFE = route(desired.Kind.SAFE)
-UNSAFE = route(desired.Kind.UNSAFE, attempts=1)
-UNSAFE_TWICE = route(desired.Kind.UNSAFE, attempts=2)
-STREAM = route(desired.Kind.STREAM, resumable=True)
-STREAM_ONCE = route(desired.Kind.STREAM)
+SAFE_ROUTE = route(desired.RouteKind.SAFE)
+UNSAFE_ROUTE = route(desired.RouteKind.UNSAFE, attempts=1)
+UNSAFE_ROUTE_TWO_ATTEMPTS = route(desired.RouteKind.UNSAFE, attempts=2)
+RESUMABLE_STREAM_ROUTE = route(desired.RouteKind.STREAM, resumable=True)
+STREAM_ROUTE = route(desired.RouteKind.STREAM)
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -191,8 +191,8 @@
         )
         headers = [(b"Host", b"h"), (b"Connection", b"close")]
         conn.send(b"GET", b"/suspects", headers, b"")
-        await conn.answer()
-        listed = json.loads(await conn.body())["suspects"]
+        await conn.read_head()
+        listed = json.loads(await conn.read_body())["suspects"]
         conn.close()
         return max((len(one["ends"]) for one in listed), default=0)
 
@@ -268,7 +268,7 @@
         self.servers[num].ends = functools.partial(self._end, num, name)
 
     def _write(self, num: int) -> None:
-        row = edge_rig.entry(
+        row = edge_rig.backend_entry(
             "app", f"{HOST}:{self.ways[num].port}", f"d{num % 3}", slots=8
         )
         name = self.servers[num].name
@@ -318,7 +318,7 @@
 
     def come_back(self, older: standin.StoreStandin) -> None:
         """Bring the store back from a copy; who wrote to it does so again."""
-        self.store.come_back(older)
+        self.store.restore_from(older)
         for num in range(len(self.servers)):
             self._write(num)
         self._write_state()
@@ -355,7 +355,7 @@
         }
         self.store.append(
             platform.OPERATOR_TOPIC,
-            platform.DESIRED_KEY,
+            platform.DESIRED_STATE_KEY,
             json.dumps(state).encode(),
         )
 
@@ -414,11 +414,15 @@
                     headers.append((b"Content-Length", b"0"))
                 target = f"/{kind.value}/{last}".encode()
                 conn.send(method, target, headers, b"")
-                status = (await conn.answer()).status
-                while (data := await conn.data()) is not None:
+                status = (await conn.read_head()).status
+                while (data := await conn.read_data()) is not None:
                     parts.append(data)
                 whole = True
-        except (http1.BrokenError, http1.NoConnectionError, TimeoutError):
+        except (
+            http1.ConnectionBrokenError,
+            http1.NoConnectionError,
+            TimeoutError,
+        ):
             self.close()
         if self._conn is not None and not self._conn.reusable:
             self.close()
