--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -70,15 +70,15 @@
     "as it was": [(registry_lib.SuspectRegistry, "merge", _no_ledger)],
     "refuse after 3": [
         (registry_lib.SuspectRegistry, "_is_only_explanation", _never),
-        (edge_state_lib.EdgeState, "choose_apart", _anywhere),
+        (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere),
     ],
     "refuse after 2": [
         (registry_lib, "CRASHES_TO_REFUSE", 2),
         (registry_lib, "CRASHES_TO_REFUSE_IN_OUTAGE", 2),
-        (edge_state_lib.EdgeState, "choose_apart", _anywhere),
+        (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere),
     ],
     "2 if sure, anywhere": [
-        (edge_state_lib.EdgeState, "choose_apart", _anywhere)
+        (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere)
     ],
     "3, suspects apart": [
         (registry_lib.SuspectRegistry, "_is_only_explanation", _never)
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -33,14 +33,14 @@
     :param slots: slots of all of them.
     :param busy: requests that all of them probably have.
     :param min_busy: requests of the least busy one that was looked at.
-    :param unseen: requests that peers have probably sent and not told yet.
+    :param unreported: requests that peers have probably sent and not told yet.
     """
 
     servers: int
     slots: int
     busy: int
     min_busy: int
-    unseen: float
+    unreported: float
 
     def has_free_slot(self) -> bool:
         """Tell whether a slot is free as far as known.
@@ -98,7 +98,7 @@
     free = (
         _capacity_for(snapshot, capacity, requester)
         - snapshot.busy
-        - snapshot.unseen
+        - snapshot.unreported
     )
     has_free_place = free >= 1.0 and snapshot.min_busy < max(
         max_per_server, 1.0
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -17,7 +17,7 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 from lugcross.edge import edge_state as edge_state_lib
-from lugcross.edge import engine_client
+from lugcross.edge import engine_transport
 from lugcross.edge import map_leadership
 from lugcross.edge import map_manager
 from lugcross.edge import metrics as metrics_lib
@@ -94,17 +94,17 @@
             rng=rng,
         )
         pool = self.edge_state.pool
-        reports = engine_client.EngineClient(
+        reports = engine_transport.EngineTransport(
             pool,
-            timeout_s=engine_client.REPORT_TIMEOUT_S,
+            timeout_s=engine_transport.REPORT_TIMEOUT_S,
             on_answer_head=self.edge_state.apply_answer_head,
-            may_send=self.edge_state.rests.may_send_deferrable,
+            may_send=self.edge_state.backoffs.may_send_deferrable,
         )
-        orders = engine_client.EngineClient(
+        orders = engine_transport.EngineTransport(
             pool,
-            timeout_s=engine_client.ORDER_TIMEOUT_S,
+            timeout_s=engine_transport.ORDER_TIMEOUT_S,
             on_answer_head=self.edge_state.apply_answer_head,
-            may_send=self.edge_state.rests.take_urgent_allowance,
+            may_send=self.edge_state.backoffs.take_urgent_allowance,
         )
         urgent = functools.partial(
             self.state_sync.peers.schedule_send, urgent=True
@@ -240,22 +240,22 @@
     ) -> None:
         age = self.edge_state.backends.age()
         state = self.edge_state.desired
-        self.edge_state.figures.set_gauges(
+        self.edge_state.metrics.set_gauges(
             desired_version=state.version if state else 0,
             backends=len(self.edge_state.backends.all()),
             backends_age_seconds=min(age.total_seconds(), _MAX_SHOWN_AGE_S),
             store_lost=float(self.state_sync.store_health.failing),
             peers=len(self.state_sync.peers.live()),
             connections=len(self._conns),
-            suspects=len(self.edge_state.endings.registry),
+            suspects=len(self.edge_state.crash_tracker.registry),
         )
-        self.edge_state.figures.set_workspace_running(
+        self.edge_state.metrics.set_workspace_running(
             self.edge_state.workspace_usage.counts_by_service()
         )
         serve = functools.partial(
             metrics_lib.serve,
-            self.edge_state.figures,
-            suspects_json=self.edge_state.endings.listing_json,
+            self.edge_state.metrics,
+            suspects_json=self.edge_state.crash_tracker.listing_json,
         )
         await self._serve_platform(reader, writer, serve)
 
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -47,7 +47,7 @@
     def __init__(
         self,
         exchange: http1.ResponseWriter,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         clock: clock_lib.Clock,
     ) -> None:
         self._exchange = exchange
@@ -56,7 +56,7 @@
         self.status = 0
         self._held_failure: tuple[http1.ResponseHead, bytes] | None = None
         self.begun = False
-        self.last_event_id = plan.caller_head.last_event_id
+        self.last_event_id = checked.caller_head.last_event_id
 
     async def write_whole(
         self, answer: http1.ResponseHead, body: bytes
@@ -121,7 +121,7 @@
         self,
         edge_state: edge_state_lib.EdgeState,
         clock: clock_lib.Clock,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         backend: desired.Backend,
         answer_writer: AnswerWriter,
         *,
@@ -132,7 +132,7 @@
         self._new_connection = new_connection
         self._edge_state = edge_state
         self._clock = clock
-        self._plan = plan
+        self._checked = checked
         self._backend = backend
         self._answer_writer = answer_writer
         self._keep_alive: datetime.timedelta | None = None
@@ -148,14 +148,14 @@
         :raises http1.CallerDisconnectedError: when nobody reads it.
         """
         edge_state = self._edge_state
-        plan = self._plan
+        checked = self._checked
         edge_state.loads.record_started(self._backend.key)
         edge_state.workspace_usage.request_started(
-            plan.service, plan.workspace_name
+            checked.service, checked.workspace_name
         )
         try:
             try:
-                not_repeatable = not self._plan.route.repeatable
+                not_repeatable = not self._checked.route.repeatable
                 conn = await edge_state.pool.acquire(
                     self._backend,
                     not_repeatable=not_repeatable,
@@ -164,7 +164,7 @@
             except http1.NoConnectionError as exc:
                 self._report_failure(str(exc))
                 return retry_policy.AttemptOutcome.UNREACHED
-            if edge_state.rests.is_active(self._backend.key):
+            if edge_state.backoffs.is_active(self._backend.key):
                 # It has asked while this one waited for its connection, for
                 # up to 0.4 s: as many as waited would reach it.
                 edge_state.pool.release(self._backend, conn, None)
@@ -177,7 +177,7 @@
                 self._health().record_no_result()
             edge_state.loads.record_ended(self._backend.key)
             edge_state.workspace_usage.request_ended(
-                plan.service, plan.workspace_name
+                checked.service, checked.workspace_name
             )
 
     async def _run_on(
@@ -207,19 +207,24 @@
         return event
 
     def _send(self, conn: http1.ClientConn) -> None:
-        plan = self._plan
+        checked = self._checked
         resumed = self._answer_writer.begun
-        left = plan.deadline - self._clock.monotonic() - _TRANSIT_MARGIN
+        left = checked.deadline - self._clock.monotonic() - _TRANSIT_MARGIN
         headers = platform.headers_to_backend(
-            plan.req.raw_headers,
+            checked.req.raw_headers,
             backend=self._backend.id,
-            workspace=plan.workspace_name,
+            workspace=checked.workspace_name,
             time_left=left,
-            body_bytes=None if plan.req.body is None else len(plan.req.body),
+            body_bytes=None
+            if checked.req.body is None
+            else len(checked.req.body),
             resume_after=self._answer_writer.last_event_id if resumed else "",
         )
         conn.send(
-            plan.req.method, plan.req.target, headers, plan.req.body or b""
+            checked.req.method,
+            checked.req.target,
+            headers,
+            checked.req.body or b"",
         )
 
     async def _receive(
@@ -271,12 +276,12 @@
             head = platform.parse_backend_response_head(
                 answer.status, answer.headers
             )
-            if head.attempt_id in ("", self._plan.caller_head.attempt_id):
+            if head.attempt_id in ("", self._checked.caller_head.attempt_id):
                 return answer, head
             logging.warning(
                 "surplus answer skipped",
                 extra={
-                    "request": self._plan.caller_head.attempt_id,
+                    "request": self._checked.caller_head.attempt_id,
                     "backend": self._backend.key,
                     "other": head.attempt_id,
                 },
@@ -284,7 +289,7 @@
             # Late, but the same server's word about itself.
             self._edge_state.apply_answer_head(self._backend, head)
             await conn.read_body()
-            conn.expect_another_response(self._plan.req.method)
+            conn.expect_another_response(self._checked.req.method)
 
     def _handle_not_run(
         self, head: platform.BackendResponseHead
@@ -306,7 +311,7 @@
             raise _InvalidAnswerError("a success without a signature")
         if (
             head.success
-            and head.attempt_id != self._plan.caller_head.attempt_id
+            and head.attempt_id != self._checked.caller_head.attempt_id
         ):
             raise _InvalidAnswerError("a success without the request's id")
 
@@ -363,7 +368,7 @@
         self, last: clock_lib.Instant | None
     ) -> clock_lib.Instant:
         now = self._clock.monotonic()
-        limit = self._plan.route.max_event_gap
+        limit = self._checked.route.max_event_gap
         if last is not None and limit is not None:
             self._edge_state.observe_pause(self._backend, now - last, limit)
         return now
@@ -381,8 +386,8 @@
         logging.info(
             "backend server failed",
             extra={
-                "request": self._plan.caller_head.attempt_id,
-                "same": self._plan.fingerprint.hex(),
+                "request": self._checked.caller_head.attempt_id,
+                "same": self._checked.fingerprint.hex(),
                 "backend": self._backend.key,
                 "why": why,
                 "ejected": ejected,
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -58,40 +58,40 @@
         )
 
     def status(
-        self, plan: checked_request.CheckedRequest
+        self, checked: checked_request.CheckedRequest
     ) -> crash_suspects.SuspectStatus:
         """Return how a request is to be treated now."""
         if (
-            not self._has_record(plan)
-            or plan.fingerprint in self.exempt_requests
+            not self._has_record(checked)
+            or checked.fingerprint in self.exempt_requests
         ):
             return crash_suspects.SuspectStatus.NOT_SUSPECT
         return self.registry.status(
-            plan.fingerprint,
-            self._software(plan.service),
+            checked.fingerprint,
+            self._software(checked.service),
             self._clock.monotonic(),
         )
 
     def counted_crashes(
-        self, plan: checked_request.CheckedRequest
+        self, checked: checked_request.CheckedRequest
     ) -> list[crash_suspects.ServerCrash]:
         """Return what speaks against a request."""
-        if not self._has_record(plan):
+        if not self._has_record(checked):
             return []
         return self.registry.counted_crashes(
-            plan.fingerprint,
-            self._software(plan.service),
+            checked.fingerprint,
+            self._software(checked.service),
             self._clock.monotonic(),
         )
 
-    def _has_record(self, plan: checked_request.CheckedRequest) -> bool:
+    def _has_record(self, checked: checked_request.CheckedRequest) -> bool:
         """Tell whether there is anything about a request.
 
         As long as there is nothing about any, none is even hashed.
         """
         if not len(self.registry):
             return False
-        return self.registry.find(plan.fingerprint) is not None
+        return self.registry.find(checked.fingerprint) is not None
 
     def time_until_expiry(
         self, crashes: list[crash_suspects.ServerCrash]
@@ -104,40 +104,40 @@
         return oldest + crash_suspects.SUSPICION_TTL - self._clock.monotonic()
 
     def may_retry(
-        self, plan: checked_request.CheckedRequest, *, broke: bool
+        self, checked: checked_request.CheckedRequest, *, broke: bool
     ) -> bool:
         """Tell whether a request may go to one more server at once.
 
         :param broke: whether the last attempt broke off.
         """
-        if self.status(plan) is crash_suspects.SuspectStatus.REFUSED:
+        if self.status(checked) is crash_suspects.SuspectStatus.REFUSED:
             return False
-        if plan.fingerprint in self.exempt_requests:
+        if checked.fingerprint in self.exempt_requests:
             return True
         # What others know of it comes within a moment, its caller later.
         return (
             not broke
-            or len(self.counted_crashes(plan))
+            or len(self.counted_crashes(checked))
             < crash_suspects.MIN_CRASHES_TO_REFUSE
         )
 
     def assign_server(
         self,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         servers: list[desired.BackendKey],
     ) -> desired.BackendKey | None:
         """Return the server that a suspect should go to."""
         other_suspects = self.registry.suspects_at_same_crashes(
-            plan.fingerprint
+            checked.fingerprint
         )
         found = crash_suspects.assign_server(
-            plan.fingerprint, other_suspects, servers
+            checked.fingerprint, other_suspects, servers
         )
         return None if found is None else desired.BackendKey(found)
 
     async def record_broken_attempt(
         self,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
@@ -150,7 +150,7 @@
             ended before never ran there.
         """
         task = asyncio.create_task(
-            self._judge_broken_attempt(plan, backend, since)
+            self._judge_broken_attempt(checked, backend, since)
         )
         self._pending_notes.add(task)
         task.add_done_callback(self._pending_notes.discard)
@@ -158,7 +158,7 @@
 
     async def _judge_broken_attempt(
         self,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
@@ -170,23 +170,23 @@
         crash = crash_suspects.ServerCrash(
             backend.key, backend.software_version, now, now - since
         )
-        if not self.registry.record_crash(plan.fingerprint, crash, now):
+        if not self.registry.record_crash(checked.fingerprint, crash, now):
             return
-        status = self.status(plan)
+        status = self.status(checked)
         logging.warning(
             "server ended under a request",
             extra={
-                "request": plan.caller_head.attempt_id,
-                "same": plan.fingerprint.hex(),
-                "service": plan.service,
+                "request": checked.caller_head.attempt_id,
+                "same": checked.fingerprint.hex(),
+                "service": checked.service,
                 "backend": backend.key,
-                "ends": [one.server for one in self.counted_crashes(plan)],
+                "ends": [one.server for one in self.counted_crashes(checked)],
                 "standing": status.value,
             },
         )
         self.on_change()
         if status is crash_suspects.SuspectStatus.REFUSED:
-            self.on_refused(plan.fingerprint)
+            self.on_refused(checked.fingerprint)
 
     async def _has_crashed(self, backend: desired.Backend) -> bool:
         """Ask a server's host; once for all whose attempts broke off."""
@@ -201,7 +201,7 @@
 
     def record_completion(
         self,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         backend: desired.Backend,
         since: clock_lib.Instant,
     ) -> None:
@@ -216,14 +216,14 @@
             return
         self.registry.record_answer(backend.key, since)
         if not self.registry.record_completion(
-            plan.fingerprint, self._clock.monotonic()
+            checked.fingerprint, self._clock.monotonic()
         ):
             return
         logging.info(
             "suspect cleared",
             extra={
-                "request": plan.caller_head.attempt_id,
-                "same": plan.fingerprint.hex(),
+                "request": checked.caller_head.attempt_id,
+                "same": checked.fingerprint.hex(),
                 "backend": backend.key,
             },
         )
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -59,9 +59,9 @@
         self,
         engines: platform.EngineClient,
         clock: clock_lib.Clock,
-        rests: server_backoffs_lib.ServerBackoffs,
+        backoffs: server_backoffs_lib.ServerBackoffs,
     ) -> None:
-        self._rests = rests
+        self._backoffs = backoffs
         self._engines = engines
         self._clock = clock
         self._last_readings: dict[ids.ServiceName, _CountsReading] = {}
@@ -107,7 +107,7 @@
             return
         if last is not None and now - last.read_at < self._interval(service):
             return
-        ranks = group.ranks_to_ask(self._rests.servers())
+        ranks = group.ranks_to_ask(self._backoffs.servers())
         if not ranks:
             return
         backend = group.servers_by_rank[ranks[0]]
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -76,7 +76,7 @@
         self._clock = clock
         self._rng = rng
         self._own_domain = ids.DomainName(settings.domain)
-        self._repeat_budgets: dict[
+        self._retry_budgets: dict[
             ids.ServiceName, routing.WindowedRetryBudget
         ] = {}
         self._retry_detectors: dict[str, admission.RetryDetector] = {}
@@ -99,15 +99,17 @@
         )
         self.workspace_usage = workspace_usage.WorkspaceUsage(clock)
         self.workspace_usage.weights = settings.shares.weights
-        self.outages = avoided_servers_lib.AvoidedServers(clock)
-        self.slowdowns = avoided_servers_lib.AvoidedServers(clock)
-        self.rests = server_backoffs_lib.ServerBackoffs(clock)
+        self.broken_group_servers = avoided_servers_lib.AvoidedServers(clock)
+        self.slow_servers = avoided_servers_lib.AvoidedServers(clock)
+        self.backoffs = server_backoffs_lib.ServerBackoffs(clock)
         self.pool = connection_pool.ConnectionPool(clock)
-        self.figures = metrics_lib.EdgeMetrics()
-        self.endings = crash_tracker_lib.CrashTracker(
+        self.metrics = metrics_lib.EdgeMetrics()
+        self.crash_tracker = crash_tracker_lib.CrashTracker(
             clock, software=self.software_versions
         )
-        self.endings.exempt_requests = _cleared_requests(settings.suspects)
+        self.crash_tracker.exempt_requests = _cleared_requests(
+            settings.suspects
+        )
         self._serving: dict[ids.ServiceName, _CachedServing] = {}
 
     def software_versions(self, service: ids.ServiceName) -> frozenset[str]:
@@ -143,8 +145,10 @@
         bounds = settings.bounds
         self.bounds = bounds
         self.workspace_usage.weights = settings.shares.weights
-        self.endings.exempt_requests = _cleared_requests(settings.suspects)
-        for budget in self._repeat_budgets.values():
+        self.crash_tracker.exempt_requests = _cleared_requests(
+            settings.suspects
+        )
+        for budget in self._retry_budgets.values():
             budget.configure(
                 ratio=bounds.repeat_ratio,
                 window_s=bounds.repeat_window_s,
@@ -163,9 +167,9 @@
     ) -> eligible_servers.EligibleServers:
         """Return the servers of ``service`` that new requests may go to."""
         listed = self.backends.usable(service)
-        broken = self.outages.servers()
-        resting = self.rests.servers()
-        slow = self.slowdowns.servers()
+        broken = self.broken_group_servers.servers()
+        resting = self.backoffs.servers()
+        slow = self.slow_servers.servers()
         held = self._serving.get(service)
         if held and held.is_current(listed, (broken, resting, slow)):
             return held.serving
@@ -180,7 +184,7 @@
         )
         return found
 
-    def remaining_rest(
+    def remaining_backoff(
         self, service: ids.ServiceName
     ) -> datetime.timedelta | None:
         """Return how long nobody serves ``service`` because servers rest.
@@ -189,10 +193,12 @@
             there are belong to broken groups.
         """
         listed = self.backends.usable(service)
-        whole = {one.key for one in listed} - self.outages.servers()
-        if whole - self.rests.servers():
+        whole = {
+            one.key for one in listed
+        } - self.broken_group_servers.servers()
+        if whole - self.backoffs.servers():
             return datetime.timedelta()
-        return self.rests.time_left(whole)
+        return self.backoffs.time_left(whole)
 
     def apply_answer_head(
         self, backend: desired.Backend, head: platform.BackendResponseHead
@@ -205,7 +211,7 @@
             self.backends.note_leaving_answer(key)
         if head.retry_after is None:
             return
-        self.figures.count_rest_asked(backend.service)
+        self.metrics.count_backoff_asked(backend.service)
         logging.info(
             "backend server asks for rest",
             extra={
@@ -213,10 +219,10 @@
                 "backend": key,
                 "status": head.status,
                 "rest_s": head.retry_after.total_seconds(),
-                "rested": self.rests.is_active(key),
+                "rested": self.backoffs.is_active(key),
             },
         )
-        self.rests.start(key, head.retry_after)
+        self.backoffs.start(key, head.retry_after)
         self.loads.health(key).record_backoff(
             self._clock.monotonic() + head.retry_after
         )
@@ -234,7 +240,7 @@
             slots=servers.slots,
             busy=self.loads.requests_at_all(servers.keys),
             min_busy=min_busy,
-            unseen=self.loads.unreported_requests(service),
+            unreported=self.loads.unreported_requests(service),
         )
 
     def max_requests_per_server(
@@ -243,7 +249,7 @@
         """Return how many requests one server of ``service`` may have."""
         engine = self.engine(service)
         if engine is not None:
-            slow = self.slowdowns.servers()
+            slow = self.slow_servers.servers()
             return self.concurrency_limit(service).max_requests_per_engine(
                 engine,
                 route.max_event_gap,
@@ -338,11 +344,11 @@
 
     def choose_backend_for_suspect(
         self,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         tried: Collection[desired.BackendKey],
     ) -> backend_choice.BackendChoice | None:
         """Return where a suspect should go, apart from other suspects."""
-        servers = self.serving(plan.service).all
+        servers = self.serving(checked.service).all
         usual = self._choose_among(servers, tried)
         free = {
             one.key: one
@@ -355,7 +361,7 @@
             and one.key not in tried
             and not self.loads.is_ejected(one.key)
         }
-        key = self.endings.assign_server(plan, list(free))
+        key = self.crash_tracker.assign_server(checked, list(free))
         if usual is None or key is None:
             return usual
         return backend_choice.BackendChoice(
@@ -387,11 +393,11 @@
             candidates, home=self._own_domain, tried=tried, rng=self._rng
         )
 
-    def repeat_budget(
+    def retry_budget(
         self, service: ids.ServiceName
     ) -> routing.WindowedRetryBudget:
         """Return this process's part of the repeats of ``service``."""
-        found = self._repeat_budgets.get(service)
+        found = self._retry_budgets.get(service)
         if found is None:
             bounds = self.bounds
             found = routing.WindowedRetryBudget(
@@ -399,10 +405,10 @@
                 window_s=bounds.repeat_window_s,
                 slack=bounds.repeat_slack,
             )
-            self._repeat_budgets[service] = found
+            self._retry_budgets[service] = found
         return found
 
-    def spend_repeat(
+    def spend_retry(
         self, service: ids.ServiceName, event: retry_policy.AttemptOutcome
     ) -> bool:
         """Take one repeat of ``service`` from the budget, if it has one.
@@ -411,7 +417,7 @@
         come back; a broken answer is lost, so that more is kept for it.
         """
         refused = event is retry_policy.AttemptOutcome.NOT_RUN
-        return self.repeat_budget(service).try_spend(
+        return self.retry_budget(service).try_spend(
             self._clock.monotonic(),
             usable_ratio=_REFUSED_BUDGET_FRACTION if refused else 1.0,
             peers=self.count_known_peers(),
@@ -419,7 +425,7 @@
 
     def forget_gone_backends(self) -> None:
         """Forget what belongs to backend servers that are gone."""
-        self.endings.drop_expired()
+        self.crash_tracker.drop_expired()
         known = {one.key for one in self.backends.all()}
         self.pool.close_unusable(known)
         self.loads.keep_only(known)
--- a/src/lugcross/edge/engine_client.py
+++ b/src/lugcross/edge/engine_transport.py
@@ -20,7 +20,7 @@
 
 
 @final
-class EngineClient:
+class EngineTransport:
     """Sends one request at a time over a pooled connection.
 
     :param timeout_s: longest wait, in seconds.
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -27,13 +27,13 @@
 class Candidacy(Protocol):
     """What is known of the processes that could be the leader."""
 
-    def fit(self) -> bool:
+    def is_eligible(self) -> bool:
         """Tell whether this process may be the leader at all."""
 
-    def first(self) -> bool:
+    def is_first_candidate(self) -> bool:
         """Tell whether it comes first among those that may."""
 
-    def held_elsewhere(self) -> bool:
+    def lease_held_by_peer(self) -> bool:
         """Tell whether a live peer says that it has the lease."""
 
 
@@ -66,9 +66,13 @@
     def is_leader(self) -> bool:
         """Tell whether this process looks after expert maps now."""
         if not self._needs_fencing():
-            return self._candidacy.fit() and self._candidacy.first()
+            return (
+                self._candidacy.is_eligible()
+                and self._candidacy.is_first_candidate()
+            )
         return (
-            self._lease.held_generation is not None and self._candidacy.fit()
+            self._lease.held_generation is not None
+            and self._candidacy.is_eligible()
         )
 
     def generation(self) -> experts.Generation | None:
@@ -115,7 +119,7 @@
         held = self._lease.held_generation
         action = self._lease.next_action(
             wants_lease=self._wants_lease(),
-            held_by_peer=self._candidacy.held_elsewhere(),
+            held_by_peer=self._candidacy.lease_held_by_peer(),
         )
         if action is experts.LeaseAction.NONE:
             return
@@ -140,14 +144,15 @@
             self._on_lease_change()
 
     def _wants_lease(self) -> bool:
-        if not self._candidacy.fit():
+        if not self._candidacy.is_eligible():
             # What is under way ends under the number it was begun with.
             return (
                 self._lease.held_generation is not None
                 and self.has_work_in_progress()
             )
         return (
-            self._lease.held_generation is not None or self._candidacy.first()
+            self._lease.held_generation is not None
+            or self._candidacy.is_first_candidate()
         )
 
     async def _read(self) -> None:
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -77,10 +77,10 @@
         self._sleep = sleep
         self._groups = rank_groups.RankGroups()
         self._demand_reader = demand_reader.DemandReader(
-            engines, clock, edge_state.rests
+            engines, clock, edge_state.backoffs
         )
         self._queries = rank_queries.RankQueries(
-            engines, self._groups, clock, edge_state.rests
+            engines, self._groups, clock, edge_state.backoffs
         )
         self.switch_runner = switch_runner.SwitchRunner(
             engines,
@@ -145,10 +145,10 @@
         self._note_leadership(self._leadership.is_leader())
         if self._was_leader:
             await self._manage_all()
-        self._edge_state.outages.report(
+        self._edge_state.broken_group_servers.report(
             self._node, self.servers_of_broken_groups()
         )
-        self._edge_state.slowdowns.report(self._node, self.slow_servers())
+        self._edge_state.slow_servers.report(self._node, self.slow_servers())
 
     async def _manage_all(self) -> None:
         state = self._edge_state.desired
@@ -234,7 +234,7 @@
             "group opened" if group.is_open else "group broken",
             extra={"group": group.name, "epoch": group.epoch},
         )
-        self._edge_state.outages.report(
+        self._edge_state.broken_group_servers.report(
             self._node, self.servers_of_broken_groups()
         )
         self._on_group_state_change()
@@ -313,6 +313,6 @@
 
         A switch needs orders to all ranks, also to those that want nothing.
         """
-        if self._queries.has_resting_rank(group):
+        if self._queries.has_rank_backing_off(group):
             return True
         return group.switch_backoff.is_active(self._clock.monotonic())
--- a/src/lugcross/edge/metrics.py
+++ b/src/lugcross/edge/metrics.py
@@ -115,7 +115,7 @@
         """Count one attempt at a backend server."""
         self._attempts.labels(service, event).inc()
 
-    def count_rest_asked(self, service: str) -> None:
+    def count_backoff_asked(self, service: str) -> None:
         """Count an answer by which a backend server asked for rest."""
         self._rests_asked.labels(service).inc()
 
@@ -123,7 +123,7 @@
         """Count a return of the store from an older copy."""
         self._store_copies.inc()
 
-    def count_rest_refused(self, service: str) -> None:
+    def count_backoff_refused(self, service: str) -> None:
         """Count a request that is refused since all servers rest."""
         self._rests_refused.labels(service).inc()
 
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -35,9 +35,9 @@
         engines: platform.EngineClient,
         groups: rank_groups.RankGroups,
         clock: clock_lib.Clock,
-        rests: server_backoffs_lib.ServerBackoffs,
+        backoffs: server_backoffs_lib.ServerBackoffs,
     ) -> None:
-        self._rests = rests
+        self._backoffs = backoffs
         self._engines = engines
         self._groups = groups
         self._clock = clock
@@ -48,7 +48,7 @@
     ) -> None:
         """Learn which ranks of which groups some servers are."""
         backends = [
-            one for one in backends if not self._rests.is_active(one.key)
+            one for one in backends if not self._backoffs.is_active(one.key)
         ]
         if not backends:
             return
@@ -77,7 +77,7 @@
 
     async def update_state(self, group: rank_groups.RankGroup) -> None:
         """Take over what a few ranks tell; one of them may be cut off."""
-        resting = self._rests.servers()
+        resting = self._backoffs.servers()
         ranks = group.sample_ranks(
             1 if group.is_open else _SAMPLED_RANK_COUNT, resting
         )
@@ -97,7 +97,7 @@
         """Ask all ranks how slow they are, if that is due."""
         if not group.rank_slowness.is_due(self._clock.monotonic()):
             return
-        ranks = group.ranks_to_ask(self._rests.servers())
+        ranks = group.ranks_to_ask(self._backoffs.servers())
         reports = await self._fetch_reports(group, ranks)
         factors = {one.rank: one.slowness for one in reports}
         if group.rank_slowness.update(factors, self._clock.monotonic()):
@@ -124,9 +124,9 @@
             one for one in found if one is not None and one.group == group.name
         ]
 
-    def has_resting_rank(self, group: rank_groups.RankGroup) -> bool:
+    def has_rank_backing_off(self, group: rank_groups.RankGroup) -> bool:
         """Tell whether a rank wants nothing from this process now."""
-        return len(group.ranks_to_ask(self._rests.servers())) < len(
+        return len(group.ranks_to_ask(self._backoffs.servers())) < len(
             group.servers_by_rank
         )
 
@@ -134,7 +134,7 @@
         self, group: rank_groups.RankGroup
     ) -> experts.ExpertMap | None:
         """Return the map that a group uses; none if a rank is silent."""
-        if self.has_resting_rank(group):
+        if self.has_rank_backing_off(group):
             return None
         try:
             ranks = await asyncio.gather(
--- a/src/lugcross/edge/request_errors.py
+++ b/src/lugcross/edge/request_errors.py
@@ -73,7 +73,9 @@
     return _not_run(what, wait)
 
 
-def all_resting(rest: datetime.timedelta, rng: random.Random) -> RequestError:
+def all_backing_off(
+    rest: datetime.timedelta, rng: random.Random
+) -> RequestError:
     """Return a refusal while all servers rest, or have rested just now.
 
     Callers come back once the first of them has rested, spread over a moment:
@@ -95,7 +97,7 @@
     )
 
 
-def servers_ended(ended: int, retry_after: datetime.timedelta) -> RequestError:
+def crash_suspect(ended: int, retry_after: datetime.timedelta) -> RequestError:
     """Return a refusal of a request under which servers have ended.
 
     :param ended: how many.
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -34,29 +34,31 @@
         edge_state: edge_state_lib.EdgeState,
         clock: clock_lib.Clock,
         exchange: http1.ResponseWriter,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         on_change: Callable[[], None],
         rng: random.Random,
     ) -> None:
         self._rng = rng
         self._edge_state = edge_state
         self._clock = clock
-        self._plan = plan
+        self._checked = checked
         self._on_change = on_change
-        self._answer_writer = attempt_lib.AnswerWriter(exchange, plan, clock)
+        self._answer_writer = attempt_lib.AnswerWriter(
+            exchange, checked, clock
+        )
         self._tried: set[desired.BackendKey] = set()
         #: Whether the last attempt's server ended its connection.
         self._connection_lost = False
         #: When the last attempt was sent.
-        self._sent_at = plan.req.received_at
+        self._sent_at = checked.req.received_at
         self._state = retry_policy.RequestState(
-            repeatable=plan.route.repeatable,
-            max_attempts=plan.route.max_attempts,
+            repeatable=checked.route.repeatable,
+            max_attempts=checked.route.max_attempts,
         )
 
     async def run(self) -> None:
         """Send until there is an answer or a reason to give up."""
-        self._edge_state.repeat_budget(self._plan.service).record_request(
+        self._edge_state.retry_budget(self._checked.service).record_request(
             self._clock.monotonic()
         )
         left = self._time_left()
@@ -67,7 +69,7 @@
             self._raise_timeout()
 
     def _time_left(self) -> datetime.timedelta:
-        return self._plan.deadline - self._clock.monotonic()
+        return self._checked.deadline - self._clock.monotonic()
 
     def _choose_first_backend(self) -> desired.Backend:
         """Return the first backend server, or refuse.
@@ -76,47 +78,50 @@
         that were kept waiting hardly any was served, and their callers
         were told so seconds later than they could have been.
         """
-        self._refuse_if_it_ends_servers()
+        self._refuse_crash_suspect()
         is_retry = self._edge_state.retry_detector(
-            self._plan.route.name
-        ).is_retry(self._plan.caller_head.time_left)
+            self._checked.route.name
+        ).is_retry(self._checked.caller_head.time_left)
         found = self._choose_backend()
         reason = self._refusal_reason(found, is_retry=is_retry)
         if found is None or reason is not None:
             raise self._refused_error(found, reason)
         return found.best.backend
 
-    def _refuse_if_it_ends_servers(self) -> None:
+    def _refuse_crash_suspect(self) -> None:
         """Refuse what ends the servers that run it, before any ends more.
 
         Unbounded, one such request that came every 0.2 to 3 s ended 17 to 75
         servers in 30 s; with this it ends two, or three where servers end
         for other reasons too.
         """
-        endings = self._edge_state.endings
+        tracker = self._edge_state.crash_tracker
         if (
-            endings.status(self._plan)
+            tracker.status(self._checked)
             is not crash_suspects.SuspectStatus.REFUSED
         ):
             return
-        ends = endings.counted_crashes(self._plan)
-        self._edge_state.figures.count_suspect_refused(self._plan.service)
-        raise request_errors.servers_ended(
-            len(ends), endings.time_until_expiry(ends)
+        ends = tracker.counted_crashes(self._checked)
+        self._edge_state.metrics.count_suspect_refused(self._checked.service)
+        raise request_errors.crash_suspect(
+            len(ends), tracker.time_until_expiry(ends)
         )
 
     def _refusal_reason(
         self, found: backend_choice.BackendChoice | None, *, is_retry: bool
     ) -> str | None:
-        plan = self._plan
+        checked = self._checked
         edge_state = self._edge_state
         return admission.refusal_reason(
             edge_state.load_snapshot(
-                plan.service, min_busy=found.min_requests if found else 0
+                checked.service, min_busy=found.min_requests if found else 0
             ),
-            edge_state.max_requests_per_server(plan.route, plan.service),
+            edge_state.max_requests_per_server(checked.route, checked.service),
             edge_state.requester(
-                plan.route, plan.service, plan.workspace, is_retry=is_retry
+                checked.route,
+                checked.service,
+                checked.workspace,
+                is_retry=is_retry,
             ),
         )
 
@@ -127,10 +132,10 @@
             return request_errors.overloaded(
                 reason or "", self._time_left(), self._rng
             )
-        rest = self._edge_state.remaining_rest(self._plan.service)
+        rest = self._edge_state.remaining_backoff(self._checked.service)
         if rest is not None:
             return self._all_resting_error(rest)
-        if self._edge_state.backends.usable(self._plan.service):
+        if self._edge_state.backends.usable(self._checked.service):
             return request_errors.unavailable(
                 "its groups of ranks are broken", self._time_left()
             )
@@ -140,8 +145,8 @@
         self, rest: datetime.timedelta
     ) -> request_errors.RequestError:
         """Return the refusal while all servers rest or are on trial."""
-        self._edge_state.figures.count_rest_refused(self._plan.service)
-        return request_errors.all_resting(rest, self._rng)
+        self._edge_state.metrics.count_backoff_refused(self._checked.service)
+        return request_errors.all_backing_off(rest, self._rng)
 
     async def _send_until_answered(self, first: desired.Backend) -> None:
         backend = first
@@ -151,8 +156,8 @@
             if event is None:
                 self._log_answer(backend)
                 return
-            self._edge_state.figures.count_attempt(
-                self._plan.service, event.value
+            self._edge_state.metrics.count_attempt(
+                self._checked.service, event.value
             )
             self._state = retry_policy.state_after(self._state, event)
             await self._check_if_backend_ended(event, backend)
@@ -174,7 +179,7 @@
         attempt = attempt_lib.Attempt(
             self._edge_state,
             self._clock,
-            self._plan,
+            self._checked,
             backend,
             self._answer_writer,
             may_resend=self._may_resend,
@@ -188,8 +193,8 @@
             self._on_change()
         self._connection_lost = attempt.connection_lost
         if event in (None, retry_policy.AttemptOutcome.FAILED):
-            self._edge_state.endings.record_completion(
-                self._plan, backend, self._sent_at
+            self._edge_state.crash_tracker.record_completion(
+                self._checked, backend, self._sent_at
             )
         begun = self._answer_writer.begun
         self._state = dataclasses.replace(self._state, answer_started=begun)
@@ -203,8 +208,8 @@
             event is retry_policy.AttemptOutcome.BROKEN
             and self._connection_lost
         ):
-            await self._edge_state.endings.record_broken_attempt(
-                self._plan, backend, self._sent_at
+            await self._edge_state.crash_tracker.record_broken_attempt(
+                self._checked, backend, self._sent_at
             )
 
     def _may_resend(self) -> bool:
@@ -225,21 +230,25 @@
         if not retry_policy.may_send(self._state):
             return False
         broke = event is retry_policy.AttemptOutcome.BROKEN
-        if not self._edge_state.endings.may_retry(self._plan, broke=broke):
+        if not self._edge_state.crash_tracker.may_retry(
+            self._checked, broke=broke
+        ):
             return False
         if not self._state.attempts_sent:
             return True
-        return self._edge_state.spend_repeat(self._plan.service, event)
+        return self._edge_state.spend_retry(self._checked.service, event)
 
     def _choose_backend(self) -> backend_choice.BackendChoice | None:
         if self._is_suspect():
             return self._edge_state.choose_backend_for_suspect(
-                self._plan, self._tried
+                self._checked, self._tried
             )
-        return self._edge_state.choose_backend(self._plan.service, self._tried)
+        return self._edge_state.choose_backend(
+            self._checked.service, self._tried
+        )
 
     def _is_suspect(self) -> bool:
-        standing = self._edge_state.endings.status(self._plan)
+        standing = self._edge_state.crash_tracker.status(self._checked)
         return standing is crash_suspects.SuspectStatus.SUSPECT
 
     async def _finish_unanswered(
@@ -250,7 +259,7 @@
         elif action is retry_policy.Action.ABORT_ANSWER:
             raise request_errors.answer_interrupted("the answer broke off")
         elif action is retry_policy.Action.REFUSE:
-            rest = self._edge_state.remaining_rest(self._plan.service)
+            rest = self._edge_state.remaining_backoff(self._checked.service)
             if rest:
                 raise self._all_resting_error(rest)
             raise request_errors.unavailable(
@@ -266,24 +275,24 @@
 
     def _log_answer(self, backend: desired.Backend) -> None:
         """Tell how a request that has its answer came by it."""
-        plan = self._plan
+        checked = self._checked
         first = self._answer_writer.first_byte_at
         first_byte_after = (
-            None if first is None else first - plan.req.received_at
+            None if first is None else first - checked.req.received_at
         )
         status = self._answer_writer.status
-        self._edge_state.figures.count_request(
-            plan.service, status, first_byte_after
+        self._edge_state.metrics.count_request(
+            checked.service, status, first_byte_after
         )
-        total = self._clock.monotonic() - plan.req.received_at
+        total = self._clock.monotonic() - checked.req.received_at
         logging.info(
             "answered",
             extra={
-                "request": plan.caller_head.attempt_id,
-                "service": plan.service,
-                "route": plan.route.name,
-                "workspace": plan.workspace_name,
-                "version": plan.desired_version,
+                "request": checked.caller_head.attempt_id,
+                "service": checked.service,
+                "route": checked.route.name,
+                "workspace": checked.workspace_name,
+                "version": checked.desired_version,
                 "backend": backend.key,
                 "domain": backend.domain,
                 "status": status,
@@ -305,7 +314,7 @@
         logging.info(
             "attempt ended",
             extra={
-                "request": self._plan.caller_head.attempt_id,
+                "request": self._checked.caller_head.attempt_id,
                 "backend": backend.key,
                 "event": event.value,
                 "action": action.value,
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -50,19 +50,19 @@
     ) -> None:
         """Answer one request."""
         head = platform.parse_caller_request_head(req.headers)
-        plan: checked_request.CheckedRequest | None = None
+        checked: checked_request.CheckedRequest | None = None
         try:
-            plan = self._make_plan(req, head)
+            checked = self._make_plan(req, head)
             await request_forwarder.RequestForwarder(
                 self._edge_state,
                 self._clock,
                 exchange,
-                plan,
+                checked,
                 self._on_change,
                 self._rng,
             ).run()
         except request_errors.RequestError as exc:
-            self._log_refusal(head, plan, exc)
+            self._log_refusal(head, checked, exc)
             if exchange.head_written:
                 return
             await exchange.write_head(
@@ -125,33 +125,33 @@
     def _log_refusal(
         self,
         head: platform.CallerRequestHead,
-        plan: checked_request.CheckedRequest | None,
+        checked: checked_request.CheckedRequest | None,
         exc: request_errors.RequestError,
     ) -> None:
-        service = plan.service if plan else ""
-        self._edge_state.figures.count_request(service, exc.status, None)
-        if plan is not None and plan.workspace_name is not None:
-            self._edge_state.figures.count_workspace_refused(
-                service, plan.workspace_name
+        service = checked.service if checked else ""
+        self._edge_state.metrics.count_request(service, exc.status, None)
+        if checked is not None and checked.workspace_name is not None:
+            self._edge_state.metrics.count_workspace_refused(
+                service, checked.workspace_name
             )
         inputs: dict[str, object] = {}
-        if plan is not None:
-            snapshot = self._edge_state.load_snapshot(plan.service)
+        if checked is not None:
+            snapshot = self._edge_state.load_snapshot(checked.service)
             inputs = {
-                "service": plan.service,
-                "route": plan.route.name,
-                "version": plan.desired_version,
+                "service": checked.service,
+                "route": checked.route.name,
+                "version": checked.desired_version,
                 "servers": snapshot.servers,
-                "resting": len(self._edge_state.rests.servers()),
+                "resting": len(self._edge_state.backoffs.servers()),
                 "busy": snapshot.busy,
-                "unseen": round(snapshot.unseen, 1),
+                "unseen": round(snapshot.unreported, 1),
                 "full": round(
                     self._edge_state.max_requests_per_server(
-                        plan.route, plan.service
+                        checked.route, checked.service
                     ),
                     2,
                 ),
-                **self._share_fields(plan, snapshot),
+                **self._share_fields(checked, snapshot),
                 "list_age_s": round(
                     self._edge_state.backends.age().total_seconds(), 3
                 ),
@@ -163,7 +163,7 @@
                 "request": head.attempt_id,
                 "status": exc.status.value,
                 "why": exc.what,
-                "same": plan.logged_fingerprint if plan else None,
+                "same": checked.logged_fingerprint if checked else None,
                 "retry_after_ms": None if wait is None else round(wait / _MS),
                 **inputs,
             },
@@ -171,21 +171,23 @@
 
     def _share_fields(
         self,
-        plan: checked_request.CheckedRequest,
+        checked: checked_request.CheckedRequest,
         snapshot: admission.LoadSnapshot,
     ) -> dict[str, object]:
         """Return for a log line what the request's workspace may have."""
-        if plan.workspace_name is None:
+        if checked.workspace_name is None:
             return {}
         claim = self._edge_state.workspace_usage.claim(
-            plan.service, plan.workspace_name
+            checked.service, checked.workspace_name
         )
         places = (
-            self._edge_state.max_requests_per_server(plan.route, plan.service)
+            self._edge_state.max_requests_per_server(
+                checked.route, checked.service
+            )
             * snapshot.servers
         )
         return {
-            "workspace": plan.workspace_name,
+            "workspace": checked.workspace_name,
             "use": claim.in_progress,
             "share": round(claim.fair_share(places), 1),
         }
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -98,10 +98,10 @@
         )
         #: Backend servers that this process knows to hold their groups back.
         self.seen_slow_backends: Callable[[], list[desired.BackendKey]] = list
-        ledger = edge_state.endings.registry
+        ledger = edge_state.crash_tracker.registry
         self._suspect_gossip = suspect_gossip.SuspectGossip(ledger, clock)
         self._suspect_store = suspect_store.SuspectStore(ledger, store, clock)
-        edge_state.endings.on_refused = self._suspect_store.save
+        edge_state.crash_tracker.on_refused = self._suspect_store.save
         store.on_new_era = self._on_new_era
         #: The desired state that the store told first, until it is sure that
         #: no peer has a newer one.
@@ -125,7 +125,7 @@
             settings, store, self.peers, clock=clock, rng=rng
         )
         edge_state.count_known_peers = self.peers.count
-        edge_state.endings.on_change = functools.partial(
+        edge_state.crash_tracker.on_change = functools.partial(
             self.peers.schedule_send, urgent=True
         )
         self.peer_sync = peer_sync_lib.PeerSync(
@@ -179,11 +179,11 @@
         """Drawn anew at each start of a process."""
         return self._incarnation
 
-    def fit(self) -> bool:
+    def is_eligible(self) -> bool:
         """Tell whether this process may look after expert maps."""
         return not self._leaving and not self.is_unfit()
 
-    def first(self) -> bool:
+    def is_first_candidate(self) -> bool:
         """Tell whether it runs longest of those that may.
 
         Where a lease is needed, one that the store turns away cannot get
@@ -202,7 +202,7 @@
         own = experts.Candidate(self._started_ms, self._incarnation)
         return experts.elect_leader([*claims, own]) == own
 
-    def held_elsewhere(self) -> bool:
+    def lease_held_by_peer(self) -> bool:
         """Tell whether a live peer has the lease of expert maps."""
         heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
         return any(heartbeat.generation for heartbeat in heartbeats)
@@ -346,9 +346,9 @@
             heartbeat.node, heartbeat.workspace_uses
         )
         broken = [desired.BackendKey(key) for key in heartbeat.broken_backends]
-        self._edge_state.outages.report(heartbeat.node, broken)
+        self._edge_state.broken_group_servers.report(heartbeat.node, broken)
         slow = [desired.BackendKey(key) for key in heartbeat.slow_backends]
-        self._edge_state.slowdowns.report(heartbeat.node, slow)
+        self._edge_state.slow_servers.report(heartbeat.node, slow)
         self._suspect_gossip.merge(heartbeat.suspects)
         for name in heartbeat.leaving_backends:
             self._edge_state.backends.note_leaving_answer(
@@ -374,7 +374,7 @@
             return
         self._era = era
         logging.warning("store is a copy", extra={"era": era, "was": before})
-        self._edge_state.figures.count_store_copy()
+        self._edge_state.metrics.count_store_copy()
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
         self._registration.repeat_if_done_since(since)
         if not self.reader_rank():
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -44,8 +44,8 @@
     """Carries out what a switch asks for.
 
     :param leadership: under whose number all orders are given.
-    :param has_resting_rank: tells whether a rank has asked this process for
-        rest.
+    :param has_rank_backing_off: tells whether a rank has asked this process
+        for rest.
     """
 
     def __init__(
@@ -55,9 +55,9 @@
         leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: Sleep,
-        has_resting_rank: Callable[[], bool] = lambda: False,
+        has_rank_backing_off: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._has_resting_rank = has_resting_rank
+        self._has_resting_rank = has_rank_backing_off
         self._leadership = leadership
         self._generation = leadership.generation()
         self._sleep = sleep
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -183,7 +183,9 @@
             self._leadership,
             self._clock,
             self._sleep,
-            has_resting_rank=lambda: self._queries.has_resting_rank(group),
+            has_rank_backing_off=lambda: self._queries.has_rank_backing_off(
+                group
+            ),
         )
         self._drivers[group.service, group.name] = driver
         group.map_being_copied = plan.next_map if plan else None
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -305,7 +305,7 @@
 def test_figures_count_answers_refusals_and_attempts(run_with_rig):
     async def act(r):
         await r.ask()
-        return r.edge_state.figures.text().decode()
+        return r.edge_state.metrics.text().decode()
 
     scripts = [[rig.answer(503, b"", NOT_RUN)], [rig.answer()]]
     text = run_with_rig(rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, act)
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -75,13 +75,13 @@
     None
 ):
     node = Node(fenced=False)
-    assert not node.state_sync.first()
+    assert not node.state_sync.is_first_candidate()
     node.clock.advance(2000 * MS)
-    assert node.state_sync.first()
+    assert node.state_sync.is_first_candidate()
 
 
 def test_a_process_that_has_just_started_may_claim_a_lease() -> None:
-    assert Node(fenced=True).state_sync.first()
+    assert Node(fenced=True).state_sync.is_first_candidate()
 
 
 @FENCES
@@ -89,9 +89,9 @@
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear()
-    assert not node.state_sync.first()
+    assert not node.state_sync.is_first_candidate()
     node.hear(started_ms=0)
-    assert node.state_sync.first()
+    assert node.state_sync.is_first_candidate()
 
 
 @FENCES
@@ -99,7 +99,7 @@
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear(leaving=True)
-    assert node.state_sync.first()
+    assert node.state_sync.is_first_candidate()
 
 
 @pytest.mark.parametrize(("fenced", "silent_ms"), [(False, 1100), (True, 600)])
@@ -108,18 +108,18 @@
     node.clock.advance(5000 * MS)
     node.hear()
     node.clock.advance((silent_ms - 1) * MS)
-    assert not node.state_sync.first()
+    assert not node.state_sync.is_first_candidate()
     node.clock.advance(MS)
-    assert node.state_sync.first()
+    assert node.state_sync.is_first_candidate()
 
 
 def test_lease_is_held_elsewhere_while_its_holder_is_heard() -> None:
     node = Node(fenced=True)
-    assert not node.state_sync.held_elsewhere()
+    assert not node.state_sync.lease_held_by_peer()
     node.hear(generation=3)
-    assert node.state_sync.held_elsewhere()
+    assert node.state_sync.lease_held_by_peer()
     node.clock.advance(600 * MS)
-    assert not node.state_sync.held_elsewhere()
+    assert not node.state_sync.lease_held_by_peer()
 
 
 def test_number_of_a_peers_lease_is_passed_on() -> None:
@@ -227,7 +227,7 @@
     node.clock.advance(5000 * MS)
     node.hear(reads_store=False)
     # Without a lease the store does not matter.
-    assert node.state_sync.first() == fenced
+    assert node.state_sync.is_first_candidate() == fenced
 
 
 def test_peers_hear_that_the_store_turns_this_process_away() -> None:
--- a/testing/edge/test_crash_tracker.py
+++ b/testing/edge/test_crash_tracker.py
@@ -12,7 +12,7 @@
 def _counted_crashes(one: rig.Rig) -> list[int]:
     return [
         len(record.crashes_since_cleared)
-        for record in one.edge_state.endings.registry.records()
+        for record in one.edge_state.crash_tracker.registry.records()
     ]
 
 
@@ -67,9 +67,9 @@
         got = []
         for _ in range(times):
             got.append(await one.ask())
-            records = one.edge_state.endings.registry.records()
+            records = one.edge_state.crash_tracker.registry.records()
             if exempt:
-                one.edge_state.endings.exempt_requests = frozenset(
+                one.edge_state.crash_tracker.exempt_requests = frozenset(
                     [records[0].request]
                 )
         one.close()
@@ -82,7 +82,7 @@
     got, one, _ = _play_crashes(1)
     assert got[0].status == 200
     # It ran to its end at the next server, and is cleared.
-    records = one.edge_state.endings.registry.records()
+    records = one.edge_state.crash_tracker.registry.records()
     assert [len(record.crashes) for record in records] == [1]
     assert _counted_crashes(one) == [0]
 
@@ -94,13 +94,13 @@
 
     got, one = _play(rig.SAFE_ROUTE, resets, rig.answer())
     assert got.status == 200
-    assert one.edge_state.endings.registry.records() == []
+    assert one.edge_state.crash_tracker.registry.records() == []
 
 
 def test_failure_answer_does_not_count():
     failure = rig.answer(500, b"no")
     _, one = _play(rig.SAFE_ROUTE, failure, failure)
-    assert one.edge_state.endings.registry.records() == []
+    assert one.edge_state.crash_tracker.registry.records() == []
 
 
 def test_caller_is_told_when_to_come_back_and_that_it_has_not_run():
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -82,7 +82,7 @@
         "slots": 24,
         "busy": 0,
         "min_busy": 0,
-        "unseen": 0.0,
+        "unreported": 0.0,
     }
     return admission.LoadSnapshot(**(usual | fields))
 
@@ -108,7 +108,7 @@
 
 
 def test_requests_that_peers_have_not_told_yet_count():
-    snapshot = _load_snapshot(busy=8, unseen=14.0)
+    snapshot = _load_snapshot(busy=8, unreported=14.0)
     assert admission.refusal_reason(snapshot, 4.0, FIRST)
 
 
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -89,7 +89,7 @@
             slots=SERVERS * SLOTS_PER_SERVER,
             busy=len(self.running_until),
             min_busy=len(self.running_until) // SERVERS,
-            unseen=0.0,
+            unreported=0.0,
         )
         verdict = admission.refusal_reason(
             snapshot,
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -24,13 +24,13 @@
         self.is_first = True
         self.elsewhere = False
 
-    def fit(self) -> bool:
+    def is_eligible(self) -> bool:
         return self.is_fit
 
-    def first(self) -> bool:
+    def is_first_candidate(self) -> bool:
         return self.is_first
 
-    def held_elsewhere(self) -> bool:
+    def lease_held_by_peer(self) -> bool:
         return self.elsewhere
 
 
@@ -213,7 +213,7 @@
             faults.append(None)
             raise KeyError("a fault of our own")
 
-        candidacy.fit = fail
+        candidacy.is_eligible = fail
         loop_task = asyncio.create_task(leadership.run())
         while len(faults) < 3 and not loop_task.done():
             await asyncio.sleep(0)
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -253,13 +253,13 @@
         await rig.rounds(1)
         rest = 6 * SECOND
         for rank in resting:
-            rig.edge_state.rests.start(desired.BackendKey(str(rank)), rest)
+            rig.edge_state.backoffs.start(desired.BackendKey(str(rank)), rest)
         rig.engines.called_ranks.clear()
         await rig.rounds(5)
         assert not set(resting) & set(rig.engines.called_ranks)
         assert not rig.engines.orders
         # Nothing speaks for it that its group is broken.
-        assert not rig.edge_state.outages.servers()
+        assert not rig.edge_state.broken_group_servers.servers()
         await rig.rounds(5)
         assert rig.engines.group.ranks[0].version_and_map != (0, INITIAL_MAP)
 
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -24,7 +24,7 @@
 
 def test_first_request_of_a_broken_group_is_refused_at_once(run_with_rig):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
-        rig.edge_state.outages.report("peer", BACKEND_KEYS)
+        rig.edge_state.broken_group_servers.report("peer", BACKEND_KEYS)
         got = await rig.ask()
         assert not rig.backends[0].seen
         return got
@@ -40,7 +40,7 @@
 ):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
-        rig.edge_state.outages.report("peer", BACKEND_KEYS)
+        rig.edge_state.broken_group_servers.report("peer", BACKEND_KEYS)
         calls = _count_serving_calls(rig)
         got = await rig.ask(time_left=4000)
         # One choice, one snapshot for the verdict, one for the log line.
@@ -55,9 +55,9 @@
 
 def test_request_that_comes_back_to_an_open_group_is_served(run_with_rig):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
-        rig.edge_state.outages.report("peer", BACKEND_KEYS)
+        rig.edge_state.broken_group_servers.report("peer", BACKEND_KEYS)
         await rig.ask(time_left=5000)
-        rig.edge_state.outages.report("peer", [])
+        rig.edge_state.broken_group_servers.report("peer", [])
         return await rig.ask(time_left=4000)
 
     got = run_with_rig(edge_rig.SAFE_ROUTE, [[edge_rig.answer()]], act)
@@ -67,7 +67,7 @@
 def test_refused_request_that_may_not_be_repeated_has_not_run(run_with_rig):
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
-        rig.edge_state.outages.report("peer", BACKEND_KEYS)
+        rig.edge_state.broken_group_servers.report("peer", BACKEND_KEYS)
         got = await rig.ask(time_left=1000)
         assert len(rig.backends[0].seen) == 1
         return got
--- a/testing/edge/test_reload.py
+++ b/testing/edge/test_reload.py
@@ -83,9 +83,9 @@
 def test_repeats_that_were_spent_stay_counted_under_other_bounds():
     rig = edge_rig.Rig()
     service = edge_rig.SAFE_ROUTE.weighted_services[0].service
-    budget = rig.edge_state.repeat_budget(service)
+    budget = rig.edge_state.retry_budget(service)
     now = rig.clock.monotonic()
     while budget.try_spend(now):
         pass
     rig.edge_state.apply_settings(edge_rig.settings())
-    assert not rig.edge_state.repeat_budget(service).try_spend(now)
+    assert not rig.edge_state.retry_budget(service).try_spend(now)
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -98,9 +98,9 @@
 
     async def act(rig, clock):
         # Whichever is chosen by chance, the first one is to tell it.
-        rig.edge_state.outages.report("peer", [OTHER])
+        rig.edge_state.broken_group_servers.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.edge_state.outages.report("peer", [])
+        rig.edge_state.broken_group_servers.report("peer", [])
         clock.advance(drain + A_MOMENT)
         for _ in range(3):
             assert (await rig.ask()).status == 200
@@ -184,7 +184,7 @@
         async def acquire_late(backend, **kwargs):
             conn = await acquire(backend, **kwargs)
             # Another request is turned away meanwhile.
-            rig.edge_state.rests.start(backend.key, BACKOFF)
+            rig.edge_state.backoffs.start(backend.key, BACKOFF)
             return conn
 
         rig.edge_state.pool.acquire = acquire_late
@@ -298,9 +298,9 @@
     async def act(rig, clock):
         first, second = rig.backends
         # The second one is broken until the first has told that it leaves.
-        rig.edge_state.outages.report("peer", [OTHER])
+        rig.edge_state.broken_group_servers.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
-        rig.edge_state.outages.report("peer", [])
+        rig.edge_state.broken_group_servers.report("peer", [])
         gone = platform.KeyedRecord(ids.Offset(10), "i-0", b"")
         address = f"{edge_rig.HOST}:{first.port}"
         entry = edge_rig.backend_entry("app", address, "d1", state=state)
@@ -377,7 +377,7 @@
     async def act(rig, clock):
         del clock
         assert (await rig.ask()).status == 200
-        return rig.edge_state.rests.is_active(KEY)
+        return rig.edge_state.backoffs.is_active(KEY)
 
     assert _play([[both]], act)
 
@@ -428,7 +428,7 @@
 def test_peers_hear_that_a_server_leaves():
     async def act(rig, clock):
         del clock
-        rig.edge_state.outages.report("peer", [OTHER])
+        rig.edge_state.broken_group_servers.report("peer", [OTHER])
         await rig.ask()
         return rig.edge_state.backends.leaving_by_answer_only()
 
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -178,7 +178,7 @@
 
 def _load_snapshot(busy: int) -> admission.LoadSnapshot:
     return admission.LoadSnapshot(
-        servers=16, slots=96, busy=busy, min_busy=busy // 16, unseen=0.0
+        servers=16, slots=96, busy=busy, min_busy=busy // 16, unreported=0.0
     )
 
 
