--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -109,19 +109,19 @@
         urgent = functools.partial(
             self.state_sync.peers.schedule_send, urgent=True
         )
-        self._duty = map_leadership.MapLeadership(
+        self._leadership = map_leadership.MapLeadership(
             experts.Lease(self.state_sync.incarnation, clock),
             self._store,
             self.state_sync,
             needs_fencing=lambda: self.edge_state.bounds.fenced,
             on_lease_change=urgent,
         )
-        self._maps = map_manager.MapManager(
+        self._map_manager = map_manager.MapManager(
             self.edge_state,
             platform.EngineClient(reports.exchange, orders.exchange),
             clock=clock,
             sleep=asyncio.sleep,
-            leadership=self._duty,
+            leadership=self._leadership,
             allocator=experts.NumberAllocator(
                 rng.getrandbits(_MAP_OWNER_BITS)
             ),
@@ -129,15 +129,19 @@
             node=settings.node,
             cfg=settings.maps,
         )
-        self._duty.has_work_in_progress = self._maps.switch_runner.is_busy
-        self.state_sync.is_unfit = self._maps.switch_runner.is_stuck
-        self.state_sync.lease_generation = self._duty.generation
-        self.state_sync.on_peer_generation = self._duty.note_newer_generation
-        self.state_sync.can_claim_lease = self._duty.store_answers
+        self._leadership.has_work_in_progress = (
+            self._map_manager.switch_runner.is_busy
+        )
+        self.state_sync.is_unfit = self._map_manager.switch_runner.is_stuck
+        self.state_sync.lease_generation = self._leadership.generation
+        self.state_sync.on_peer_generation = (
+            self._leadership.note_newer_generation
+        )
+        self.state_sync.can_claim_lease = self._leadership.store_answers
         self.state_sync.seen_broken_backends = (
-            self._maps.servers_of_broken_groups
+            self._map_manager.servers_of_broken_groups
         )
-        self.state_sync.seen_slow_backends = self._maps.slow_servers
+        self.state_sync.seen_slow_backends = self._map_manager.slow_servers
         self._conns: set[http1.ServerConn] = set()
         self._stopping_since: clock_lib.Instant | None = None
         self._stop_requested = asyncio.Event()
@@ -206,8 +210,8 @@
         return [
             *(follower.run() for follower in followers),
             state_sync.run(),
-            self._duty.run(),
-            self._maps.run(),
+            self._leadership.run(),
+            self._map_manager.run(),
             self._sweep(),
         ]
 
@@ -334,7 +338,7 @@
             logging.error("settings kept out", extra={"why": str(exc)})
             return
         self.edge_state.apply_settings(settings)
-        self._maps.cfg = settings.maps
+        self._map_manager.cfg = settings.maps
         logging.info("settings read anew")
 
 
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -52,7 +52,7 @@
     """
 
     backend: desired.Backend
-    offset: positions.Position
+    position: positions.Position
     leaving_at: clock_lib.Instant | None = None
     removed: bool = False
     lapsed: bool = False
@@ -88,7 +88,9 @@
         #: Newest life of each server, and the offset of its last entry
         #: once that is forgotten.
         self._newest_lives: dict[desired.BackendId, desired.Backend] = {}
-        self._removed_offsets: dict[desired.BackendId, positions.Position] = {}
+        self._removed_positions: dict[
+            desired.BackendId, positions.Position
+        ] = {}
         #: When lives said that they leave; oldest first.
         self._leaving_answer_at: dict[
             desired.BackendKey, clock_lib.Instant
@@ -111,7 +113,7 @@
         last = positions.previous(tail.end)
         for entry in list(self._entries.values()):
             name = entry.backend.id
-            if name not in listed and entry.offset < tail.end:
+            if name not in listed and entry.position < tail.end:
                 gone = platform.KeyedRecord(last, name, b"")
                 self._apply_record(gone, store_was_away)
         self.apply(tail, store_was_away=store_was_away)
@@ -159,7 +161,7 @@
         if len(lapsed) > len(ready):
             servers = ready + lapsed
         else:
-            servers = ready or self._still_leaving(here, now)
+            servers = ready or self._leaving_but_usable(here, now)
         if not servers:
             doubted = [
                 entry
@@ -176,7 +178,7 @@
         # By then, news of what was written again are here.
         return since is None or now - since >= _REWRITE_TIME + self._drain()
 
-    def _still_leaving(
+    def _leaving_but_usable(
         self, here: list[_Entry], now: clock_lib.Instant
     ) -> list[desired.Backend]:
         """Return leaving servers that may be used for a while."""
@@ -208,7 +210,7 @@
         if entry is None:
             return
         self._usable.pop(entry.backend.service, None)
-        self._removed_offsets[entry.backend.id] = entry.offset
+        self._removed_positions[entry.backend.id] = entry.position
         logging.info("backend server gone", extra={"backend": key, "why": why})
 
     def note_leaving_answer(self, key: desired.BackendKey) -> None:
@@ -261,7 +263,7 @@
         name = desired.BackendId(record.key)
         life = self._newest_lives.get(name)
         entry = self._entries.get(life.key) if life else None
-        newest = entry.offset if entry else self._removed_offsets.get(name)
+        newest = entry.position if entry else self._removed_positions.get(name)
         if newest is not None and record.position <= newest:
             return
         is_new_era = newest is not None and _is_later_era(
@@ -326,9 +328,9 @@
         """Leave an entry of an earlier life alone; the later one stands."""
         logging.info("entry of an earlier life", extra={"backend": record.key})
         if entry is not None:
-            entry.offset = record.position
+            entry.position = record.position
         else:
-            self._removed_offsets[desired.BackendId(record.key)] = (
+            self._removed_positions[desired.BackendId(record.key)] = (
                 record.position
             )
 
@@ -336,7 +338,7 @@
         self,
         backend: desired.Backend,
         entry: _Entry | None,
-        offset: positions.Position,
+        position: positions.Position,
         *,
         is_new_era: bool,
     ) -> None:
@@ -360,7 +362,7 @@
         self._newest_lives[backend.id] = backend
         self._entries[backend.key] = _Entry(
             backend,
-            offset,
+            position,
             (now if since is None else since) if leaving else None,
             possibly_outdated_since=now
             if is_new_era and self._has_ended(entry)
@@ -374,8 +376,8 @@
                     "service": backend.service,
                     "address": backend.address,
                     "state": backend.state.value,
-                    "offset": positions.offset(offset),
-                    "era": positions.era(offset),
+                    "offset": positions.offset(position),
+                    "era": positions.era(position),
                 },
             )
 
@@ -391,15 +393,15 @@
         self,
         name: desired.BackendId,
         entry: _Entry | None,
-        offset: positions.Position,
+        position: positions.Position,
         store_was_away: bool,
         *,
         is_new_era: bool = False,
     ) -> None:
         if entry is None:
-            self._removed_offsets[name] = offset
+            self._removed_positions[name] = position
             return
-        entry.offset = offset
+        entry.position = position
         if entry.removed:
             return
         self._usable.pop(entry.backend.service, None)
@@ -414,8 +416,8 @@
             "backend server removed",
             extra={
                 "backend": entry.backend.key,
-                "offset": positions.offset(offset),
-                "era": positions.era(offset),
+                "offset": positions.offset(position),
+                "era": positions.era(position),
                 "lapsed": entry.lapsed,
             },
         )
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -186,13 +186,16 @@
         )
         for group in groups:
             demand = self._demand_reader.demand_for(service, group)
-            if demand is None or demand.read_at == group.planned_reading_at:
+            if (
+                demand is None
+                or demand.read_at == group.planned_demand_read_at
+            ):
                 continue
             if group.map_being_copied is not None:
-                group.planned_reading_at = demand.read_at
+                group.planned_demand_read_at = demand.read_at
                 await self._cancel_if_outdated(group, demand.uses)
             elif group.can_switch and not self._must_keep_map(group):
-                group.planned_reading_at = demand.read_at
+                group.planned_demand_read_at = demand.read_at
                 await self._switch_if_worthwhile(group, demand.uses)
 
     async def _update_group(self, group: rank_groups.RankGroup) -> None:
@@ -283,7 +286,7 @@
         if saving >= self.cfg.least_saving:
             self.switch_runner.cancel_if_copying(group)
             # Planned anew by the same reading, once it is left.
-            group.planned_reading_at = None
+            group.planned_demand_read_at = None
 
     async def _switch_if_worthwhile(
         self, group: rank_groups.RankGroup, uses: experts.Demand
--- a/src/lugcross/edge/metrics.py
+++ b/src/lugcross/edge/metrics.py
@@ -176,7 +176,7 @@
 
 async def serve(
     metrics: EdgeMetrics,
-    exchange: http1.ResponseWriter,
+    response: http1.ResponseWriter,
     req: http1.Request,
     *,
     suspects_json: Callable[[], bytes],
@@ -186,7 +186,7 @@
     :param suspects_json: tells which requests are suspect.
     """
     if req.target.partition(b"?")[0] == SUSPECTS_PATH:
-        await exchange.write_head(
+        await response.write_head(
             http.HTTPStatus.OK,
             [(b"Content-Type", b"application/json")],
             suspects_json(),
@@ -194,6 +194,6 @@
         )
         return
     headers = [(b"Content-Type", b"text/plain; version=0.0.4")]
-    await exchange.write_head(
+    await response.write_head(
         http.HTTPStatus.OK, headers, metrics.text(), whole=True
     )
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -37,7 +37,7 @@
     :param foreign_hold: a pass held by someone else, and since when.
     :param was_switched_here: whether this process has switched it: only then
         may a report that is some time old show a hold of its own.
-    :param planned_reading_at: when the reading was made that a map was last
+    :param planned_demand_read_at: when the reading was made that a map was last
         planned by.
     :param map_being_copied: the map that its ranks copy experts for.
     :param report_lag: age of what its ranks report.
@@ -64,7 +64,7 @@
     foreign_hold: tuple[experts.PassNumber, clock_lib.Instant] | None = None
     is_switching: bool = False
     was_switched_here: bool = False
-    planned_reading_at: clock_lib.Instant | None = None
+    planned_demand_read_at: clock_lib.Instant | None = None
     map_being_copied: experts.ExpertMap | None = None
     report_lag: datetime.timedelta = datetime.timedelta()
     pass_times: pass_times_lib.PassTimes = dataclasses.field(
@@ -106,26 +106,26 @@
         return min(_MAX_PASSES_AHEAD_COUNT, 1 + int(self.report_lag / typical))
 
     def ranks_to_ask(
-        self, resting: Collection[desired.BackendKey]
+        self, backing_off: Collection[desired.BackendKey]
     ) -> list[experts.Rank]:
         """Return the ranks that may be asked, in order.
 
-        :param resting: servers that want nothing from this process.
+        :param backing_off: servers that want nothing from this process.
         """
         return sorted(
             rank
             for rank, backend in self.servers_by_rank.items()
-            if backend.key not in resting
+            if backend.key not in backing_off
         )
 
     def sample_ranks(
-        self, count: int, resting: Collection[desired.BackendKey] = ()
+        self, count: int, backing_off: Collection[desired.BackendKey] = ()
     ) -> list[experts.Rank]:
         """Return the first rank and others spread over the group.
 
         Ranks of one failure domain mostly have numbers side by side.
         """
-        ranks = self.ranks_to_ask(resting)
+        ranks = self.ranks_to_ask(backing_off)
         return ranks[:: max(1, math.ceil(len(ranks) / count))]
 
     def report_is_due(
@@ -163,7 +163,7 @@
             )
             self.armed_version = None
             # What was seen before it broke is the best to plan by now.
-            self.planned_reading_at = None
+            self.planned_demand_read_at = None
         self.is_open = report.is_open
         self.last_pass = report.last_pass
         self.highest_version = max(
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -77,15 +77,15 @@
 
     async def update_state(self, group: rank_groups.RankGroup) -> None:
         """Take over what a few ranks tell; one of them may be cut off."""
-        resting = self._backoffs.servers()
+        backing_off = self._backoffs.servers()
         ranks = group.sample_ranks(
-            1 if group.is_open else _SAMPLED_RANK_COUNT, resting
+            1 if group.is_open else _SAMPLED_RANK_COUNT, backing_off
         )
         if not ranks:
             return
         reports = await self._fetch_reports(group, ranks)
         if not reports:
-            others = group.sample_ranks(_SAMPLED_RANK_COUNT, resting)
+            others = group.sample_ranks(_SAMPLED_RANK_COUNT, backing_off)
             reports = await self._fetch_reports(group, others)
         now = self._clock.monotonic()
         if not reports:
@@ -112,7 +112,7 @@
                     },
                 },
             )
-            group.planned_reading_at = None
+            group.planned_demand_read_at = None
 
     async def _fetch_reports(
         self, group: rank_groups.RankGroup, ranks: list[experts.Rank]
--- a/src/lugcross/edge/readiness.py
+++ b/src/lugcross/edge/readiness.py
@@ -20,7 +20,7 @@
     """
 
     async def answer(
-        exchange: http1.ResponseWriter, req: http1.Request
+        response: http1.ResponseWriter, req: http1.Request
     ) -> None:
         del req
         why = unready_reason()
@@ -28,6 +28,6 @@
             http.HTTPStatus.SERVICE_UNAVAILABLE if why else http.HTTPStatus.OK
         )
         headers = [(b"Content-Type", b"text/plain")]
-        await exchange.write_head(status, headers, why.encode(), whole=True)
+        await response.write_head(status, headers, why.encode(), whole=True)
 
     return answer
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -38,7 +38,7 @@
         self._registered_at: clock_lib.Instant | None = None
         self._repeat_requested = asyncio.Event()
 
-    def repeat_if_done_since(self, since: clock_lib.Instant) -> None:
+    def register_again_if_done_since(self, since: clock_lib.Instant) -> None:
         """Register once more if that was done later than ``since``."""
         if self._registered_at is not None and self._registered_at >= since:
             self._repeat_requested.set()
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -376,7 +376,7 @@
         logging.warning("store is a copy", extra={"era": era, "was": before})
         self._edge_state.metrics.count_store_copy()
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
-        self._registration.repeat_if_done_since(since)
+        self._registration.register_again_if_done_since(since)
         if not self.reader_rank():
             self._suspect_store.save_again(since)
 
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -57,7 +57,7 @@
         sleep: Sleep,
         has_rank_backing_off: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._has_resting_rank = has_rank_backing_off
+        self._has_rank_backing_off = has_rank_backing_off
         self._leadership = leadership
         self._generation = leadership.generation()
         self._sleep = sleep
@@ -87,7 +87,9 @@
                 return False
             is_late = now - copy_end > _CANCEL_AFTER
             is_pointless = (
-                is_late or self._has_resting_rank() or not self._group.is_open
+                is_late
+                or self._has_rank_backing_off()
+                or not self._group.is_open
             )
             if is_pointless and not switch.may_hold_pass:
                 switch.cancel()
