--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The edge process: owns its servers, followers and connections."""
+"""The edge process: its listeners, background tasks, reload and shutdown."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -31,26 +31,28 @@
 from lugcross import http1
 from lugcross import platform
 
-#: Longest wait for the store's answer. Its usual answer takes a few
-#: milliseconds; a slow store needs some hundred.
+#: Time limit for an answer of the store, which usually takes a few
+#: milliseconds, and some hundred while the store is slow.
 STORE_TIMEOUT = datetime.timedelta(seconds=1.5)
-#: Time between two rounds of tidying, in seconds.
+#: Time between two rounds of periodic cleanup.
 _SWEEP_INTERVAL_S = 1.0
-#: Part of the grace after which whatever is left is cut.
+#: Fraction of the shutdown grace period after which connections that are
+#: still busy are closed.
 _DRAIN_GRACE_RATIO = 0.95
-#: Rest after a stop signal during which the platform's balancer notices;
-#: requests that come later on open connections are refused.
+#: Time after a stop signal within which the platform's balancer sees that
+#: this process is not ready. Requests are accepted until then, and refused
+#: afterwards.
 _DRAIN_NOTICE = datetime.timedelta(seconds=3)
-#: Time between two looks at what is left to finish, in seconds.
+#: Time between two checks whether all connections have been closed.
 _DRAIN_CHECK_INTERVAL_S = 0.05
-#: Connections that may wait to be taken: all callers that come back after
-#: a second in which this process was stopped.
+#: Large enough for all callers that reconnect after this process was frozen
+#: for a second.
 _LISTEN_BACKLOG = 1024
-#: Bits of the number by which this process marks its map versions.
+#: Bits of the random number that marks the map versions of this process.
 _MAP_OWNER_BITS = 16
-#: What a list of unknown age is shown as, in seconds.
+#: Upper bound of the age gauge, shown while the age is not known.
 _MAX_SHOWN_AGE_S = 1e6
-#: Bounds for callers until a desired state tells them.
+#: Limits for callers until the first desired state is known.
 _DEFAULT_LIMITS = desired.RequestLimits(
     max_head_bytes=16_384,
     max_body_bytes=1_048_576,
@@ -61,7 +63,13 @@
 
 @final
 class Edge:
-    """One process; all are equal and keep nothing."""
+    """The edge process.
+
+    All edge processes are equal and none stores anything locally.
+
+    :param settings_path: file that ``settings`` were loaded from, watched for
+        changes; empty to never reload.
+    """
 
     def __init__(
         self,
@@ -147,7 +155,7 @@
         self._stop_requested = asyncio.Event()
 
     def run(self) -> None:
-        """Serve until a stop signal, finish what is held, and return."""
+        """Serve until a stop signal, drain open connections and return."""
         with asyncio.Runner(
             loop_factory=clock_lib.BoottimeEventLoop
         ) as runner:
@@ -193,7 +201,7 @@
             logging.info("stopped")
 
     def unready_reason(self) -> str:
-        """Return why no new connections should come here, or nothing."""
+        """Return why this process is not ready; empty if it is."""
         if self._stopping_since is not None:
             return "this process is being stopped"
         if self.edge_state.desired is None:
@@ -269,7 +277,10 @@
         writer: asyncio.StreamWriter,
         handler: http1.Handler,
     ) -> None:
-        """Serve someone of the platform rather than a caller."""
+        """Serve one connection from the platform, such as a metrics scrape.
+
+        Unlike callers' connections, these do not delay a shutdown.
+        """
         conn = http1.ServerConn(
             reader,
             writer,
@@ -285,7 +296,7 @@
         return state.limits if state else _DEFAULT_LIMITS
 
     def _refuses_requests(self) -> bool:
-        """Tell whether new requests can no longer be finished here."""
+        """Return whether new requests are refused because of a shutdown."""
         since = self._stopping_since
         return (
             since is not None
@@ -299,7 +310,12 @@
             self.reload_if_changed()
 
     async def _drain(self) -> None:
-        """Let the balancer notice, then finish what is held."""
+        """Wait until open connections are finished or the grace is used up.
+
+        Requests are accepted for the notice period first, because the
+        platform's balancer keeps sending them until it sees that this process
+        is not ready.
+        """
         begun = self._clock.monotonic()
         self._stopping_since = begun
         self.state_sync.leave()
@@ -314,20 +330,21 @@
         logging.info("drained", extra={"left": len(self._conns)})
 
     def _request_stop(self) -> None:
-        logging.info("stop asked")
+        logging.info("stop requested")
         self._stop_requested.set()
 
     def reload_if_changed(self) -> None:
-        """Read the settings anew if their file has changed unannounced."""
+        """Reload the settings if the modification time of their file moved."""
         if self._settings_path and self._settings_mtime_ns != _mtime_ns(
             self._settings_path
         ):
             self._reload()
 
     def _reload(self) -> None:
-        """Read the settings anew; what was in force stays on an error.
+        """Reload the settings; if they are invalid, keep the current ones.
 
-        Addresses are taken at the start only; all else counts from now on.
+        Applies bounds, shares, cleared suspects and maps; all other settings
+        take effect only at a restart.
         """
         if not self._settings_path:
             return
@@ -335,17 +352,19 @@
         try:
             settings = settings_lib.load(self._settings_path)
         except errors.SettingsError as exc:
-            logging.error("settings kept out", extra={"why": str(exc)})
+            logging.error("settings rejected", extra={"why": str(exc)})
             return
         self.edge_state.apply_settings(settings)
         self._map_manager.cfg = settings.maps
-        logging.info("settings read anew")
+        logging.info("settings reloaded")
 
 
 def _mtime_ns(path: str) -> int:
-    """Return when a file was changed, in ns; 0 while there is none."""
+    """Return the modification time of a file; 0 if it cannot be read."""
     try:
         return pathlib.Path(path).stat().st_mtime_ns
     except OSError as exc:
-        logging.warning("no settings file", extra={"why": str(exc)})
+        logging.warning(
+            "settings file not accessible", extra={"why": str(exc)}
+        )
         return 0
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What experts are in demand, as one process sees it from afar."""
+"""Measures the demand for experts from the counters of the engines."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -16,21 +16,21 @@
 from lugcross import ids
 from lugcross import platform
 
-#: Time between two readings of counts. Demand jumps every few seconds;
-#: each reading is priced by its counts.
+#: Time between two readings of counts. Demand jumps every few seconds, and
+#: the cost of a reading grows with the number of its counts.
 _READ_INTERVAL = datetime.timedelta(milliseconds=800)
-#: The same where nothing has been seen yet, as after a takeover or where
-#: the group has just formed: a few passes, of which the counts of one rank
-#: tell enough.
+#: Interval while the demand of the service is unknown, as after a change of
+#: leader, and after its group began a new epoch. It spans a few passes, which
+#: are enough for an estimate.
 _FIRST_READ_INTERVAL = datetime.timedelta(milliseconds=250)
-#: Age up to which a group that formed anew is planned for by old demand.
+#: Greatest age of the demand that a group in a new epoch is planned for.
 _MAX_AGE_FOR_NEW_GROUP = datetime.timedelta(seconds=15)
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class _CountsReading:
-    """Counts of one rank and when they were read."""
+    """Cumulative expert counts of one rank, and when they were read."""
 
     backend: desired.BackendKey
     counts: experts.ExpertCounts
@@ -40,9 +40,10 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RecentDemand:
-    """What was in demand between two readings.
+    """Demand for the experts of a service between two readings of counts.
 
-    :param read_at: when the second of them was made.
+    :param uses: uses of each expert between the two readings.
+    :param read_at: when the second reading was made.
     :param is_outdated: whether demand has jumped since.
     """
 
@@ -53,7 +54,7 @@
 
 @final
 class DemandReader:
-    """Reads the counts of one rank of each service again and again."""
+    """Measures the demand of each service from periodic counts of one rank."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
         self._recent: dict[ids.ServiceName, RecentDemand] = {}
 
     def clear(self) -> None:
-        """Forget everything: another process has looked meanwhile."""
+        """Forget all readings, as when the leadership changes."""
         self._last_readings.clear()
         self._next_intervals.clear()
         self._recent.clear()
@@ -77,9 +78,9 @@
     def note_jump(
         self, service: ids.ServiceName, settle_time: datetime.timedelta
     ) -> None:
-        """Begin anew: what was counted before tells of the past.
+        """Start a new measurement because the demand of a service has jumped.
 
-        :param settle_time: time in which counts tell enough of the new demand.
+        :param settle_time: time over which to count the new demand.
         """
         self._last_readings.pop(service, None)
         self._next_intervals[service] = settle_time
@@ -95,10 +96,10 @@
         groups: Iterable[rank_groups.RankGroup],
         limits: experts.ExpertLimits,
     ) -> None:
-        """Read the counts of one rank, if that is due.
+        """Read the counts of one rank of a service, if that is due.
 
-        All groups of a service see the same demand, so that one rank of
-        one of them tells enough.
+        All groups of a service have the same demand, so one rank of one
+        open group is representative.
         """
         group = next((g for g in groups if g.is_open and g.is_complete), None)
         now = self._clock.monotonic()
@@ -114,7 +115,7 @@
         try:
             counts = await self._engines.counts(backend, limits)
         except platform.EngineQueryError as exc:
-            logging.info("no counts", extra={"why": str(exc)})
+            logging.info("expert counts not read", extra={"why": str(exc)})
             return
         self._last_readings[service] = _CountsReading(backend.key, counts, now)
         if last is None or last.backend != backend.key:
@@ -135,11 +136,11 @@
     def demand_for(
         self, service: ids.ServiceName, group: rank_groups.RankGroup
     ) -> RecentDemand | None:
-        """Return what a group's map should be planned by, if it is known.
+        """Return the demand to plan a group's map for, or None if unknown.
 
-        For one that has just formed anew that may be what was in demand a
-        while ago: about half of it has changed every few seconds; the rest
-        is more than the group's first map knows.
+        For a group that still has its initial map this may be older demand:
+        part of it has changed since, but the initial map takes no demand into
+        account at all.
         """
         recent = self._recent.get(service)
         if recent is None:
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Looks after the expert maps of all groups while this process leads."""
+"""Manages the expert maps of all rank groups while this process is leader."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,36 +22,39 @@
 from lugcross import ids
 from lugcross import platform
 
-#: Time between two rounds, in seconds: about one pass of an engine, so
-#: that a jump of demand is followed at the next.
+#: About one pass of an engine, so that the round after a jump of demand comes
+#: within the next pass.
 _ROUND_INTERVAL_S = 0.05
-#: Passes after a jump in which one rank's counts tell the new demand.
+#: Passes after a jump of demand over which the new demand is counted.
 _SETTLE_PASS_COUNT = 1.2
-#: Time between two looks at a group; a report costs as much as a health
-#: check, and what it tells changes only with faults.
+#: Time between two state queries of a group in a steady state. A report costs
+#: an engine as much as a health check, and changes only with faults.
 _REPORT_INTERVAL = datetime.timedelta(milliseconds=500)
-#: How long a pass held by someone else is left alone: a switch releases
-#: it within some tens of milliseconds, reports are some hundred old.
+#: Time after which a pass held by another process counts as abandoned. A
+#: switch releases it within tens of milliseconds, but reports of it lag by
+#: some hundred.
 _ABANDONED_HOLD_AGE = datetime.timedelta(milliseconds=400)
-#: Longest time that planning blocks its process, past one of its steps:
-#: a few requests' worth of work.
+#: Time for which planning may block the event loop before it yields. Checked
+#: between planning steps, so that a slice may exceed it by one step.
 _MAX_PLANNING_SLICE = datetime.timedelta(milliseconds=5)
-#: Stands for the time of one copy where the platform tells none, seconds.
+#: Time to copy one expert, used where the engine's limits give none.
 _DEFAULT_COPY_S = 0.001
 
 
 @final
 class MapManager:
-    """Sees demand, plans and has groups switched.
+    """Periodic task that plans and switches the expert maps of rank groups.
 
-    :param engines: reaches the ranks.
-    :param sleep: waits for some seconds.
-    :param leadership: tells whether they are this process's to look after.
-    :param allocator: chooses versions and passes for this process.
-    :param on_group_state_change: called when a group has broken or formed
-        anew.
-    :param node: name of this process's host.
-    :param cfg: when a map is worth changing.
+    Manages maps only while this process is the leader. Also publishes which
+    backend servers belong to broken groups or are slow ranks.
+
+    :param engines: client for queries and orders to the ranks.
+    :param sleep: coroutine function that waits for a number of seconds.
+    :param leadership: tells whether this process is the leader.
+    :param allocator: allocates the map versions and passes of this process.
+    :param on_group_state_change: called when a group has broken or opened.
+    :param node: name under which this process publishes its observations.
+    :param cfg: thresholds for switching a map.
     """
 
     def __init__(
@@ -95,13 +98,13 @@
     def _note_pause(
         self, key: desired.BackendKey, pause: datetime.timedelta
     ) -> None:
-        """Learn what a pass takes from a pause between two events."""
+        """Update pass times from the pause between two events of a stream."""
         group = self._groups.of_backend(key)
         if group is None:
             return
         if group.pass_times.note_pause(pause, self._clock.monotonic()):
             logging.info(
-                "passes have jumped",
+                "pass time jumped",
                 extra={"group": group.name, "pass_s": pause.total_seconds()},
             )
             self._demand_reader.note_jump(
@@ -112,25 +115,29 @@
             )
 
     def servers_of_broken_groups(self) -> list[desired.BackendKey]:
-        """Return the servers whose groups this process saw broken."""
+        """Return the backend servers of broken groups, if this is the leader.
+
+        Empty in any other process, which queries no groups.
+        """
         return (
             self._groups.servers_of_broken_groups() if self._was_leader else []
         )
 
     def slow_servers(self) -> list[desired.BackendKey]:
-        """Return the servers that hold their groups back, as they told."""
+        """Return the slow ranks' backend servers, if this is the leader."""
         return self._groups.slow_servers() if self._was_leader else []
 
     async def run(self) -> None:
-        """Look after the maps until cancelled."""
+        """Run a round at every interval until cancelled."""
         while True:
             await self._sleep(_ROUND_INTERVAL_S)
             try:
                 await self.round()
             except Exception:
-                # A fault in here must not end the looking: maps would stay
-                # as they are, and a pass held by a dead process held.
-                logging.exception("looking after expert maps failed")
+                # The loop must outlive any fault: without it maps would no
+                # longer change, and a pass held by a process that has died
+                # would never be released.
+                logging.exception("expert map round failed")
 
     def _note_leadership(self, is_leader: bool) -> None:
         if is_leader == self._was_leader:
@@ -138,10 +145,10 @@
         self._was_leader = is_leader
         self._groups.clear()
         self._demand_reader.clear()
-        logging.info("duty of expert maps", extra={"mine": is_leader})
+        logging.info("expert map leadership", extra={"mine": is_leader})
 
     async def round(self) -> None:
-        """Look once at all that is due."""
+        """Query, plan and switch once, and publish the groups' state."""
         self._note_leadership(self._leadership.is_leader())
         if self._was_leader:
             await self._manage_all()
@@ -215,7 +222,8 @@
         if group.current_map is None:
             group.current_map = await self._queries.read_map(group)
         leased = self._leadership.generation() is not None
-        # With a lease of our own, whoever held it before cannot go on.
+        # Engines refuse orders of any earlier lease holder, so a hold can be
+        # recovered at once, unless it may be this process's own.
         previous_holder_is_fenced = leased and not group.was_switched_here
         min_age = (
             datetime.timedelta()
@@ -228,7 +236,7 @@
     def _note_break(self, group: rank_groups.RankGroup) -> None:
         if group.switch_backoff.note_group_broken(self._clock.monotonic()):
             logging.warning(
-                "group breaks at each change of its map",
+                "group breaks at each map switch",
                 extra={"group": group.name, "epoch": group.epoch},
             )
 
@@ -245,7 +253,7 @@
     async def _plan(
         self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> experts.MapPlan:
-        """Plan a map; requests are served between its steps."""
+        """Plan a map for ``uses``, yielding to the event loop regularly."""
         assert group.current_map is not None
         copies = int(
             self.cfg.copy_s / (group.limits.copy_s or _DEFAULT_COPY_S)
@@ -271,7 +279,10 @@
     async def _cancel_if_outdated(
         self, group: rank_groups.RankGroup, uses: experts.Demand
     ) -> None:
-        """Leave a map that demand has left behind while it is copied."""
+        """Cancel the switch in progress if a new plan is much better.
+
+        :param uses: demand measured while ranks copy experts for the switch.
+        """
         copying = group.map_being_copied
         assert copying is not None
         plan = await self._plan(group, uses)
@@ -285,7 +296,7 @@
         )
         if saving >= self.cfg.least_saving:
             self.switch_runner.cancel_if_copying(group)
-            # Planned anew by the same reading, once it is left.
+            # Plan again for the same demand once the switch has ended.
             group.planned_demand_read_at = None
 
     async def _switch_if_worthwhile(
@@ -312,9 +323,10 @@
             self.switch_runner.start_switch(group, plan)
 
     def _must_keep_map(self, group: rank_groups.RankGroup) -> bool:
-        """Tell whether a map is to be left as it is for now.
+        """Return whether a group's map must not be switched now.
 
-        A switch needs orders to all ranks, also to those that want nothing.
+        A switch sends orders to all ranks, so none is started while any of
+        them is backing off, nor during the group's own switch backoff.
         """
         if self._queries.has_rank_backing_off(group):
             return True
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What one process believes of the groups of ranks that it looks after."""
+"""State of the rank groups whose expert maps this process manages."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -15,35 +15,40 @@
 from lugcross import experts
 from lugcross import ids
 
-#: Time between two looks at a group that is about to change; as old as
-#: reports are where they are read from another host.
+#: Shortened report interval for a group whose state is about to change. About
+#: the delay with which engine reports become readable from other hosts, so
+#: that asking more often would return the same report.
 _SHORT_REPORT_INTERVAL = datetime.timedelta(milliseconds=200)
-#: Passes from a report to the one at which maps change, at most, and where
-#: it is not known what a pass takes.
+#: Upper bound of :meth:`RankGroup.passes_ahead`, also used while the pass time
+#: or the report lag is unknown.
 _MAX_PASSES_AHEAD_COUNT = 5
 
 
 @final
 @dataclasses.dataclass
 class RankGroup:
-    """One group of ranks.
-
-    :param servers_by_rank: who is which rank; whole once there are
-        ``rank_count``.
-    :param current_map: the map in use; none while it is not known.
-    :param armed_version: version that all ranks are armed with, until it is in
-        use.
-    :param reported_at: when rank 0 told its state last.
-    :param foreign_hold: a pass held by someone else, and since when.
-    :param was_switched_here: whether this process has switched it: only then
-        may a report that is some time old show a hold of its own.
-    :param planned_demand_read_at: when the reading was made that a map was last
-        planned by.
-    :param map_being_copied: the map that its ranks copy experts for.
-    :param report_lag: age of what its ranks report.
-    :param pass_times: what its passes take.
-    :param rank_slowness: which of its ranks are slow.
-    :param switch_backoff: whether changes of its map break it.
+    """State of one rank group, as reported by its ranks.
+
+    :param servers_by_rank: the backend server of each known rank; complete
+        once it has ``rank_count`` entries.
+    :param epoch: newest epoch that a rank has reported.
+    :param is_open: whether the group accepts requests.
+    :param current_map: the map in use, or None while it is unknown.
+    :param armed_version: version that all ranks have been armed with by this
+        process, until a rank reports it as in use.
+    :param reported_at: when the last report was applied, or when all queried
+        ranks were found unreachable.
+    :param foreign_hold: the pass that another process holds, and when this
+        process first saw it held.
+    :param is_switching: whether this process is running a map switch of the
+        group.
+    :param was_switched_here: whether this process has run a switch of the
+        group. If so, a delayed report may still show its own hold.
+    :param planned_demand_read_at: read time of the demand that the group's map
+        was last planned for, or None to plan again.
+    :param map_being_copied: the map of the switch in progress, while ranks may
+        still be copying its experts.
+    :param report_lag: delay until a rank's state shows in its reports.
     """
 
     name: str
@@ -79,26 +84,26 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every rank is known."""
+        """Whether the backend server of every rank is known."""
         return len(self.servers_by_rank) == self.rank_count > 0
 
     @property
     def can_switch(self) -> bool:
-        """Whether a switch may be planned."""
+        """Whether a new map switch may be planned and started."""
         settled = self.armed_version is None and self.foreign_hold is None
         known = self.is_complete and self.current_map is not None
         return self.is_open and known and settled and not self.is_switching
 
     @property
     def has_initial_map(self) -> bool:
-        """Whether it still has the map that it began its life with."""
+        """Whether the group still uses the map that its epoch began with."""
         return self.version_in_use == 0
 
     def passes_ahead(self) -> int:
-        """Return how many passes may begin until all ranks are armed.
+        """Estimate how many passes begin before all ranks are armed.
 
-        Those that have begun since what a report tells, and one in which
-        the orders are given.
+        Counts the passes that began within the lag of the last report, and
+        one during which the orders are sent.
         """
         typical = self.pass_times.typical
         if not typical or not self.report_lag:
@@ -108,9 +113,10 @@
     def ranks_to_ask(
         self, backing_off: Collection[desired.BackendKey]
     ) -> list[experts.Rank]:
-        """Return the ranks that may be asked, in order.
+        """Return the ranks that may be queried, in ascending order.
 
-        :param backing_off: servers that want nothing from this process.
+        :param backing_off: backend servers that have asked this process for a
+            backoff; their ranks are left out.
         """
         return sorted(
             rank
@@ -121,9 +127,11 @@
     def sample_ranks(
         self, count: int, backing_off: Collection[desired.BackendKey] = ()
     ) -> list[experts.Rank]:
-        """Return the first rank and others spread over the group.
+        """Return at most ``count`` ranks, spread evenly over the group.
 
-        Ranks of one failure domain mostly have numbers side by side.
+        Ranks of one failure domain mostly have consecutive numbers, so an
+        even spread covers several domains. The lowest rank that may be
+        queried is always included.
         """
         ranks = self.ranks_to_ask(backing_off)
         return ranks[:: max(1, math.ceil(len(ranks) / count))]
@@ -131,9 +139,10 @@
     def report_is_due(
         self, now: clock_lib.Instant, interval: datetime.timedelta
     ) -> bool:
-        """Tell whether its state should be asked for.
+        """Return whether the group's state should be queried again.
 
-        Sooner than usual where something is about to change.
+        :param interval: time between two queries of a group in a steady
+            state; shortened while its state is about to change.
         """
         if self.reported_at is None:
             return True
@@ -144,14 +153,18 @@
         return now - self.reported_at >= interval
 
     def note_unreachable(self, now: clock_lib.Instant) -> None:
-        """Note that no rank tells its state."""
+        """Mark the group as not open because no queried rank answered."""
         self.is_open = False
         self.reported_at = now
 
     def apply_report(
         self, report: experts.RankReport, now: clock_lib.Instant
     ) -> None:
-        """Take over what a rank tells; only rank 0 is ever held."""
+        """Update the state of the group from the report of one rank.
+
+        Reports of an earlier epoch are ignored. Holds are read from rank 0
+        only, since passes are held there.
+        """
         self.reported_at = now
         if report.epoch < self.epoch:
             return
@@ -162,7 +175,8 @@
                 self.rank_count, self.limits
             )
             self.armed_version = None
-            # What was seen before it broke is the best to plan by now.
+            # Plan again for the demand read before the group broke: it is
+            # the best estimate until new counts have been read.
             self.planned_demand_read_at = None
         self.is_open = report.is_open
         self.last_pass = report.last_pass
@@ -175,7 +189,7 @@
             report.version_in_use != self.version_in_use
             and self.armed_version is None
         ):
-            # Someone else has switched it; ranks are asked for the map.
+            # Another process has switched the map; read it from the ranks.
             self.version_in_use = report.version_in_use
             self.current_map = None
         if report.rank == 0 and not self.is_switching:
@@ -192,14 +206,18 @@
     def hold_is_abandoned(
         self, now: clock_lib.Instant, min_age: datetime.timedelta
     ) -> bool:
-        """Tell whether nobody will release the pass that is held."""
+        """Return whether another process has held a pass for too long.
+
+        :param min_age: time for which the same pass must have been seen held
+            to count as abandoned by its holder.
+        """
         seen = self.foreign_hold
         return seen is not None and now - seen[1] >= min_age
 
     def note_switched(
         self, version: experts.MapVersion, new_map: experts.ExpertMap
     ) -> None:
-        """Note that all ranks will take up a map soon."""
+        """Record that all ranks are armed to change to ``new_map``."""
         self.version_in_use = version
         self.highest_version = max(self.highest_version, version)
         self.current_map = new_map
@@ -208,14 +226,14 @@
 
 @final
 class RankGroups:
-    """All groups of the services with expert maps."""
+    """The rank groups of all services with expert maps."""
 
     def __init__(self) -> None:
         self._groups: dict[tuple[ids.ServiceName, str], RankGroup] = {}
         self._group_by_server: dict[desired.BackendKey, RankGroup] = {}
 
     def clear(self) -> None:
-        """Forget all but what is being switched."""
+        """Forget all groups except those being switched by this process."""
         self._groups = {
             k: g for k, g in self._groups.items() if g.is_switching
         }
@@ -224,12 +242,12 @@
         }
 
     def of_service(self, service: ids.ServiceName) -> list[RankGroup]:
-        """Return the groups of a service, in order of their names."""
+        """Return the groups of a service, sorted by name."""
         found = [g for k, g in self._groups.items() if k[0] == service]
         return sorted(found, key=lambda group: group.name)
 
     def servers_of_broken_groups(self) -> list[desired.BackendKey]:
-        """Return the backend servers whose groups take no requests."""
+        """Return the backend servers of groups reported as not open."""
         return [
             backend.key
             for group in self._groups.values()
@@ -238,7 +256,7 @@
         ]
 
     def slow_servers(self) -> list[desired.BackendKey]:
-        """Return the backend servers that hold their groups back."""
+        """Return the backend servers that are slow ranks of their groups."""
         return [
             group.servers_by_rank[rank].key
             for group in self._groups.values()
@@ -247,13 +265,13 @@
         ]
 
     def of_backend(self, key: desired.BackendKey) -> RankGroup | None:
-        """Return the group that a backend server is a rank of, if known."""
+        """Return the group of a backend server, or None if unknown."""
         return self._group_by_server.get(key)
 
     def servers_of_unknown_rank(
         self, backends: Iterable[desired.Backend]
     ) -> list[desired.Backend]:
-        """Return those of which it is not known what rank they are."""
+        """Return those of ``backends`` whose rank is not yet known."""
         return [
             one for one in backends if one.key not in self._group_by_server
         ]
@@ -264,7 +282,10 @@
         report: experts.RankReport,
         engine: desired.EngineSpec,
     ) -> None:
-        """Note which rank of which group a backend server is."""
+        """Record the group and rank that a backend server has reported.
+
+        A group that reports another number of ranks than before is replaced.
+        """
         limits = engine.experts
         assert limits is not None
         key = backend.service, report.group
@@ -282,7 +303,7 @@
         self._group_by_server[backend.key] = group
 
     def retain_servers(self, backends: Iterable[desired.Backend]) -> None:
-        """Forget ranks that are gone."""
+        """Forget the ranks of all backend servers but ``backends``."""
         known = {one.key for one in backends}
         for key in self._group_by_server.keys() - known:
             del self._group_by_server[key]
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Asks ranks who they are, how their group is and what map it has."""
+"""Queries ranks for their group, its state, its map and their slowness."""
 
 import asyncio
 import datetime
@@ -15,19 +15,20 @@
 from lugcross import ids
 from lugcross import platform
 
-#: Ranks that are asked for the state of a group where one is not enough:
-#: the first may be the one that is cut off.
+#: Ranks queried for the state of a group that is not open, or whose first
+#: rank did not answer: a single rank may be unreachable from this host.
 _SAMPLED_RANK_COUNT = 3
-#: Time between two rounds of asking who is which rank of which group.
+#: Least time between two discoveries of the ranks of one service.
 _DISCOVERY_INTERVAL = datetime.timedelta(seconds=1)
 
 
 @final
 class RankQueries:
-    """Takes what ranks report over into what is known of their groups.
+    """Queries ranks and updates the state of their groups.
 
-    Ranks that asked this process for rest are not asked; what their groups
-    are is known from the others, or stands as it was.
+    Ranks whose backend servers are backing off are not queried. The state of
+    their groups is taken from the other ranks; if there are none, it stays
+    as it was.
     """
 
     def __init__(
@@ -46,7 +47,12 @@
     async def discover_ranks(
         self, backends: list[desired.Backend], engine: desired.EngineSpec
     ) -> None:
-        """Learn which ranks of which groups some servers are."""
+        """Ask backend servers which rank of which group they are.
+
+        Does nothing within the discovery interval of their service.
+
+        :param backends: servers of one service whose rank is not yet known.
+        """
         backends = [
             one for one in backends if not self._backoffs.is_active(one.key)
         ]
@@ -65,7 +71,7 @@
     async def fetch_report(
         self, backend: desired.Backend
     ) -> experts.RankReport | None:
-        """Return what a rank tells; none if it does not."""
+        """Return the report of a backend server, or None if it sent none."""
         try:
             return await self._engines.report(backend)
         except platform.EngineQueryError as exc:
@@ -76,7 +82,11 @@
             return None
 
     async def update_state(self, group: rank_groups.RankGroup) -> None:
-        """Take over what a few ranks tell; one of them may be cut off."""
+        """Query the state of a group from one rank or a few.
+
+        The group is marked unreachable only if none of the sampled ranks
+        answers.
+        """
         backing_off = self._backoffs.servers()
         ranks = group.sample_ranks(
             1 if group.is_open else _SAMPLED_RANK_COUNT, backing_off
@@ -94,7 +104,7 @@
             group.apply_report(report, now)
 
     async def update_slowness(self, group: rank_groups.RankGroup) -> None:
-        """Ask all ranks how slow they are, if that is due."""
+        """Query the slowness of all ranks, if that is due."""
         if not group.rank_slowness.is_due(self._clock.monotonic()):
             return
         ranks = group.ranks_to_ask(self._backoffs.servers())
@@ -125,7 +135,7 @@
         ]
 
     def has_rank_backing_off(self, group: rank_groups.RankGroup) -> bool:
-        """Tell whether a rank wants nothing from this process now."""
+        """Return whether the backend server of any rank is backing off."""
         return len(group.ranks_to_ask(self._backoffs.servers())) < len(
             group.servers_by_rank
         )
@@ -133,7 +143,10 @@
     async def read_map(
         self, group: rank_groups.RankGroup
     ) -> experts.ExpertMap | None:
-        """Return the map that a group uses; none if a rank is silent."""
+        """Read the map in use from all ranks of a group.
+
+        :returns: None if any rank is backing off or did not answer.
+        """
         if self.has_rank_backing_off(group):
             return None
         try:
@@ -145,7 +158,8 @@
             )
         except platform.EngineQueryError as exc:
             logging.info(
-                "map not known", extra={"group": group.name, "why": str(exc)}
+                "expert map not read",
+                extra={"group": group.name, "why": str(exc)},
             )
             return None
         return experts.ExpertMap(tuple(ranks))
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Drives one switch of a group's map: sends its orders, reads reports."""
+"""Drives one map switch of a rank group: sends orders and reads reports."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -15,37 +15,42 @@
 from lugcross import experts
 from lugcross import platform
 
-#: Time, past what copying takes, after which a switch that holds nothing
-#: yet is left: demand has moved on.
+#: Time after the expected end of copying at which a switch that cannot hold
+#: a pass yet is cancelled: by then the demand that it was planned for is old.
 _CANCEL_AFTER = datetime.timedelta(seconds=1)
-#: Time after which a switch that holds a pass is left to another process,
-#: which may reach the ranks that this one cannot. Far longer than orders of
-#: which half go unanswered take.
+#: Time after the expected end of copying at which this process abandons a
+#: switch that may hold a pass. Another process, which may reach the ranks that
+#: this one cannot, then recovers it. Long enough for a switch to finish while
+#: half of its orders go unanswered.
 _GIVE_UP_AFTER = datetime.timedelta(seconds=5)
-#: Rest between two rounds of orders of which some were not done, seconds.
+#: Delay before orders that were not carried out, or a query that was not
+#: answered, are sent again.
 _RETRY_DELAY_S = 0.04
-#: Longest rest while ranks copy, in seconds, between two looks whether
-#: the map that they copy for is of no use any more.
+#: Time between two checks for a cancellation while ranks copy experts.
 _COPY_POLL_INTERVAL_S = 0.05
-#: Copying is taken to last this much longer than the links alone tell.
+#: Allowance for copies that take longer than ``ExpertLimits.copy_s``.
 _COPY_TIME_FACTOR = 1.1
-#: Further time for copying, in seconds: orders reach the ranks one after
-#: the other.
+#: Allowance for the time until the orders have reached all ranks.
 _COPY_MARGIN_S = 0.02
 #: The rank at which passes are held.
 _HOLD_RANK = experts.Rank(0)
 
-#: Waits for some seconds.
+#: Coroutine function that waits for a number of seconds.
 Sleep = Callable[[float], Awaitable[None]]
 
 
 @final
 class SwitchDriver:
-    """Carries out what a switch asks for.
+    """Runs one :class:`experts.MapSwitch` against the ranks of a group.
 
-    :param leadership: under whose number all orders are given.
-    :param has_rank_backing_off: tells whether a rank has asked this process
-        for rest.
+    All orders carry the lease generation that this process held when the
+    driver was created.
+
+    :param engines: client for queries and orders to the ranks.
+    :param leadership: tells whether orders may still be sent.
+    :param sleep: coroutine function that waits for a number of seconds.
+    :param has_rank_backing_off: tells whether a rank of the group has asked
+        this process for a backoff.
     """
 
     def __init__(
@@ -67,15 +72,18 @@
         self._cancel_requested = False
 
     def cancel_if_copying(self) -> None:
-        """Leave the switch if its ranks are still copying."""
+        """Cancel the switch if its ranks are still copying."""
         self._cancel_requested = True
 
     async def run(
         self, switch: experts.MapSwitch, max_copies_per_rank: int
     ) -> bool:
-        """Carry out a switch; tell whether it came to an end.
+        """Run a switch to its end.
 
-        :param max_copies_per_rank: most experts that a rank copies.
+        :param max_copies_per_rank: greatest number of experts that any rank
+            must copy.
+        :returns: False if the switch was abandoned, because it took too long
+            or this process may no longer send orders.
         """
         started_at = self._clock.monotonic()
         copy_time_s = max_copies_per_rank * self._group.limits.copy_s
@@ -114,15 +122,17 @@
             await self._choose_pass(switch)
 
     async def _choose_pass(self, switch: experts.MapSwitch) -> None:
-        """Choose the pass at which all ranks change.
+        """Choose the pass at which all ranks change to the new map.
 
-        Only the first rank tells whether a pass is held. While its entry is
-        off the list, as in a cut of its failure domain, none is chosen.
+        Only rank 0 knows whether a pass is held. While it does not answer, or
+        has no entry in the list of backend servers, no pass is chosen.
         """
         try:
             report = await self._fetch_report(_HOLD_RANK)
         except platform.EngineQueryError as exc:
-            logging.info("no step", extra={"why": str(exc)})
+            logging.info(
+                "pass for map switch not chosen", extra={"why": str(exc)}
+            )
             await self._sleep(_RETRY_DELAY_S)
             return
         if report is None or report.epoch != self._group.epoch:
@@ -139,14 +149,16 @@
     async def _fetch_report(
         self, rank: experts.Rank
     ) -> experts.RankReport | None:
-        """Return what a rank reports; none if it is in no group.
+        """Return the report of a rank, or None if it is in no group.
 
-        :raises platform.EngineQueryError: when it is silent or off the list.
+        :raises platform.EngineQueryError: when the rank does not answer or has
+            no entry in the list of backend servers.
         """
         backend = self._group.servers_by_rank.get(rank)
         if backend is None:
             raise platform.EngineQueryError(
-                f"rank {rank} is off the list", remedy="ask again"
+                f"rank {rank} is not in the list of backend servers",
+                remedy="ask again",
             )
         return await self._engines.report(backend)
 
@@ -185,15 +197,18 @@
         return result
 
     async def _check_epoch(self, switch: experts.MapSwitch) -> None:
-        """End the switch if its group has formed anew.
+        """End the switch if its group has begun a new epoch.
 
-        Every rank knows the epoch; the first one's entry may be gone.
+        Queries the lowest rank that is listed: any rank knows the epoch, and
+        rank 0 may have no entry.
         """
         lowest = min(self._group.servers_by_rank, default=_HOLD_RANK)
         try:
             report = await self._fetch_report(lowest)
         except platform.EngineQueryError as exc:
-            logging.info("no epoch", extra={"why": str(exc)})
+            logging.info(
+                "epoch of rank group not read", extra={"why": str(exc)}
+            )
             return
         if report is not None and report.epoch != self._group.epoch:
             switch.note_epoch_ended()
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Switches of groups that are under way, begun here or left by others."""
+"""Runs map switches of rank groups as tasks, one per group."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -18,19 +18,20 @@
 from lugcross import ids
 from lugcross import platform
 
-#: How long a process that could not finish a switch leaves the leadership to
-#: others; as long as most cuts of single hosts last.
+#: Time for which a process that could not finish a switch leaves the
+#: leadership to others; as long as most network outages of a single host.
 _STUCK_DURATION = datetime.timedelta(seconds=10)
 
 
 @final
 class SwitchRunner:
-    """Starts switches, one a group, and keeps what came of them.
+    """Starts map switches and recoveries, and updates groups afterwards.
 
-    :param engines: takes the orders.
-    :param allocator: chooses versions and passes for this process.
-    :param leadership: under whose number orders are given.
-    :param sleep: waits for some seconds.
+    :param engines: client for queries and orders to the ranks.
+    :param queries: reads the reports and maps of ranks for recoveries.
+    :param allocator: allocates the map versions and passes of this process.
+    :param leadership: gives the lease generation that orders carry.
+    :param sleep: coroutine function that waits for a number of seconds.
     """
 
     def __init__(
@@ -56,20 +57,20 @@
         self._stuck_at: clock_lib.Instant | None = None
 
     def is_stuck(self) -> bool:
-        """Tell whether a switch did not get on lately.
+        """Return whether this process recently failed to finish a switch.
 
-        Another process may reach the ranks that this one cannot.
+        Another process may reach the ranks that this process could not.
         """
         if self._stuck_at is None:
             return False
         return self._clock.monotonic() - self._stuck_at < _STUCK_DURATION
 
     def is_busy(self) -> bool:
-        """Tell whether a switch is under way."""
+        """Return whether a switch or recovery is in progress."""
         return bool(self._tasks)
 
     async def wait_idle(self) -> None:
-        """Return once no switch is under way."""
+        """Wait until no switch or recovery is in progress."""
         while self._tasks:
             await asyncio.wait(self._tasks)
 
@@ -89,8 +90,9 @@
         try:
             await work
         except Exception:
-            # Whoever looks next finds what this one may have left held.
-            logging.exception("a switch failed", extra={"group": group.name})
+            # If a pass is still held, the leader sees it in the next report
+            # and starts a recovery.
+            logging.exception("map switch failed", extra={"group": group.name})
         finally:
             group.is_switching = False
             group.switch_backoff.note_switch_ended(self._clock.monotonic())
@@ -100,15 +102,21 @@
     def start_switch(
         self, group: rank_groups.RankGroup, plan: experts.MapPlan
     ) -> None:
-        """Take a group to the map of a plan."""
+        """Start switching a group to the map of ``plan``."""
         self._start_task(group, self._switch(group, plan))
 
     def start_recovery(self, group: rank_groups.RankGroup) -> None:
-        """Finish what another process has left half done."""
+        """Start finishing a switch that its process has abandoned.
+
+        The group's ``foreign_hold`` must be set.
+        """
         self._start_task(group, self._recover(group))
 
     def cancel_if_copying(self, group: rank_groups.RankGroup) -> None:
-        """Leave the switch of a group whose ranks are still copying."""
+        """Cancel the group's running switch if its ranks are still copying.
+
+        :raises KeyError: when no switch of the group is running.
+        """
         self._drivers[group.service, group.name].cancel_if_copying()
 
     async def _switch(
@@ -150,7 +158,7 @@
         if current_map is None:
             return
         logging.warning(
-            "held pass was left",
+            "recovering abandoned map switch",
             extra={
                 "group": group.name,
                 "step": held_pass,
--- a/src/lugcross/observe/request_timeline.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -21,17 +21,17 @@
 STATE_MESSAGES = frozenset(
     {
         "desired state",
-        "duty of expert maps",
+        "expert map leadership",
         "expert map switched",
         "group broken",
         "group opened",
         "lease",
         "lease superseded",
-        "passes have jumped",
-        "settings kept out",
-        "settings read anew",
+        "pass time jumped",
+        "settings rejected",
+        "settings reloaded",
         "started",
-        "stop asked",
+        "stop requested",
         "store lost",
         "store regained",
     }
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -371,7 +371,7 @@
 ):
     """A switch ended with an error when rank 0's entry left the list.
 
-    Symptom: ``a switch failed`` with a KeyError of rank 0, at 39.84 s of a
+    Symptom: ``map switch failed`` with a KeyError of rank 0, at 39.84 s of a
     day on which a failure domain was cut off. Sequence: a switch is under
     way; the entry of rank 0 lapses; the driver asks rank 0 for the pass.
     Cause: the driver looked rank 0 up among the members without asking
@@ -381,7 +381,7 @@
     async def act(rig: Rig) -> None:
         _lose_first_entry(rig, at)
         await rig.rounds(5)
-        assert "a switch failed" not in caplog.text
+        assert "map switch failed" not in caplog.text
         used = [rank.version_and_map for rank in rig.engines.group.ranks]
         assert used == [used[0]] * RANK_COUNT
 
--- a/testing/edge/test_process.py
+++ b/testing/edge/test_process.py
@@ -115,7 +115,7 @@
     assert got.whole
     assert got.body.endswith(b"data: b\n\n")
     assert code == 0
-    for message in ("started", "desired state", "stop asked", "drained"):
+    for message in ("started", "desired state", "stop requested", "drained"):
         assert f'"message": "{message}"' in logs
 
 
