--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What one process believes of the backend servers, and since when."""
+"""The list of backend servers, built from the records of the store."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,40 +15,45 @@
 from lugcross import platform
 from lugcross import positions
 
-#: Part of the drain bound for which entries that lapsed with the store are
-#: still used. Live servers write theirs anew within about two seconds of
-#: its return; past the bound, one that has really left must get nothing.
+#: Fraction of the drain bound for which servers are still used whose entries
+#: lapsed while the store was away. Live servers write their entries again
+#: within about two seconds of its return; after the drain bound, a server
+#: that has really left must get no requests.
 _LAPSED_USE_RATIO = 0.85
-#: Part of the drain bound for which a leaving server may still be used
-#: where no other is left; the rest covers a request's own way.
+#: Fraction of the drain bound for which a leaving server may be used if no
+#: other is left. The remainder covers the time a request takes to reach it.
 _LEAVING_USE_RATIO = 0.5
-#: Time in which servers have written again what a copy of the store lacks,
-#: about two seconds by the platform's word, and the way of that news to here.
+#: Time after the store's return from an older copy within which servers write
+#: missing entries again (about two seconds, as the platform promises) and this
+#: process reads them.
 _REWRITE_TIME = datetime.timedelta(seconds=2.2)
-#: Characters of what another writer wrote that a log line shows.
+#: Longest part of an invalid record's key, or of the error, in a log line.
 _MAX_LOGGED_CHARS = 200
-#: Lives of which is kept that they said that they leave: more than end within
-#: the minutes for which the list may still name one that has.
+#: Lives remembered as leaving by their own answer. More than end within the
+#: minutes for which the list may still show such a life as ready.
 _MAX_LEAVING_ANSWERS = 2_000
-#: Of these, how many one datagram tells of, the newest.
+#: Number of these, newest first, that one heartbeat carries.
 _MAX_LEAVING_ANSWERS_SENT = 16
-#: How long a list with leaving servers is used before it is looked through
-#: anew: a small part of what is left of the drain bound.
+#: Time for which a selection that depends on time is cached; short against
+#: the drain bound.
 _USABLE_TTL = datetime.timedelta(milliseconds=50)
 
 
 @final
 @dataclasses.dataclass
 class _Entry:
-    """One backend server and the offset of its newest record.
-
-    :param leaving_at: when it was learned that it leaves or is gone.
-    :param lapsed: whether its entry may have gone only because the
-        store was away.
-    :param missing_in_copy: whether it may have gone only because the store
-        came back from a copy that is older than the entry.
-    :param possibly_outdated_since: since when an entry stands that may only
-        be older than the end of this life.
+    """The newest known life of a backend server and the state of its entry.
+
+    :param position: position of the newest record of the server.
+    :param leaving_at: when this process learned that the life is leaving or
+        that its entry was removed; None while it is ready.
+    :param removed: whether the entry was removed from the list.
+    :param lapsed: whether the entry may have been removed only because the
+        server could not renew it while the store was away.
+    :param missing_in_copy: whether the entry may be missing only because the
+        store came back from a copy that is older than the entry.
+    :param possibly_outdated_since: since when the list shows a life that had
+        been gone from it before the store came back from an older copy.
     """
 
     backend: desired.Backend
@@ -63,7 +68,7 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class _UsableServers:
-    """Servers that new requests of a service may go to, until then."""
+    """Cached servers that may get new requests of a service."""
 
     servers: tuple[desired.Backend, ...]
     expires_at: clock_lib.Instant
@@ -71,9 +76,16 @@
 
 @final
 class Backends:
-    """The list of backend servers; never goes back to older records.
+    """The list of backend servers as this process knows it.
 
-    :param drain: bound after which a leaving server gets nothing new.
+    Records are ordered by position: one that is older than what is known of
+    its server is ignored.
+
+    :param drain: returns the time after which a leaving server must get no
+        new requests.
+    :ivar end: position after the last record that was read.
+    :ivar updated_at: when records were last applied; None before the first.
+    :ivar records: newest record of each key, removals included.
     """
 
     def __init__(
@@ -85,13 +97,13 @@
         self._clock = clock
         self._drain = drain
         self._entries: dict[desired.BackendKey, _Entry] = {}
-        #: Newest life of each server, and the offset of its last entry
-        #: once that is forgotten.
+        #: Newest life of each server, and the position of its last record
+        #: once its entry has been forgotten.
         self._newest_lives: dict[desired.BackendId, desired.Backend] = {}
         self._removed_positions: dict[
             desired.BackendId, positions.Position
         ] = {}
-        #: When lives said that they leave; oldest first.
+        #: When lives answered that they are leaving; oldest first.
         self._leaving_answer_at: dict[
             desired.BackendKey, clock_lib.Instant
         ] = {}
@@ -103,25 +115,32 @@
     def replace(
         self, tail: platform.ReadResult, *, store_was_away: bool
     ) -> None:
-        """Take over the newest record of every key.
+        """Apply a full listing with the newest record of every key.
+
+        Servers that are not listed are removed, unless their known record is
+        newer than the listing.
 
-        A server without one has left, unless its record is newer than
-        this answer: then the answer is an old one.
+        :param store_was_away: whether entries may have lapsed because servers
+            could not reach the store.
         """
         listed = {record.key for record in tail.records}
-        # The next record has the end's own place, and may be of such a key.
+        # Removals get the position before the end: the next record of the
+        # store takes the end itself, and may be for the same key.
         last = positions.previous(tail.end)
         for entry in list(self._entries.values()):
-            name = entry.backend.id
-            if name not in listed and entry.position < tail.end:
-                gone = platform.KeyedRecord(last, name, b"")
+            backend_id = entry.backend.id
+            if backend_id not in listed and entry.position < tail.end:
+                gone = platform.KeyedRecord(last, backend_id, b"")
                 self._apply_record(gone, store_was_away)
         self.apply(tail, store_was_away=store_was_away)
 
     def apply(
         self, tail: platform.ReadResult, *, store_was_away: bool
     ) -> None:
-        """Take over records that follow those known."""
+        """Apply further records.
+
+        :param store_was_away: as for :meth:`replace`.
+        """
         for record in sorted(tail.records, key=lambda one: one.position):
             self._apply_record(record, store_was_away)
         self.end = max(self.end, tail.end)
@@ -131,41 +150,50 @@
     def usable(self, service: ids.ServiceName) -> tuple[desired.Backend, ...]:
         """Return the servers that may get new requests of ``service``.
 
-        Leaving ones only where there is no other, and not for long. The
-        same object is returned as long as nothing has changed.
+        Leaving servers are included only if there is no other, and only for
+        part of the drain bound; servers with a possibly outdated entry only
+        if there are none of these either. Returns the same object until the
+        selection is computed again.
         """
         now = self._clock.monotonic()
-        held = self._usable.get(service)
-        if held is None or now >= held.expires_at:
-            held = self._find_usable(service, now)
-            self._usable[service] = held
-        return held.servers
+        cached = self._usable.get(service)
+        if cached is None or now >= cached.expires_at:
+            cached = self._find_usable(service, now)
+            self._usable[service] = cached
+        return cached.servers
 
     def _find_usable(
         self, service: ids.ServiceName, now: clock_lib.Instant
     ) -> _UsableServers:
-        here = [
+        entries = [
             entry
             for entry in self._entries.values()
             if entry.backend.service == service
         ]
-        ready = [entry.backend for entry in here if self._is_ready(entry, now)]
-        if len(ready) == len(here):
+        ready = [
+            entry.backend for entry in entries if self._is_ready(entry, now)
+        ]
+        if len(ready) == len(entries):
             return _UsableServers(tuple(ready), datetime.timedelta.max)
-        held = [entry for entry in here if self._is_retained(entry, now)]
-        # Servers write again what a copy of the store lacks.
-        ready += [entry.backend for entry in held if entry.missing_in_copy]
-        lapsed = [entry.backend for entry in held if not entry.missing_in_copy]
-        # Entries lapse all together; a few that go have left, even if the
-        # store was away from here a moment before.
+        retained = [
+            entry for entry in entries if self._is_retained(entry, now)
+        ]
+        # Servers write the entries again that a copy of the store lacks.
+        ready += [entry.backend for entry in retained if entry.missing_in_copy]
+        lapsed = [
+            entry.backend for entry in retained if not entry.missing_in_copy
+        ]
+        # If the store was away, all entries lapse together. If only a few
+        # were removed, these servers have left, even if this process could
+        # not reach the store shortly before.
         if len(lapsed) > len(ready):
             servers = ready + lapsed
         else:
-            servers = ready or self._leaving_but_usable(here, now)
+            servers = ready or self._leaving_but_usable(entries, now)
         if not servers:
             doubted = [
                 entry
-                for entry in here
+                for entry in entries
                 if entry.possibly_outdated_since is not None
             ]
             servers = [entry.backend for entry in doubted]
@@ -175,50 +203,59 @@
         if entry.leaving_at is not None:
             return False
         since = entry.possibly_outdated_since
-        # By then, news of what was written again are here.
+        # By then, whatever is missing in the copy has been written again and
+        # read by this process.
         return since is None or now - since >= _REWRITE_TIME + self._drain()
 
     def _leaving_but_usable(
-        self, here: list[_Entry], now: clock_lib.Instant
+        self, entries: list[_Entry], now: clock_lib.Instant
     ) -> list[desired.Backend]:
-        """Return leaving servers that may be used for a while."""
+        """Return leaving servers that may be used while no other is left."""
         return [
             entry.backend
-            for entry in here
+            for entry in entries
             if entry.leaving_at is not None
             and now - entry.leaving_at < self._drain() * _LEAVING_USE_RATIO
         ]
 
     def service_of(self, key: desired.BackendKey) -> ids.ServiceName | None:
-        """Return the service of a server; none if it is not known."""
+        """Return the service of a backend server, or None if unknown."""
         entry = self._entries.get(key)
         return None if entry is None else entry.backend.service
 
     def age(self) -> datetime.timedelta:
-        """Return how long ago the list was last told."""
+        """Return the time since the list was last updated.
+
+        :returns: the greatest possible duration before the first update.
+        """
         if self.updated_at is None:
             return datetime.timedelta.max
         return self._clock.monotonic() - self.updated_at
 
     def all(self) -> list[desired.Backend]:
-        """Return every server that is known."""
+        """Return all known backend servers, also leaving and removed ones."""
         return [entry.backend for entry in self._entries.values()]
 
     def forget(self, key: desired.BackendKey, why: str) -> None:
-        """Drop a server that is proved to be gone."""
+        """Forget a life of a backend server that has certainly ended.
+
+        :param why: reason for the log.
+        """
         entry = self._entries.pop(key, None)
         if entry is None:
             return
         self._usable.pop(entry.backend.service, None)
         self._removed_positions[entry.backend.id] = entry.position
-        logging.info("backend server gone", extra={"backend": key, "why": why})
+        logging.info(
+            "backend server forgotten", extra={"backend": key, "why": why}
+        )
 
     def note_leaving_answer(self, key: desired.BackendKey) -> None:
-        """Note that a server's own answer says that it is leaving.
+        """Mark a life as leaving because the server itself answered so.
 
-        Whatever the list says of this life, now or later, does not undo it:
-        the list may be old, and most servers leave before it says so. One that
-        stays all the same gets nothing until its next life.
+        No entry of the same life undoes this: entries may be old, and most
+        servers answer so before their entries say it. A server that does not
+        leave after all gets no requests until its next life.
         """
         if key in self._leaving_answer_at:
             return
@@ -229,41 +266,49 @@
         entry = self._entries.get(key)
         if entry is None:
             return
-        logging.info("backend server says it leaves", extra={"backend": key})
+        logging.info("backend server is leaving", extra={"backend": key})
         entry.lapsed = False
         if entry.leaving_at is None:
             entry.leaving_at = now
         self._usable.pop(entry.backend.service, None)
 
     def leaving_by_answer_only(self) -> list[desired.BackendKey]:
-        """Return servers that say they leave, while the list does not."""
-        here = [
+        """Return servers that are leaving by their answer but listed as ready.
+
+        :returns: the newest, as many as one heartbeat carries.
+        """
+        listed = [
             self._entries[key]
             for key in self._leaving_answer_at
             if key in self._entries
         ]
         return [
             one.backend.key
-            for one in here
+            for one in listed
             if not one.removed
             and one.backend.state is desired.BackendState.READY
         ][-_MAX_LEAVING_ANSWERS_SENT:]
 
     def _is_retained(self, entry: _Entry, now: clock_lib.Instant) -> bool:
+        """Return whether a server is still used after its entry lapsed."""
         if not entry.lapsed or entry.leaving_at is None:
             return False
-        most = self._drain() * _LAPSED_USE_RATIO
+        max_age = self._drain() * _LAPSED_USE_RATIO
         if entry.missing_in_copy:
-            most = _REWRITE_TIME
-        return now - entry.leaving_at < most
+            max_age = _REWRITE_TIME
+        return now - entry.leaving_at < max_age
 
     def _apply_record(
         self, record: platform.KeyedRecord, store_was_away: bool
     ) -> None:
-        name = desired.BackendId(record.key)
-        life = self._newest_lives.get(name)
+        backend_id = desired.BackendId(record.key)
+        life = self._newest_lives.get(backend_id)
         entry = self._entries.get(life.key) if life else None
-        newest = entry.position if entry else self._removed_positions.get(name)
+        newest = (
+            entry.position
+            if entry
+            else self._removed_positions.get(backend_id)
+        )
         if newest is not None and record.position <= newest:
             return
         is_new_era = newest is not None and _is_later_era(
@@ -272,7 +317,7 @@
         self.records[record.key] = record
         if not record.value:
             self._remove(
-                name,
+                backend_id,
                 entry,
                 record.position,
                 store_was_away,
@@ -282,21 +327,22 @@
         try:
             backend = self._read_life(record, life)
         except errors.ChangeError as exc:
-            # Whoever wrote it, it names no server, nor the one before.
+            # The invalid record has replaced the server's entry, so nothing
+            # is known of the server until it writes its entry again.
             logging.warning(
-                "entry kept out",
+                "backend entry rejected",
                 extra={
-                    "backend": name[:_MAX_LOGGED_CHARS],
+                    "backend": backend_id[:_MAX_LOGGED_CHARS],
                     "why": exc.what[:_MAX_LOGGED_CHARS],
                 },
             )
-            self._remove(name, entry, record.position, False)
+            self._remove(backend_id, entry, record.position, False)
             return
         if backend is None:
             self._skip_earlier_life(record, entry)
             return
         if life is not None and backend.key != life.key:
-            self.forget(life.key, "it has started again")
+            self.forget(life.key, "the server has started again")
             entry = None
             is_new_era = False
         self._put_entry(backend, entry, record.position, is_new_era=is_new_era)
@@ -304,14 +350,13 @@
     def _read_life(
         self, record: platform.KeyedRecord, life: desired.Backend | None
     ) -> desired.Backend | None:
-        """Return the life of a server that an entry tells of.
+        """Decode the life of a backend server from its entry.
 
-        One that does not tell when its life began belongs to the one that
-        is known.
+        An entry without a start time is taken for the newest known life.
 
-        :param life: the newest one that is known.
-        :returns: none if the entry tells of an earlier one.
-        :raises errors.ChangeError: when it is no server's entry.
+        :param life: the newest known life of the server, if any.
+        :returns: None if the entry is of an earlier life.
+        :raises errors.ChangeError: when the entry is invalid.
         """
         backend = platform.decode_backend(record.key, record.value)
         if life is None or life.started_at_ms is None:
@@ -325,8 +370,11 @@
     def _skip_earlier_life(
         self, record: platform.KeyedRecord, entry: _Entry | None
     ) -> None:
-        """Leave an entry of an earlier life alone; the later one stands."""
-        logging.info("entry of an earlier life", extra={"backend": record.key})
+        """Ignore an entry of an earlier life, but record its position."""
+        logging.info(
+            "backend entry of earlier life ignored",
+            extra={"backend": record.key},
+        )
         if entry is not None:
             entry.position = record.position
         else:
@@ -342,20 +390,22 @@
         *,
         is_new_era: bool,
     ) -> None:
-        """Take over an entry.
+        """Store the entry of the newest life of a backend server.
 
-        :param is_new_era: whether it is the first of this life in a new
-            era of the store: then it may be older than what is known.
+        :param entry: what was known of the same life.
+        :param is_new_era: whether this is the first record of the life in a
+            new era of the store. The store then came back from a copy, in
+            which the record may be older than what is known.
         """
         if is_new_era and entry and entry.leaving_at and not entry.removed:
             self._leaving_answer_at.setdefault(backend.key, entry.leaving_at)
         leaving = backend.state is desired.BackendState.LEAVING
         since = entry.leaving_at if entry and not entry.removed else None
         now = self._clock.monotonic()
-        said = self._leaving_answer_at.get(backend.key)
-        if said is not None:
+        answered_at = self._leaving_answer_at.get(backend.key)
+        if answered_at is not None:
             leaving = True
-            since = said if since is None else min(since, said)
+            since = answered_at if since is None else min(since, answered_at)
         self._usable.pop(backend.service, None)
         if entry is not None:
             self._usable.pop(entry.backend.service, None)
@@ -370,7 +420,7 @@
         )
         if entry is None or entry.backend.state is not backend.state:
             logging.info(
-                "backend server",
+                "backend server state",
                 extra={
                     "backend": backend.key,
                     "service": backend.service,
@@ -382,7 +432,7 @@
             )
 
     def _has_ended(self, entry: _Entry | None) -> bool:
-        """Tell whether a life was gone from the list for good."""
+        """Return whether a life was removed for good before this record."""
         if entry is None or entry.possibly_outdated_since is not None:
             return True
         return entry.removed and not self._is_retained(
@@ -391,7 +441,7 @@
 
     def _remove(
         self,
-        name: desired.BackendId,
+        backend_id: desired.BackendId,
         entry: _Entry | None,
         position: positions.Position,
         store_was_away: bool,
@@ -399,7 +449,7 @@
         is_new_era: bool = False,
     ) -> None:
         if entry is None:
-            self._removed_positions[name] = position
+            self._removed_positions[backend_id] = position
             return
         entry.position = position
         if entry.removed:
@@ -413,7 +463,7 @@
         if entry.leaving_at is None:
             entry.leaving_at = self._clock.monotonic()
         logging.info(
-            "backend server removed",
+            "backend entry removed",
             extra={
                 "backend": entry.backend.key,
                 "offset": positions.offset(position),
@@ -428,9 +478,9 @@
             if not entry.removed or entry.leaving_at is None:
                 continue
             if now - entry.leaving_at > max(self._drain(), _REWRITE_TIME):
-                self.forget(key, "its entry is gone from the list")
+                self.forget(key, "its entry was removed from the list")
 
 
 def _is_later_era(one: positions.Position, other: positions.Position) -> bool:
-    """Tell whether a place is of a later era than another."""
+    """Return whether position ``one`` is of a later era than ``other``."""
     return positions.era(one) > positions.era(other)
--- a/src/lugcross/edge/fleet_counts.py
+++ b/src/lugcross/edge/fleet_counts.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Counts of this process and of all its peers, with the sums kept.
+"""Counts by key, summed over this process and its live peers.
 
-A sum over peers is asked for several times a request and changes a few
-times a second for each peer. It is kept as their news arrives and grows
-old: summed up anew for each of 192 servers from 98 peers' news, one request
-took 8.1 ms to admit.
+The sums are updated incrementally, as counts of peers arrive and expire:
+they are read several times per request, but change only a few times a
+second per peer. Adding up all peers' counts for each server at every read
+would dominate the time to admit a request.
 """
 
 import collections
@@ -25,7 +25,7 @@
 @final
 @dataclasses.dataclass
 class _PeerCounts(Generic[_Key]):
-    """What one peer told last, and when it was heard."""
+    """The last counts received from one peer, and when."""
 
     counts: Mapping[_Key, int]
     heard_at: clock_lib.Instant
@@ -33,9 +33,9 @@
 
 @final
 class FleetCounts(Generic[_Key]):
-    """Counts by key: own ones, and those that live peers have told.
+    """Counts by key of this process and of its peers, with their sums.
 
-    :param max_age: age at which what a peer told counts no more.
+    :param max_age: age at which a peer's counts are dropped from the sums.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         self._max_age = max_age
         self._own: collections.Counter[_Key] = collections.Counter()
         self._sums: dict[_Key, int] = {}
-        #: By peer; whoever was heard longest ago comes first.
+        #: Ordered by time of receipt, oldest first.
         self._by_peer: collections.OrderedDict[str, _PeerCounts[_Key]] = (
             collections.OrderedDict()
         )
 
     def add(self, key: _Key, count: int) -> None:
-        """Add to this process's own count; less than 0 takes away."""
+        """Add ``count``, which may be negative, to the own count of a key."""
         self._own[key] += count
         if not self._own[key]:
             del self._own[key]
@@ -60,9 +60,10 @@
     def set_peer_counts(
         self, peer: str, counts: Mapping[_Key, int]
     ) -> Mapping[_Key, int] | None:
-        """Take over all counts of a peer in place of what it told before.
+        """Replace all counts of a peer.
 
-        :returns: what it told before; none if that was too old or nothing.
+        :returns: the counts replaced, or None if there were none or they had
+            expired.
         """
         self._drop_stale()
         before = self._by_peer.pop(peer, None)
@@ -74,21 +75,25 @@
         return None if before is None else before.counts
 
     def own(self) -> dict[_Key, int]:
-        """Return this process's own counts."""
+        """Return a copy of this process's own counts."""
         return dict(self._own)
 
     def sum_of(self, key: _Key) -> int:
-        """Return the sum of one key."""
+        """Return the sum for one key over this process and live peers."""
         self._drop_stale()
         return self._sums.get(key, 0)
 
     def sum_of_all(self, keys: Iterable[_Key]) -> int:
-        """Return the sum of several keys."""
+        """Return the total of the sums for several keys."""
         self._drop_stale()
         return sum(map(self._sums.get, keys, itertools.repeat(0)))
 
     def sums(self) -> Mapping[_Key, int]:
-        """Return all sums that are not 0; not to be changed or kept."""
+        """Return all sums other than 0.
+
+        The mapping is the internal one: callers must neither modify it nor
+        keep it.
+        """
         self._drop_stale()
         return self._sums
 
@@ -106,7 +111,7 @@
             self._add_to_sum(key, -count)
 
     def _drop_stale(self) -> None:
-        """Forget what peers told that were not heard for too long."""
+        """Drop the counts of peers that are older than ``max_age``."""
         limit = self._clock.monotonic() - self._max_age
         while self._by_peer:
             peer = next(iter(self._by_peer))
--- a/src/lugcross/edge/metrics.py
+++ b/src/lugcross/edge/metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Counters and histograms of one process, as text for collectors."""
+"""Prometheus metrics of one edge process, and the handler that serves them."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -13,21 +13,21 @@
 from lugcross import http1
 from lugcross import ids
 
-#: Bounds of the latency histograms, in seconds: around the times within
-#: which answers count as prompt, and up to the longest deadlines.
+#: Bounds of the latency histogram: dense around the times within which answers
+#: count as prompt, and up to the longest deadlines.
 _LATENCY_BUCKETS_S = (0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0)
-#: Workspaces of a service that are told by name, so that figures stay small
-#: however many there are; all others are told as one.
+#: Limit on workspaces with a label of their own, which bounds the number of
+#: time series.
 _MAX_NAMED_WORKSPACES = 20
-#: Where the list of suspect requests is.
+#: Path of the list of crash suspects, on the metrics listener.
 SUSPECTS_PATH = b"/suspects"
-#: Stands for all workspaces that are not told by name.
+#: Label of all workspaces without a label of their own.
 _OTHER_WORKSPACES = "(others)"
 
 
 @final
 class EdgeMetrics:
-    """What a process tells of itself in numbers."""
+    """Prometheus metrics of one edge process, in a registry of their own."""
 
     def __init__(self) -> None:
         self._registry = prometheus_client.CollectorRegistry()
@@ -104,7 +104,11 @@
     def count_request(
         self, service: str, status: int, first_byte: datetime.timedelta | None
     ) -> None:
-        """Count one request; ``first_byte`` is none if nothing was given."""
+        """Count one request by its final status.
+
+        :param first_byte: time from the request's head to the first byte of
+            the response; None if nothing was sent.
+        """
         self._requests.labels(service, str(status)).inc()
         if first_byte is not None:
             self._first_byte.labels(service).observe(
@@ -112,11 +116,11 @@
             )
 
     def count_attempt(self, service: str, event: str) -> None:
-        """Count one attempt at a backend server."""
+        """Count one attempt at a backend server by its outcome."""
         self._attempts.labels(service, event).inc()
 
     def count_backoff_asked(self, service: str) -> None:
-        """Count an answer by which a backend server asked for rest."""
+        """Count an answer by which a backend server asked for a backoff."""
         self._rests_asked.labels(service).inc()
 
     def count_store_copy(self) -> None:
@@ -124,17 +128,18 @@
         self._store_copies.inc()
 
     def count_backoff_refused(self, service: str) -> None:
-        """Count a request that is refused since all servers rest."""
+        """Count a request refused because all servers are backing off."""
         self._rests_refused.labels(service).inc()
 
     def count_suspect_refused(self, service: str) -> None:
-        """Count a request that is refused since servers ended under it."""
+        """Count a request refused because it is a crash suspect."""
         self._suspects_refused.labels(service).inc()
 
     def count_workspace_refused(self, service: str, workspace: str) -> None:
         """Count a request that ends without a backend server's answer.
 
-        The first workspaces that are refused are told by name.
+        The first workspaces counted get a label of their own; the requests of
+        all others are counted together.
         """
         named = self._named_workspaces
         if (service, workspace) not in named:
@@ -148,7 +153,13 @@
         self,
         uses: Mapping[ids.ServiceName, Mapping[ids.WorkspaceName, int]],
     ) -> None:
-        """Set what each service's heaviest workspaces have in progress."""
+        """Set the requests in progress of each service's workspaces.
+
+        The workspaces with the most requests get a label of their own; the
+        others of the service are added up.
+
+        :param uses: requests in progress by service and workspace.
+        """
         self._workspace_running.clear()
         for service, counts in uses.items():
             named = heapq.nlargest(
@@ -165,12 +176,12 @@
                 )
 
     def set_gauges(self, **values: float) -> None:
-        """Set gauges to what holds now."""
+        """Set gauges by name, without the prefix ``lugcross_``."""
         for name, value in values.items():
             self._gauges[name].set(value)
 
     def text(self) -> bytes:
-        """Return all figures in Prometheus's text format."""
+        """Return all metrics in Prometheus's text format."""
         return prometheus_client.generate_latest(self._registry)
 
 
@@ -181,9 +192,9 @@
     *,
     suspects_json: Callable[[], bytes],
 ) -> None:
-    """Answer a collector, or an operator.
+    """Serve the metrics, or the crash suspects at ``SUSPECTS_PATH``.
 
-    :param suspects_json: tells which requests are suspect.
+    :param suspects_json: returns the list of crash suspects as JSON.
     """
     if req.target.partition(b"?")[0] == SUSPECTS_PATH:
         await response.write_head(
--- a/src/lugcross/edge/readiness.py
+++ b/src/lugcross/edge/readiness.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Answers the platform's question whether callers may come here."""
+"""Handler for the platform's readiness checks."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -14,9 +14,10 @@
 ) -> Callable[
     [http1.ResponseWriter, http1.Request], Coroutine[Any, Any, None]
 ]:
-    """Return a handler that answers 200, or 503 with the reason.
+    """Return a handler that answers 200 when ready, else 503 with the reason.
 
-    :param unready_reason: reason why none should come; empty if they may.
+    :param unready_reason: returns why this process is not ready; empty if it
+        is.
     """
 
     async def answer(
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where processes are, as each tells the store once."""
+"""Registration of this process's peer address in the store."""
 
 import asyncio
 import random
@@ -13,13 +13,19 @@
 from lugcross import errors
 from lugcross import platform
 
-#: Time between two tries to register while the store is away, in seconds.
+#: Longest time between two attempts to register; jitter shortens it.
 _RETRY_INTERVAL_S = 2.0
 
 
 @final
 class Registration:
-    """Tells the store where this process is, and learns where others are."""
+    """Registers this process in the store, and reads the peers' addresses.
+
+    The store keeps the registration, so it is repeated only when the store
+    may have lost it.
+
+    :param peers: gets the addresses of all processes that are registered.
+    """
 
     def __init__(
         self,
@@ -39,12 +45,16 @@
         self._repeat_requested = asyncio.Event()
 
     def register_again_if_done_since(self, since: clock_lib.Instant) -> None:
-        """Register once more if that was done later than ``since``."""
+        """Register again if the last registration was at or after ``since``.
+
+        :param since: writes from this time on may be lost, as when the store
+            came back from an older copy.
+        """
         if self._registered_at is not None and self._registered_at >= since:
             self._repeat_requested.set()
 
     async def run(self) -> None:
-        """Register now, and whenever the store has lost it."""
+        """Register now, and again at each request, until cancelled."""
         while True:
             while not await self._register():
                 await asyncio.sleep(
@@ -53,7 +63,7 @@
             self._registered_at = self._clock.monotonic()
             await self._repeat_requested.wait()
             self._repeat_requested.clear()
-            logging.info("registered anew")
+            logging.info("registering again")
 
     async def _register(self) -> bool:
         own = self._settings.listen.peers
@@ -63,7 +73,7 @@
             )
             tail = await self._store.read_newest(platform.NODES_TOPIC)
         except errors.PlatformError as exc:
-            logging.warning("not registered", extra={"why": str(exc)})
+            logging.warning("registration failed", extra={"why": str(exc)})
             return False
         values = [record.value for record in tail.records]
         for found in peers_lib.node_addresses(values):
