--- a/testing/edge/test_backends.py
+++ b/testing/edge/test_backends.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The list of backend servers under late, missing and lapsed records."""
+"""Tests of the list of backend servers: late, missing and lapsed records."""
 
 import datetime
 
@@ -24,7 +24,7 @@
     return platform.KeyedRecord(ids.Offset(offset), key, value)
 
 
-def _gone(offset: int, key: str):
+def _removal(offset: int, key: str):
     return platform.KeyedRecord(ids.Offset(offset), key, b"")
 
 
@@ -41,18 +41,18 @@
     def usable(self):
         return sorted(one.key for one in self.backends.usable(SERVICE))
 
-    def passes(self, seconds):
+    def advance(self, seconds):
         self.clock.advance(datetime.timedelta(seconds=seconds))
 
 
-def test_older_record_changes_nothing():
+def test_older_record_is_ignored():
     rig = _Rig()
     rig.apply(_record(5, "a", "draining"), _record(6, "b"))
     rig.apply(_record(4, "a"))
     assert rig.usable() == ["b"]
 
 
-def test_leaving_server_gets_nothing_where_others_are():
+def test_leaving_server_is_not_used_while_another_is_ready():
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"))
     rig.apply(_record(3, "a", "draining"))
@@ -64,66 +64,66 @@
     rig.apply(_record(1, "a"))
     rig.apply(_record(2, "a", "draining"))
     assert rig.usable() == ["a"]
-    rig.passes(1.1)
+    rig.advance(1.1)
     assert rig.usable() == []
 
 
-def test_repeated_news_of_leaving_does_not_extend_its_time():
+def test_second_leaving_record_does_not_extend_the_use_of_a_server():
     rig = _Rig()
     rig.apply(_record(1, "a", "draining"))
-    rig.passes(0.9)
+    rig.advance(0.9)
     rig.apply(_record(2, "a", "draining"))
-    rig.passes(0.2)
+    rig.advance(0.2)
     assert rig.usable() == []
 
 
-def test_server_whose_entry_is_removed_leaves():
+def test_server_is_not_used_after_its_entry_is_removed():
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"))
-    rig.apply(_gone(3, "a"))
+    rig.apply(_removal(3, "a"))
     assert rig.usable() == ["b"]
 
 
-def test_entries_that_lapsed_together_are_held_until_they_return():
+def test_servers_that_lapsed_together_are_used_until_one_writes_again():
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"))
-    rig.apply(_gone(3, "a"), _gone(4, "b"), away=True)
-    rig.passes(1.6)
+    rig.apply(_removal(3, "a"), _removal(4, "b"), away=True)
+    rig.advance(1.6)
     assert rig.usable() == ["a", "b"]
     rig.apply(_record(5, "a"))
     assert rig.usable() == ["a"]
 
 
-def test_lapsed_entries_are_never_held_past_the_drain_bound():
+def test_lapsed_servers_are_not_used_as_long_as_the_drain_bound():
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"))
-    rig.apply(_gone(3, "a"), _gone(4, "b"), away=True)
-    rig.passes(1.8)
+    rig.apply(_removal(3, "a"), _removal(4, "b"), away=True)
+    rig.advance(1.8)
     assert rig.usable() == []
 
 
-def test_single_server_that_goes_after_an_outage_has_left():
+def test_single_server_removed_after_a_store_outage_is_not_used():
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"), _record(3, "c"))
-    rig.apply(_gone(4, "a"), away=True)
+    rig.apply(_removal(4, "a"), away=True)
     assert rig.usable() == ["b", "c"]
 
 
-def test_newest_records_without_a_server_mean_that_it_left():
+def test_server_missing_from_a_full_listing_is_removed():
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"), end=3)
     rig.apply(_record(2, "b"), end=9, newest=True)
     assert rig.usable() == ["b"]
 
 
-def test_old_answer_does_not_remove_a_server_that_came_later():
+def test_full_listing_does_not_remove_a_server_with_a_newer_record():
     rig = _Rig()
     rig.apply(_record(7, "new"), end=8)
     rig.apply(_record(2, "b"), end=5, newest=True)
     assert rig.usable() == ["b", "new"]
 
 
-def test_server_proved_gone_does_not_come_back_by_an_old_record():
+def test_forgotten_server_does_not_return_by_an_old_record():
     rig = _Rig()
     rig.apply(_record(5, "a"))
     rig.backends.forget("a", "another life has its address")
@@ -131,12 +131,12 @@
     assert rig.usable() == []
 
 
-def test_entry_of_another_writer_names_no_server_and_the_others_stand():
-    """A bad entry takes the place of the one that it overwrites.
+def test_invalid_entry_removes_its_server_and_no_other():
+    """An invalid entry overwrites the server's own entry in the store.
 
-    What it says is not believed, and neither is what stood there before:
-    nobody knows any more that the server is there. The next entry that the
-    server writes brings it back.
+    It is ignored, but the overwritten entry is not used any longer either,
+    because nothing confirms that the server still exists. The next entry
+    that the server writes brings it back.
     """
     rig = _Rig()
     rig.apply(_record(1, "a"), _record(2, "b"))
@@ -146,7 +146,7 @@
     assert rig.usable() == ["a", "b"]
 
 
-def test_server_that_started_again_is_another_life():
+def test_restarted_server_is_a_new_life():
     rig = _Rig()
     rig.apply(_entry(1, "a", born=1000), _entry(2, "b", born=1000))
     rig.apply(_entry(3, "a", born=2000, sequence=1))
@@ -159,12 +159,12 @@
     rig = _Rig()
     rig.apply(_entry(1, "a", born=2000), _entry(2, "b"))
     if removed:
-        rig.apply(_gone(3, "a"))
+        rig.apply(_removal(3, "a"))
     rig.apply(_entry(4, "a", born=1000))
     assert rig.usable() == (["b"] if removed else ["a 2000", "b"])
 
 
-def test_life_that_left_is_not_held_against_the_next():
+def test_leaving_life_does_not_make_the_next_life_leave():
     rig = _Rig()
     rig.apply(_entry(1, "a", born=1000), _entry(2, "b"))
     rig.apply(_entry(3, "a", born=1000, state="draining"))
@@ -173,7 +173,7 @@
     assert rig.usable() == ["a 2000", "b"]
 
 
-def test_entry_that_does_not_tell_its_start_belongs_to_the_life_known():
+def test_entry_without_a_start_time_belongs_to_the_known_life():
     rig = _Rig()
     rig.apply(_entry(1, "a", born=1000))
     rig.apply(_entry(2, "a", state="draining"), _record(3, "b"))
--- a/testing/edge/test_leader_candidates.py
+++ b/testing/edge/test_leader_candidates.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which process should look after expert maps, by what peers tell."""
+"""Tests of decisions from peers' heartbeats: leadership, store reads, sync."""
 
 import datetime
 
@@ -20,7 +20,7 @@
 
 
 class Node:
-    """One process's knowledge of its peers, with time moved by hand."""
+    """State sync of one process without network, with a manual clock."""
 
     def __init__(self, *, fenced: bool) -> None:
         self.clock = clock_lib.ManualClock()
@@ -47,7 +47,7 @@
         leaving: bool = False,
         reads_store: bool = True,
     ) -> None:
-        """Take a datagram of a peer that started long ago."""
+        """Receive a heartbeat of peer ``n2``, by default started long ago."""
         heartbeat = messages.Heartbeat(
             node="n2",
             incarnation="i2",
@@ -71,21 +71,19 @@
 )
 
 
-def test_without_a_lease_a_process_that_has_just_started_is_not_first() -> (
-    None
-):
+def test_process_that_just_started_does_not_lead_without_a_lease() -> None:
     node = Node(fenced=False)
     assert not node.state_sync.is_first_candidate()
     node.clock.advance(2000 * MS)
     assert node.state_sync.is_first_candidate()
 
 
-def test_a_process_that_has_just_started_may_claim_a_lease() -> None:
+def test_process_that_just_started_may_claim_a_lease() -> None:
     assert Node(fenced=True).state_sync.is_first_candidate()
 
 
 @FENCES
-def test_the_peer_that_runs_longest_comes_first(fenced: bool) -> None:
+def test_process_that_runs_longest_is_first_candidate(fenced: bool) -> None:
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear()
@@ -95,7 +93,7 @@
 
 
 @FENCES
-def test_a_leaving_peer_does_not_come_first(fenced: bool) -> None:
+def test_leaving_peer_is_no_candidate(fenced: bool) -> None:
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear(leaving=True)
@@ -103,7 +101,7 @@
 
 
 @pytest.mark.parametrize(("fenced", "silent_ms"), [(False, 1100), (True, 600)])
-def test_a_silent_peer_gives_way(fenced: bool, silent_ms: int) -> None:
+def test_silent_peer_is_no_candidate(fenced: bool, silent_ms: int) -> None:
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear()
@@ -113,7 +111,7 @@
     assert node.state_sync.is_first_candidate()
 
 
-def test_lease_is_held_elsewhere_while_its_holder_is_heard() -> None:
+def test_lease_is_held_by_a_peer_while_its_heartbeats_arrive() -> None:
     node = Node(fenced=True)
     assert not node.state_sync.lease_held_by_peer()
     node.hear(generation=3)
@@ -122,7 +120,7 @@
     assert not node.state_sync.lease_held_by_peer()
 
 
-def test_number_of_a_peers_lease_is_passed_on() -> None:
+def test_lease_generation_of_a_peer_is_passed_on() -> None:
     node = Node(fenced=True)
     heard: list[experts.Generation] = []
     node.state_sync.on_peer_generation = heard.append
@@ -133,7 +131,7 @@
 def _hear_readers(
     node: Node, domain: str, *, reads_store: bool = True
 ) -> None:
-    """Take datagrams of two processes that come first by their names."""
+    """Receive heartbeats of two processes that sort first as store readers."""
     for num in range(2):
         heartbeat = messages.Heartbeat(
             node=f"r{num}",
@@ -152,39 +150,39 @@
 
 
 @pytest.mark.parametrize(
-    ("domain", "reads_store", "rests"),
+    ("domain", "reads_store", "leaves_store_to_peers"),
     [("d1", True, True), ("d2", True, False), ("d1", False, False)],
     ids=["near", "far", "store-away"],
 )
 def test_store_is_left_to_two_readers_of_the_same_domain(
-    domain: str, reads_store: bool, rests: bool
+    domain: str, reads_store: bool, leaves_store_to_peers: bool
 ) -> None:
     node = Node(fenced=False)
     _hear_readers(node, domain, reads_store=reads_store)
-    assert node.state_sync.leaves_store_to_peers() == rests
+    assert node.state_sync.leaves_store_to_peers() == leaves_store_to_peers
 
 
-def test_store_is_asked_again_once_the_readers_are_silent() -> None:
+def test_store_is_read_again_once_the_readers_are_silent() -> None:
     node = Node(fenced=False)
     _hear_readers(node, "d1")
     node.clock.advance(1100 * MS)
     assert not node.state_sync.leaves_store_to_peers()
 
 
-def test_news_of_the_list_are_told_without_waiting_for_a_heartbeat() -> None:
+def test_new_backend_record_schedules_a_heartbeat() -> None:
     node = Node(fenced=False)
-    told: list[None] = []
-    node.state_sync.peers.schedule_send = lambda: told.append(None)
+    scheduled: list[None] = []
+    node.state_sync.peers.schedule_send = lambda: scheduled.append(None)
     row = platform.KeyedRecord(
         ids.Offset(0), "i-1", edge_rig.backend_entry("s", "10.0.0.1:80")
     )
     empty = platform.ReadResult(end=ids.Offset(0), records=())
     node.state_sync.apply_backends(empty, newest=False)
-    assert not told
+    assert not scheduled
     node.state_sync.apply_backends(
         platform.ReadResult(end=ids.Offset(1), records=(row,)), newest=False
     )
-    assert told
+    assert scheduled
 
 
 def _hear_version(node: Node, name: str, domain: str, version: int) -> None:
@@ -196,7 +194,7 @@
 
 
 @pytest.mark.parametrize(
-    ("near", "far", "asked"),
+    ("near", "far", "expected"),
     [
         (0, 0, set()),
         (3, 0, {"near1", "near2"}),
@@ -205,8 +203,8 @@
     ],
     ids=["nobody-ahead", "near", "far-knows-more", "only-far"],
 )
-def test_news_are_asked_of_the_same_domain_and_not_all_of_one_peer(
-    near: int, far: int, asked: set[str]
+def test_sync_prefers_peers_of_the_same_domain_and_varies_among_them(
+    near: int, far: int, expected: set[str]
 ) -> None:
     node = Node(fenced=False)
     _hear_version(node, "near1", "d1", near)
@@ -216,21 +214,21 @@
     found = [
         peer_sync.selector.pick(peer_sync.newer_peers()) for _ in range(40)
     ]
-    assert {one.host for one in found if one is not None} == asked
+    assert {one.host for one in found if one is not None} == expected
 
 
 @FENCES
-def test_nobody_waits_for_a_peer_that_the_store_turns_away(
+def test_peer_without_the_store_is_no_candidate_for_a_lease(
     fenced: bool,
 ) -> None:
     node = Node(fenced=fenced)
     node.clock.advance(5000 * MS)
     node.hear(reads_store=False)
-    # Without a lease the store does not matter.
+    # Without a lease, a leader needs no store.
     assert node.state_sync.is_first_candidate() == fenced
 
 
-def test_peers_hear_that_the_store_turns_this_process_away() -> None:
+def test_heartbeat_tells_whether_the_store_answers_about_the_lease() -> None:
     node = Node(fenced=True)
     make_heartbeat = node.state_sync._make_heartbeat
     node.state_sync.can_claim_lease = lambda: False
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The leader sees demand, switches maps and tells of outages."""
+"""Tests of the map manager against simulated ranks, with a manual clock."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -32,13 +32,19 @@
     expert_time_ratio=0.8,
 )
 INITIAL_MAP = experts.round_robin_map(RANK_COUNT, LIMITS)
-#: Uses of each expert in one reading; the first has nearly all.
+#: Uses of each expert added per call of ``run_passes``; nearly all are of the
+#: first expert.
 HOT_USES = (100_000, 1000, 1000, 1000, 1000, 1000, 1000, 1000)
 SECOND = datetime.timedelta(seconds=1)
 
 
 class SimulatedEngines:
-    """Ranks that make one pass for each 50 ms that are waited."""
+    """Engine client for a simulated group that runs a pass every 50 ms.
+
+    :ivar unreachable: ranks that answer neither queries nor orders.
+    :ivar not_receiving: ranks that answer queries, but get no orders.
+    :ivar called_ranks: rank of each query and order, in order.
+    """
 
     def __init__(self) -> None:
         self.group = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
@@ -47,12 +53,11 @@
         self.unreachable: set[int] = set()
         self.not_receiving: set[int] = set()
         self.orders: list[experts.Order] = []
-        #: Ranks that were asked or ordered, as often as they were.
         self.called_ranks: list[int] = []
         self.generations: list[experts.Generation | None] = []
 
     def run_passes(self, seconds: float) -> None:
-        """Go on for a while, under load."""
+        """Run passes for some seconds, finish copies and count uses."""
         for _ in range(max(1, int(seconds / 0.05))):
             self.group.begin_pass()
         for rank in self.group.ranks:
@@ -107,7 +112,7 @@
 
 
 class MapLeadership:
-    """A leadership that a test gives and takes away."""
+    """Leadership that a test grants and revokes by its attributes."""
 
     def __init__(self) -> None:
         self.leads = True
@@ -132,7 +137,10 @@
 
 
 class Rig:
-    """One process's maps over model ranks, with time moved by hand."""
+    """A map manager with simulated engines and a manual clock.
+
+    :ivar notification_count: number of group state changes it has notified.
+    """
 
     def __init__(self, cfg: settings_lib.Maps) -> None:
         self.clock = clock_lib.ManualClock()
@@ -149,16 +157,16 @@
             sleep=self._sleep,
             leadership=self.leadership,
             allocator=experts.NumberAllocator(1),
-            on_group_state_change=self._changed,
+            on_group_state_change=self._count_notification,
             node="n1",
             cfg=cfg,
         )
-        self._adopt()
+        self._add_service()
 
-    def _changed(self) -> None:
+    def _count_notification(self) -> None:
         self.notification_count += 1
 
-    def _adopt(self) -> None:
+    def _add_service(self) -> None:
         engine = desired.EngineSpec(
             slots=6, kv_cache_tokens=1000, experts=LIMITS
         )
@@ -189,7 +197,7 @@
         await asyncio.sleep(0)
 
     async def rounds(self, count: int) -> None:
-        """Let a second pass before each of some rounds."""
+        """Run rounds one second apart, each with its switches to the end."""
         for _ in range(count):
             self.clock.advance(SECOND)
             self.engines.run_passes(1.0)
@@ -221,7 +229,7 @@
     run(act)
 
 
-def test_process_that_does_not_lead_asks_and_orders_nothing():
+def test_process_that_is_not_leader_sends_no_orders():
     async def act(rig: Rig) -> None:
         rig.leadership.leads = False
         await rig.rounds(5)
@@ -246,27 +254,33 @@
 
 
 @pytest.mark.parametrize(
-    "resting", [(0,), (2,), (0, 1, 2, 3)], ids=["first", "another", "all"]
+    "backing_off",
+    [(0,), (2,), (0, 1, 2, 3)],
+    ids=["first", "another", "all"],
 )
-def test_rank_that_asked_for_rest_is_neither_asked_nor_ordered(resting):
+def test_rank_that_is_backing_off_gets_neither_queries_nor_orders(
+    backing_off,
+):
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
-        rest = 6 * SECOND
-        for rank in resting:
-            rig.edge_state.backoffs.start(desired.BackendKey(str(rank)), rest)
+        duration = 6 * SECOND
+        for rank in backing_off:
+            key = desired.BackendKey(str(rank))
+            rig.edge_state.backoffs.start(key, duration)
         rig.engines.called_ranks.clear()
         await rig.rounds(5)
-        assert not set(resting) & set(rig.engines.called_ranks)
+        assert not set(backing_off) & set(rig.engines.called_ranks)
         assert not rig.engines.orders
-        # Nothing speaks for it that its group is broken.
+        # A backoff is no sign that the group is broken.
         assert not rig.edge_state.broken_group_servers.servers()
+        # The backoff has ended.
         await rig.rounds(5)
         assert rig.engines.group.ranks[0].version_and_map != (0, INITIAL_MAP)
 
     run(act)
 
 
-def test_operator_can_keep_all_maps_as_they_are():
+def test_least_saving_of_one_disables_switches():
     async def act(rig: Rig) -> None:
         await rig.rounds(5)
         assert not rig.engines.orders
@@ -279,12 +293,12 @@
     [{"least_saving": 1.5}, {"least_saving": -0.1}, {"copy_ms": 0}],
     ids=["over-one", "negative", "no-time"],
 )
-def test_settings_that_make_no_sense_are_refused(fields: dict[str, float]):
+def test_settings_out_of_range_are_rejected(fields: dict[str, float]):
     with pytest.raises(ValueError, match=next(iter(fields))):
         settings_lib.Maps(**fields)
 
 
-def test_pass_that_nobody_releases_is_released():
+def test_abandoned_hold_of_another_process_is_released():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         group = rig.engines.group
@@ -314,7 +328,7 @@
     run(act)
 
 
-def test_state_is_known_though_the_first_rank_is_silent():
+def test_group_state_is_read_from_other_ranks_if_rank_0_is_unreachable():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         rig.engines.unreachable = {0}
@@ -328,7 +342,7 @@
     run(act)
 
 
-def test_group_is_open_though_its_first_rank_is_silent():
+def test_group_is_broken_only_once_all_ranks_are_unreachable():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
         rig.engines.unreachable = {0}
@@ -343,7 +357,10 @@
 
 
 def _lose_first_entry(rig: Rig, at: experts.Order | type) -> None:
-    """Take rank 0's entry off the list once an order like ``at`` is given."""
+    """Remove rank 0 from the list and its group at each order of type ``at``.
+
+    The removal comes before the order itself reaches its rank.
+    """
     order = rig.engines.order
 
     async def watched(
@@ -366,16 +383,16 @@
     [experts.Prepare, experts.Hold, experts.Arm],
     ids=lambda at: at.__name__,
 )
-def test_switch_ends_though_the_entry_of_the_first_rank_goes(
+def test_switch_ends_if_rank_0_is_removed_from_the_list_meanwhile(
     at: type, caplog: pytest.LogCaptureFixture
 ):
-    """A switch ended with an error when rank 0's entry left the list.
+    """A switch failed with an error when rank 0's entry was removed.
 
-    Symptom: ``map switch failed`` with a KeyError of rank 0, at 39.84 s of a
-    day on which a failure domain was cut off. Sequence: a switch is under
-    way; the entry of rank 0 lapses; the driver asks rank 0 for the pass.
-    Cause: the driver looked rank 0 up among the members without asking
-    whether it is there. The line of the log settled it.
+    Symptom: ``map switch failed`` with a KeyError for rank 0, in a run in
+    which a failure domain was cut off from the network. Sequence: a switch is
+    in progress; the entry of rank 0 lapses; the driver queries rank 0 for the
+    current pass. Cause: the driver looked up rank 0 in ``servers_by_rank``
+    without checking that it is there.
     """
 
     async def act(rig: Rig) -> None:
@@ -399,7 +416,7 @@
     assert group.epoch == 2
 
 
-def test_process_that_loses_the_leadership_tells_of_no_outage():
+def test_process_that_loses_the_leadership_reports_no_broken_group():
     async def act(rig: Rig) -> None:
         rig.engines.is_open = False
         await rig.rounds(2)
@@ -428,7 +445,7 @@
     run(act)
 
 
-def test_fault_in_one_round_does_not_stop_the_loop():
+def test_exception_in_a_round_does_not_end_the_loop():
     async def act(rig: Rig) -> None:
         rounds = []
 
@@ -446,7 +463,7 @@
     run(act)
 
 
-def test_group_of_a_switch_that_failed_is_looked_at_again():
+def test_group_is_switched_later_if_a_switch_raised_an_exception():
     async def act(rig: Rig) -> None:
         order = rig.engines.order
 
@@ -462,7 +479,7 @@
 
 
 @pytest.mark.parametrize("epochs", [1, 2])
-def test_group_that_forms_anew_gets_a_map_again(epochs: int):
+def test_group_in_a_new_epoch_is_switched_again(epochs: int):
     async def act(rig: Rig) -> None:
         await rig.rounds(4)
         for _ in range(epochs):
@@ -477,11 +494,11 @@
     run(act)
 
 
-def test_group_that_breaks_at_each_switch_is_left_alone():
-    """A rank ends whenever it is told to prepare a map.
+def test_group_that_breaks_at_each_switch_is_no_longer_switched():
+    """A rank crashed whenever it was ordered to prepare a map.
 
-    The group formed anew and was told the same again, every round: 60
-    lives in 60 rounds, each ended by its first order.
+    The group formed again in a new epoch and got the same order in the next
+    round: 60 epochs in 60 rounds, each ended by its first order.
     """
 
     async def act(rig: Rig) -> None:
@@ -505,7 +522,7 @@
     run(act)
 
 
-def test_every_order_carries_the_number_of_the_lease():
+def test_every_order_carries_the_generation_of_the_lease():
     async def act(rig: Rig) -> None:
         rig.leadership.current_generation = experts.Generation(4)
         await rig.rounds(5)
@@ -516,30 +533,30 @@
     run(act)
 
 
-def test_refused_holder_stops_at_once_and_for_good():
+def test_lease_holder_sends_no_orders_after_one_was_fenced():
     async def act(rig: Rig) -> None:
         rig.leadership.current_generation = experts.Generation(4)
         for rank in rig.engines.group.ranks:
             rank.min_generation = 5
         await rig.rounds(5)
         assert rig.leadership.refused_generations
-        # The one round of orders that was refused.
+        # One round of orders, all of which were refused.
         assert len(rig.engines.orders) == RANK_COUNT
         assert rig.engines.group.ranks[0].version_and_map == (0, INITIAL_MAP)
 
     run(act)
 
 
-def test_holder_whose_lease_goes_during_a_switch_gives_no_further_order():
+def test_no_orders_are_sent_after_the_lease_is_lost_during_a_switch():
     async def act(rig: Rig) -> None:
         rig.leadership.current_generation = experts.Generation(4)
         order = rig.engines.order
 
-        async def taken(*args: object) -> experts.OrderResult:
+        async def lose_lease(*args: object) -> experts.OrderResult:
             rig.leadership.current_generation = None
             return await order(*args)
 
-        rig.engines.order = taken
+        rig.engines.order = lose_lease
         await rig.rounds(4)
         assert len(rig.engines.orders) == RANK_COUNT
         assert rig.maps.switch_runner.is_stuck()
@@ -547,12 +564,16 @@
     run(act)
 
 
-#: Uses once demand has jumped: another expert has nearly all.
+#: As ``HOT_USES`` after a jump of demand: nearly all are of another expert.
 JUMPED_USES = (1000, 1000, 1000, 100_000, 1000, 1000, 1000, 1000)
 
 
 class JumpingDemand:
-    """Engines whose demand jumps, and a stream that feels it."""
+    """Gives a rig's engines demand that can jump, and a stream of events.
+
+    :ivar reads: number of times that expert counts were read.
+    :ivar uses: uses of each expert added at each call of :meth:`run_passes`.
+    """
 
     def __init__(self, rig: Rig) -> None:
         self.rig = rig
@@ -571,24 +592,24 @@
         for _ in range(max(1, int(seconds / 0.05))):
             self.rig.engines.group.begin_pass()
         if seconds > 0.5:
-            self.copied()
+            self.finish_copies()
         self.rig.engines.uses = [
             old + new
             for old, new in zip(self.rig.engines.uses, self.uses, strict=True)
         ]
 
-    def copied(self) -> None:
+    def finish_copies(self) -> None:
         for rank in self.rig.engines.group.ranks:
             rank.has_copied = True
 
     def event(self, pause_ms: float) -> None:
-        """Let a stream get its next event."""
+        """Let a stream get its next event after a pause."""
         pause = datetime.timedelta(milliseconds=pause_ms)
         self.rig.clock.advance(pause)
         self.rig.edge_state.on_pause(desired.BackendKey("1"), pause)
 
     async def short_rounds(self, count: int) -> None:
-        """Let some passes go by, with a round at each."""
+        """Run rounds 0.1 s apart, with two passes before each."""
         for _ in range(count):
             self.rig.clock.advance(datetime.timedelta(seconds=0.1))
             self.run_passes(0.1)
@@ -611,7 +632,7 @@
 
 
 @pytest.mark.parametrize("jumps", [True, False], ids=["jump", "steady"])
-def test_outdated_map_is_not_copied_to_the_end(jumps: bool):
+def test_switch_is_cancelled_if_demand_jumps_while_ranks_copy(jumps: bool):
     async def act(rig: Rig) -> None:
         jumping_demand = JumpingDemand(rig)
         released = asyncio.Event()
@@ -636,7 +657,7 @@
         jumping_demand.event(120)
         await jumping_demand.short_rounds(3)
         released.set()
-        jumping_demand.copied()
+        jumping_demand.finish_copies()
         await rig.maps.switch_runner.wait_idle()
         armed = {
             one.version
@@ -649,7 +670,7 @@
 
 
 @pytest.mark.parametrize("leased", [True, False], ids=["lease", "none"])
-def test_new_holder_of_a_lease_releases_what_is_held_at_once(leased: bool):
+def test_new_lease_holder_releases_a_foreign_hold_at_once(leased: bool):
     async def act(rig: Rig) -> None:
         rig.leadership.current_generation = (
             experts.Generation(4) if leased else None
@@ -666,7 +687,7 @@
     run(act)
 
 
-def test_first_demand_after_a_takeover_is_seen_within_a_few_passes():
+def test_new_leader_first_measures_demand_within_a_few_passes():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
         jumping_demand = JumpingDemand(rig)
@@ -679,7 +700,7 @@
     run(act, settings_lib.Maps(least_saving=1.0))
 
 
-def test_group_that_forms_anew_is_planned_for_by_what_was_seen_before():
+def test_group_in_a_new_epoch_is_planned_for_demand_of_the_previous_one():
     async def act(rig: Rig) -> None:
         await rig.rounds(6)
         jumping_demand = JumpingDemand(rig)
@@ -691,7 +712,7 @@
             jumping_demand.run_passes(0.05)
             await rig.maps.round()
             await asyncio.sleep(0)
-        # Prepared before a second reading in its new life was made.
+        # Prepared before a second reading gave the demand of the new epoch.
         prepared = [
             one.map
             for one in rig.engines.orders
--- a/testing/edge/test_process.py
+++ b/testing/edge/test_process.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The program as a process of its own: start, planned stop, bad settings."""
+"""Tests of the program as a separate process: start, stop, bad settings."""
 
 import asyncio
 import os
@@ -69,15 +69,15 @@
         await asyncio.sleep(0.01)
 
 
-def test_planned_stop_ends_an_open_stream_whole(tmp_path):
+def test_stop_signal_lets_an_open_stream_finish(tmp_path):
     async def main():
-        go_on = asyncio.Event()
+        may_finish = asyncio.Event()
 
         async def slow(seen, writer):
             await rig.events(b"id: 1\ndata: a\n\n", end=False)(
-                seen, _Kept(writer)
+                seen, _WriterThatStaysOpen(writer)
             )
-            await go_on.wait()
+            await may_finish.wait()
             part = b"id: 2\ndata: b\n\n"
             writer.write(b"%x\r\n%s\r\n0\r\n\r\n" % (len(part), part))
 
@@ -86,8 +86,8 @@
         store = standin.StoreStandin()
         address = await store.start(rig.HOST)
         store.append("keyed.op", "config", DESIRED)
-        address_of = f"{rig.HOST}:{backend.port}"
-        entry = rig.backend_entry("app", address_of, "d1", slots=2)
+        backend_address = f"{rig.HOST}:{backend.port}"
+        entry = rig.backend_entry("app", backend_address, "d1", slots=2)
         store.append("keyed.servers", "i-1", entry)
         ports = {
             name: rig.free_port()
@@ -104,7 +104,7 @@
         first = await reader.readuntil(b"data: a\n\n")
         proc.send_signal(signal.SIGTERM)
         await _until_status(ports["ready"], 503)
-        go_on.set()
+        may_finish.set()
         got = rig.parse_answer(first + await reader.read())
         logs, _ = await proc.communicate()
         backend.close()
@@ -119,8 +119,8 @@
         assert f'"message": "{message}"' in logs
 
 
-class _Kept:
-    """A writer that an ended script does not close."""
+class _WriterThatStaysOpen:
+    """A writer whose ``close`` does nothing, so that more can be written."""
 
     def __init__(self, writer: asyncio.StreamWriter) -> None:
         self.write = writer.write
--- a/testing/edge/test_reload.py
+++ b/testing/edge/test_reload.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Settings that change while the process runs."""
+"""Tests of settings that are reloaded while the process runs."""
 
 import os
 import pathlib
@@ -32,40 +32,42 @@
 """
 
 
-class Settings:
-    """A settings file whose time of change moves with each text."""
+class SettingsFile:
+    """A settings file whose modification time moves with each write."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
-        self._changes = 0
+        self._mtime_ns = 0
 
     def write(self, text: str) -> None:
         self.path.write_text(text, encoding="utf-8")
-        self._changes += 1
-        os.utime(self.path, ns=(self._changes, self._changes))
+        self._mtime_ns += 1
+        os.utime(self.path, ns=(self._mtime_ns, self._mtime_ns))
 
 
 @pytest.fixture
-def file(tmp_path: pathlib.Path) -> Settings:
-    found = Settings(tmp_path / "edge.yaml")
-    found.write(TEXT.format(drain_ms=2000, saving=0.25))
-    return found
+def file(tmp_path: pathlib.Path) -> SettingsFile:
+    settings_file = SettingsFile(tmp_path / "edge.yaml")
+    settings_file.write(TEXT.format(drain_ms=2000, saving=0.25))
+    return settings_file
 
 
 @pytest.fixture
-def edge(file: Settings, manual_clock: clock_lib.ManualClock) -> app_lib.Edge:
+def edge(
+    file: SettingsFile, manual_clock: clock_lib.ManualClock
+) -> app_lib.Edge:
     path = str(file.path)
     settings = settings_lib.load(path)
     return app_lib.Edge(settings, clock=manual_clock, settings_path=path)
 
 
-def test_bounds_count_once_the_file_has_changed_without_a_signal(edge, file):
+def test_changed_file_is_reloaded_without_a_signal(edge, file):
     file.write(TEXT.format(drain_ms=500, saving=0.5))
     edge.reload_if_changed()
     assert edge.edge_state.bounds.drain_ms == 500
 
 
-def test_file_that_cannot_be_used_changes_nothing(edge, file):
+def test_invalid_file_leaves_settings_as_they_are(edge, file):
     file.write("node: [")
     edge.reload_if_changed()
     assert edge.edge_state.bounds.drain_ms == 2000
@@ -74,13 +76,13 @@
     assert edge.edge_state.bounds.drain_ms == 700
 
 
-def test_file_that_is_gone_changes_nothing(edge, file):
+def test_missing_file_leaves_settings_as_they_are(edge, file):
     file.path.unlink()
     edge.reload_if_changed()
     assert edge.edge_state.bounds.drain_ms == 2000
 
 
-def test_repeats_that_were_spent_stay_counted_under_other_bounds():
+def test_spent_retry_budget_stays_spent_after_a_reload():
     rig = edge_rig.Rig()
     service = edge_rig.SAFE_ROUTE.weighted_services[0].service
     budget = rig.edge_state.retry_budget(service)
