--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -102,19 +102,19 @@
             rng=rng,
         )
         pool = self.edge_state.pool
-        reports = engine_transport.EngineTransport(
+        query_transport = engine_transport.EngineTransport(
             pool,
             timeout_s=engine_transport.REPORT_TIMEOUT_S,
             on_answer_head=self.edge_state.apply_answer_head,
             may_send=self.edge_state.backoffs.may_send_deferrable,
         )
-        orders = engine_transport.EngineTransport(
+        order_transport = engine_transport.EngineTransport(
             pool,
             timeout_s=engine_transport.ORDER_TIMEOUT_S,
             on_answer_head=self.edge_state.apply_answer_head,
             may_send=self.edge_state.backoffs.take_urgent_allowance,
         )
-        urgent = functools.partial(
+        send_urgently = functools.partial(
             self.state_sync.peers.schedule_send, urgent=True
         )
         self._leadership = map_leadership.MapLeadership(
@@ -122,18 +122,20 @@
             self._store,
             self.state_sync,
             needs_fencing=lambda: self.edge_state.bounds.fenced,
-            on_lease_change=urgent,
+            on_lease_change=send_urgently,
         )
         self._map_manager = map_manager.MapManager(
             self.edge_state,
-            platform.EngineClient(reports.exchange, orders.exchange),
+            platform.EngineClient(
+                query_transport.exchange, order_transport.exchange
+            ),
             clock=clock,
             sleep=asyncio.sleep,
             leadership=self._leadership,
             allocator=experts.NumberAllocator(
                 rng.getrandbits(_MAP_OWNER_BITS)
             ),
-            on_group_state_change=urgent,
+            on_group_state_change=send_urgently,
             node=settings.node,
             cfg=settings.maps,
         )
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -191,12 +191,12 @@
         else:
             servers = ready or self._leaving_but_usable(entries, now)
         if not servers:
-            doubted = [
+            possibly_outdated = [
                 entry
                 for entry in entries
                 if entry.possibly_outdated_since is not None
             ]
-            servers = [entry.backend for entry in doubted]
+            servers = [entry.backend for entry in possibly_outdated]
         return _UsableServers(tuple(servers), now + _USABLE_TTL)
 
     def _is_ready(self, entry: _Entry, now: clock_lib.Instant) -> bool:
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -72,7 +72,7 @@
         self._cancel_requested = False
 
     def cancel_if_copying(self) -> None:
-        """Cancel the switch if its ranks are still copying."""
+        """Cancel the switch unless its ranks have finished copying."""
         self._cancel_requested = True
 
     async def run(
@@ -94,12 +94,12 @@
             if now - copy_end > _GIVE_UP_AFTER or not self._may_order():
                 return False
             is_late = now - copy_end > _CANCEL_AFTER
-            is_pointless = (
+            should_cancel = (
                 is_late
                 or self._has_rank_backing_off()
                 or not self._group.is_open
             )
-            if is_pointless and not switch.may_hold_pass:
+            if should_cancel and not switch.may_hold_pass:
                 switch.cancel()
                 continue
             if switch.phase is experts.SwitchPhase.COPY:
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -113,7 +113,7 @@
         self._start_task(group, self._recover(group))
 
     def cancel_if_copying(self, group: rank_groups.RankGroup) -> None:
-        """Cancel the group's running switch if its ranks are still copying.
+        """Cancel the running switch of a group unless copying has finished.
 
         :raises KeyError: when no switch of the group is running.
         """
