--- a/src/lugcross/edge/metrics.py
+++ b/src/lugcross/edge/metrics.py
@@ -169,10 +169,10 @@
                 self._workspace_running.labels(service, space).set(
                     counts[space]
                 )
-            rest = sum(counts.values()) - sum(counts[one] for one in named)
-            if rest:
+            others = sum(counts.values()) - sum(counts[one] for one in named)
+            if others:
                 self._workspace_running.labels(service, _OTHER_WORKSPACES).set(
-                    rest
+                    others
                 )
 
     def set_gauges(self, **values: float) -> None:
