--- a/bench/control.py
+++ b/bench/control.py
@@ -187,7 +187,7 @@
     def turn() -> None:
         num = next(count)
         queue.push(
-            shares.Ticket(
+            shares.QueuedRequest(
                 uid=str(num),
                 group=ids.WorkspaceGroupName(f"g{num % 10}"),
                 workspace=ids.WorkspaceName(f"w{num % 250}"),
--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -160,7 +160,7 @@
         if where.hosts:
             hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
             watch = membership.HostListWatcher(
-                hosts, self._on_hosts, every_s=_HOSTS_EVERY_S
+                hosts, self._on_hosts, interval_s=_HOSTS_EVERY_S
             )
             app.add(
                 app_lib.Hook(name="hosts", start=watch.start, stop=watch.stop)
--- a/src/lugcross/agent/exchange.py
+++ b/src/lugcross/agent/exchange.py
@@ -74,7 +74,7 @@
         self.state = State.CLAIMING if dispatch.once_key else State.QUEUED
         self.dispatched = False
         self.heard_at: clock_lib.Instant | None = None
-        self.ticket = shares.Ticket(
+        self.ticket = shares.QueuedRequest(
             uid=dispatch.uid,
             group=dispatch.group,
             workspace=dispatch.workspace,
--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -241,7 +241,7 @@
                 del self._answered_since[server]
         self._crashed_servers_cache = None
 
-    def suspects_at_same_crashes(
+    def suspects_sharing_crashes(
         self, request: fingerprint.Fingerprint
     ) -> list[fingerprint.Fingerprint]:
         """Return other suspects that were where this one was."""
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -64,7 +64,7 @@
         are more urgent.
     """
 
-    claim: shares.WorkspaceUse | None = None
+    claim: shares.WorkspaceQuota | None = None
     is_retry: bool = False
     more_urgent_priorities: int = 0
 
@@ -103,7 +103,7 @@
     has_free_place = free >= 1.0 and snapshot.min_busy < max(
         max_per_server, 1.0
     )
-    if has_free_place and (claim is None or claim.may_take_place(free)):
+    if has_free_place and (claim is None or claim.may_take_slot(free)):
         return None
     if (
         claim is not None
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -255,7 +255,7 @@
         serve = functools.partial(
             metrics_lib.serve,
             self.edge_state.metrics,
-            suspects_json=self.edge_state.crash_tracker.listing_json,
+            suspects_json=self.edge_state.crash_tracker.suspects_json,
         )
         await self._serve_platform(reader, writer, serve)
 
--- a/src/lugcross/edge/backend_loads.py
+++ b/src/lugcross/edge/backend_loads.py
@@ -137,7 +137,7 @@
             for key in keys
         ]
 
-    def requests_at_all(self, keys: Set[desired.BackendKey]) -> int:
+    def total_requests(self, keys: Set[desired.BackendKey]) -> int:
         """Return how many requests several servers probably have."""
         running = self._running.sums()
         total = self._running.sum_of_all(keys)
@@ -176,7 +176,7 @@
         health = self._health.get(key)
         return health is not None and health.is_probing_after_backoff()
 
-    def keep_only(self, known: set[desired.BackendKey]) -> None:
+    def retain_only(self, known: set[desired.BackendKey]) -> None:
         """Forget servers that are gone."""
         for table in (self._reported, self._health):
             for key in table.keys() - known:
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -104,11 +104,14 @@
         return oldest + crash_suspects.SUSPICION_TTL - self._clock.monotonic()
 
     def may_retry(
-        self, checked: checked_request.CheckedRequest, *, broke: bool
+        self,
+        checked: checked_request.CheckedRequest,
+        *,
+        last_attempt_broke: bool,
     ) -> bool:
         """Tell whether a request may go to one more server at once.
 
-        :param broke: whether the last attempt broke off.
+        :param last_attempt_broke: whether the last attempt broke off.
         """
         if self.status(checked) is crash_suspects.SuspectStatus.REFUSED:
             return False
@@ -116,7 +119,7 @@
             return True
         # What others know of it comes within a moment, its caller later.
         return (
-            not broke
+            not last_attempt_broke
             or len(self.counted_crashes(checked))
             < crash_suspects.MIN_CRASHES_TO_REFUSE
         )
@@ -127,7 +130,7 @@
         servers: list[desired.BackendKey],
     ) -> desired.BackendKey | None:
         """Return the server that a suspect should go to."""
-        other_suspects = self.registry.suspects_at_same_crashes(
+        other_suspects = self.registry.suspects_sharing_crashes(
             checked.fingerprint
         )
         found = crash_suspects.assign_server(
@@ -237,7 +240,7 @@
             if at <= now - crash_suspects.SUSPICION_TTL:
                 del self._crashed_at[key]
 
-    def listing_json(self) -> bytes:
+    def suspects_json(self) -> bytes:
         """Return what speaks against which request, as JSON."""
         now = self._clock.monotonic()
         rows = [
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -238,7 +238,7 @@
         return admission.LoadSnapshot(
             servers=len(servers),
             slots=servers.slots,
-            busy=self.loads.requests_at_all(servers.keys),
+            busy=self.loads.total_requests(servers.keys),
             min_busy=min_busy,
             unreported=self.loads.unreported_requests(service),
         )
@@ -321,7 +321,7 @@
             pause,
             self._clock.monotonic(),
             engine=engine,
-            mean_requests=self.loads.requests_at_all(servers.keys)
+            mean_requests=self.loads.total_requests(servers.keys)
             / len(servers),
             max_pause=max_pause,
         )
@@ -419,7 +419,7 @@
         refused = event is retry_policy.AttemptOutcome.NOT_RUN
         return self.retry_budget(service).try_spend(
             self._clock.monotonic(),
-            usable_ratio=_REFUSED_BUDGET_FRACTION if refused else 1.0,
+            budget_fraction=_REFUSED_BUDGET_FRACTION if refused else 1.0,
             peers=self.count_known_peers(),
         )
 
@@ -428,7 +428,7 @@
         self.crash_tracker.drop_expired()
         known = {one.key for one in self.backends.all()}
         self.pool.close_unusable(known)
-        self.loads.keep_only(known)
+        self.loads.retain_only(known)
 
 
 def _cleared_requests(
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -165,7 +165,8 @@
             action = retry_policy.next_action(
                 self._state,
                 event,
-                another=found is not None and self._spend_repeat(event),
+                retry_available=found is not None
+                and self._spend_repeat(event),
             )
             self._log_attempt(event, backend, action)
             if action is not retry_policy.Action.RETRY or found is None:
@@ -231,7 +232,7 @@
             return False
         broke = event is retry_policy.AttemptOutcome.BROKEN
         if not self._edge_state.crash_tracker.may_retry(
-            self._checked, broke=broke
+            self._checked, last_attempt_broke=broke
         ):
             return False
         if not self._state.attempts_sent:
@@ -254,7 +255,7 @@
     async def _finish_unanswered(
         self, action: retry_policy.Action, event: retry_policy.AttemptOutcome
     ) -> None:
-        if action is retry_policy.Action.PASS_ON:
+        if action is retry_policy.Action.RETURN_FAILURE:
             await self._answer_writer.write_held_failure()
         elif action is retry_policy.Action.ABORT_ANSWER:
             raise request_errors.answer_interrupted("the answer broke off")
--- a/src/lugcross/edge/retry_policy.py
+++ b/src/lugcross/edge/retry_policy.py
@@ -35,14 +35,14 @@
     ``RETRY``: send to another backend server.
     ``REFUSE``: tell the caller that it has not run.
     ``REPORT_UNKNOWN``: tell the caller that it may have run.
-    ``PASS_ON``: give the caller the failure as it came.
+    ``RETURN_FAILURE``: give the caller the failure as it came.
     ``ABORT_ANSWER``: break the answer off, visibly.
     """
 
     RETRY = "again"
     REFUSE = "refuse"
     REPORT_UNKNOWN = "unknown"
-    PASS_ON = "pass-on"
+    RETURN_FAILURE = "pass-on"
     ABORT_ANSWER = "cut"
 
 
@@ -92,13 +92,13 @@
 
 
 def next_action(
-    state: RequestState, outcome: AttemptOutcome, *, another: bool
+    state: RequestState, outcome: AttemptOutcome, *, retry_available: bool
 ) -> Action:
     """Return what to do after ``outcome``; ``state`` includes it.
 
-    :param another: whether a backend server and the budget are there.
+    :param retry_available: whether a backend server and the budget are there.
     """
-    if another and may_send(state):
+    if retry_available and may_send(state):
         return Action.RETRY
     return final_action(state, outcome)
 
@@ -108,7 +108,7 @@
     if state.answer_started:
         return Action.ABORT_ANSWER
     if outcome is AttemptOutcome.FAILED:
-        return Action.PASS_ON
+        return Action.RETURN_FAILURE
     # A proof that the last attempt did not run proves nothing of an
     # earlier one, unless running it once more does no harm.
     if state.may_have_run and not state.repeatable:
--- a/src/lugcross/edge/workspace_usage.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -97,7 +97,7 @@
 
     def claim(
         self, service: ids.ServiceName, space: ids.WorkspaceName
-    ) -> shares.WorkspaceUse:
+    ) -> shares.WorkspaceQuota:
         """Return what a workspace has of a service, and may have."""
         sums = self._tally(service).sums()
         workspaces = len(sums) + (space not in sums)
@@ -106,7 +106,7 @@
             for name, weight in self.weights.items()
             if name in sums or name == space
         )
-        return shares.WorkspaceUse(
+        return shares.WorkspaceQuota(
             in_progress=sums.get(space, 0),
             weight=self.weights.get(space, 1.0),
             total_weight=workspaces + extra_weight,
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -337,7 +337,7 @@
 
     def _receive(self, peer: Peer, link: wire.Link, msg: wire.Message) -> None:
         if isinstance(msg, wire.Entries):
-            self._neighbours.on_entries(link, msg.seen)
+            self._neighbours.update_seen(link, msg.seen)
             self._tell_relay(self._neighbours.is_log_relay())
             return
         peer.receive(msg, self._clock.monotonic())
--- a/src/lugcross/membership/host_list_watcher.py
+++ b/src/lugcross/membership/host_list_watcher.py
@@ -19,7 +19,7 @@
 class HostListWatcher:
     """Thread that reads the list now and then.
 
-    :param every_s: time between two reads, in seconds, before jitter.
+    :param interval_s: time between two reads, in seconds, before jitter.
     """
 
     def __init__(
@@ -27,11 +27,11 @@
         hosts: logservice.HostList,
         listener: LeavingNodesListener,
         *,
-        every_s: float,
+        interval_s: float,
     ) -> None:
         self._hosts = hosts
         self._listener = listener
-        self._every_s = every_s
+        self._interval_s = interval_s
         self._stopping = threading.Event()
         self._thread = threading.Thread(
             target=self._run, name="host-watch", daemon=True
@@ -58,7 +58,7 @@
                 # evidence that a leaving host came back.
                 logging.warning("no host list", extra={"why": str(exc)})
             # Jitter keeps the nodes from reading at one moment.
-            self._stopping.wait(self._every_s * random.uniform(0.5, 1.5))
+            self._stopping.wait(self._interval_s * random.uniform(0.5, 1.5))
 
 
 def leaving_node_names(hosts: tuple[logservice.Host, ...]) -> frozenset[str]:
--- a/src/lugcross/membership/log_relays.py
+++ b/src/lugcross/membership/log_relays.py
@@ -28,7 +28,7 @@
         self._domain = domain
         self._seen: dict[Hashable, tuple[wire.Seen, ...]] = {}
 
-    def on_entries(self, link: Hashable, seen: Iterable[wire.Seen]) -> None:
+    def update_seen(self, link: Hashable, seen: Iterable[wire.Seen]) -> None:
         """Take what the agent behind a link sees."""
         self._seen[link] = tuple(seen)
 
--- a/src/lugcross/routing/windowed_retry_budget.py
+++ b/src/lugcross/routing/windowed_retry_budget.py
@@ -59,13 +59,13 @@
         self,
         now: clock_lib.Instant,
         *,
-        usable_ratio: float = 1.0,
+        budget_fraction: float = 1.0,
         peers: int = 0,
     ) -> bool:
         """Take one repeat; tell whether there was one.
 
-        :param usable_ratio: part of the budget that repeats of this sort may
-            use, so that others find some left.
+        :param budget_fraction: fraction of the budget that this kind of retry
+            may use; the rest is reserved for other kinds.
         :param peers: other processes that may exist, heard or not; with
             none known the slack stays untouched, since there may be some.
         """
@@ -75,7 +75,7 @@
         earned = _FREE_RETRIES + self._ratio * len(self._request_times)
         if peers:
             earned += self._slack / (peers + 1)
-        if len(self._retry_times) + 1 > max(1.0, earned * usable_ratio):
+        if len(self._retry_times) + 1 > max(1.0, earned * budget_fraction):
             return False
         self._retry_times.append(now)
         return True
--- a/src/lugcross/shares/dynamic_limit.py
+++ b/src/lugcross/shares/dynamic_limit.py
@@ -30,12 +30,12 @@
 #: of a load that is too much leaves three to five of 70 places idle: 0.854 of
 #: such a day's requests were served, 0.881 with 16, 0.885 with 32 and 0.893
 #: with no limit (two plays each).
-REQUESTS_PER_FREE_PLACE = 16.0
+REQUESTS_PER_FREE_SLOT = 16.0
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class WorkspaceUse:
+class WorkspaceQuota:
     """What one workspace has of a service, and may have.
 
     :param in_progress: its requests in progress, at all processes.
@@ -52,11 +52,11 @@
         """Return its part of ``places`` if all that ask want more."""
         return places * self.weight / self.total_weight
 
-    def may_take_place(self, free_places: float) -> bool:
+    def may_take_slot(self, free_places: float) -> bool:
         """Tell whether it may take one of ``free_places``."""
         return (
             self.in_progress
-            < REQUESTS_PER_FREE_PLACE * self.weight * free_places
+            < REQUESTS_PER_FREE_SLOT * self.weight * free_places
         )
 
     def is_within_share(self, places: float) -> bool:
--- a/src/lugcross/shares/fair_queue.py
+++ b/src/lugcross/shares/fair_queue.py
@@ -21,7 +21,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Ticket:
+class QueuedRequest:
     """One request that waits.
 
     :param cost: estimated work, in tokens.
@@ -59,7 +59,9 @@
         self.flow = _Flow()
         self.virtual_time = 0.0
         self.flows: dict[ids.WorkspaceName, _Flow] = {}
-        self.waiting: dict[ids.WorkspaceName, collections.deque[Ticket]] = {}
+        self.waiting: dict[
+            ids.WorkspaceName, collections.deque[QueuedRequest]
+        ] = {}
 
 
 @final
@@ -73,28 +75,28 @@
         self._weight = weight
         self._virtual_time = 0.0
         self._groups: dict[ids.WorkspaceGroupName, _Group] = {}
-        self._tickets: dict[str, Ticket] = {}
+        self._requests: dict[str, QueuedRequest] = {}
         self.waiting_cost = 0
 
     def __len__(self) -> int:
-        return len(self._tickets)
+        return len(self._requests)
 
-    def push(self, ticket: Ticket) -> None:
-        """Let ``ticket`` wait for its turn."""
-        group = self._groups.setdefault(ticket.group, _Group())
+    def push(self, request: QueuedRequest) -> None:
+        """Let ``request`` wait for its turn."""
+        group = self._groups.setdefault(request.group, _Group())
         if not group.waiting:
             group.flow.activate(self._virtual_time)
-        flow = group.flows.setdefault(ticket.workspace, _Flow())
-        line = group.waiting.get(ticket.workspace)
+        flow = group.flows.setdefault(request.workspace, _Flow())
+        line = group.waiting.get(request.workspace)
         if line is None:
             flow.activate(group.virtual_time)
-            line = group.waiting[ticket.workspace] = collections.deque()
-        line.append(ticket)
-        self._tickets[ticket.uid] = ticket
-        self.waiting_cost += ticket.cost
+            line = group.waiting[request.workspace] = collections.deque()
+        line.append(request)
+        self._requests[request.uid] = request
+        self.waiting_cost += request.cost
 
-    def pop(self) -> Ticket | None:
-        """Take the ticket whose turn it is and charge its estimate."""
+    def pop(self) -> QueuedRequest | None:
+        """Take the request whose turn it is and charge its estimate."""
         name = min(
             (name for name, group in self._groups.items() if group.waiting),
             key=lambda name: self._groups[name].flow.start_tag,
@@ -106,44 +108,44 @@
         space = min(
             group.waiting, key=lambda name: group.flows[name].start_tag
         )
-        ticket = group.waiting[space][0]
+        request = group.waiting[space][0]
         self._virtual_time = group.flow.start_tag
         group.virtual_time = group.flows[space].start_tag
-        group.flow.charge(ticket.cost / self._weight(name))
-        group.flows[space].charge(float(ticket.cost))
-        self._remove(ticket)
-        return ticket
+        group.flow.charge(request.cost / self._weight(name))
+        group.flows[space].charge(float(request.cost))
+        self._remove(request)
+        return request
 
     def remove(self, uid: str) -> bool:
-        """Take back a ticket; tell whether it was still waiting."""
-        ticket = self._tickets.get(uid)
-        if ticket is None:
+        """Take back a request; tell whether it was still waiting."""
+        request = self._requests.get(uid)
+        if request is None:
             return False
-        self._remove(ticket)
+        self._remove(request)
         return True
 
-    def correct_charge(self, ticket: Ticket, used: int) -> None:
-        """Correct the charge of a taken ticket to what it really used.
+    def correct_charge(self, request: QueuedRequest, used: int) -> None:
+        """Correct the charge of a taken request to what it really used.
 
         :param used: work done, in tokens.
         """
-        group = self._groups.get(ticket.group)
+        group = self._groups.get(request.group)
         if group is None:
             return
-        error = used - ticket.cost
-        _adjust(group.flow, error / self._weight(ticket.group), group.waiting)
-        flow = group.flows.get(ticket.workspace)
+        error = used - request.cost
+        _adjust(group.flow, error / self._weight(request.group), group.waiting)
+        flow = group.flows.get(request.workspace)
         if flow is not None:
-            _adjust(flow, float(error), ticket.workspace in group.waiting)
-
-    def _remove(self, ticket: Ticket) -> None:
-        del self._tickets[ticket.uid]
-        self.waiting_cost -= ticket.cost
-        group = self._groups[ticket.group]
-        line = group.waiting[ticket.workspace]
-        line.remove(ticket)
+            _adjust(flow, float(error), request.workspace in group.waiting)
+
+    def _remove(self, request: QueuedRequest) -> None:
+        del self._requests[request.uid]
+        self.waiting_cost -= request.cost
+        group = self._groups[request.group]
+        line = group.waiting[request.workspace]
+        line.remove(request)
         if not line:
-            del group.waiting[ticket.workspace]
+            del group.waiting[request.workspace]
 
 
 def _adjust(flow: _Flow, amount: float, backlogged: object) -> None:
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -271,8 +271,8 @@
         found = []
         for name in live:
             near = membership.SeenEntryHosts(name, domain)
-            near.on_entries("l1", [seen(one) for one in live[:4]])
-            near.on_entries("l2", [seen(one) for one in live[2:]])
+            near.update_seen("l1", [seen(one) for one in live[:4]])
+            near.update_seen("l2", [seen(one) for one in live[2:]])
             if near.is_log_relay():
                 found.append(name)
         return found
--- a/testing/edge/test_crashing_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -195,7 +195,9 @@
             killed = sum(fault is _kill for fault, _ in pair)
             at_large = 1 if cut else 0
             assert len(others) <= 3 + killed + at_large, pair
-            late = fleet.sends_after_third_crash(CRASHING_BODY, leave_out=cut)
+            late = fleet.sends_after_third_crash(
+                CRASHING_BODY, exclude_nodes=cut
+            )
             assert late <= at_large, pair
             ends = fleet.crash_times(CRASHING_BODY)
             since = ends[2] + CONTACT_S if len(ends) > 2 else math.inf
--- a/testing/edge/test_retry_policy.py
+++ b/testing/edge/test_retry_policy.py
@@ -29,7 +29,7 @@
     for event in events:
         used.append(event)
         state = retry_policy.state_after(state, event)
-        action = retry_policy.next_action(state, event, another=True)
+        action = retry_policy.next_action(state, event, retry_available=True)
         if action is not retry_policy.Action.RETRY:
             return state, action, used
     return state, None, used
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -105,9 +105,9 @@
     st.floats(0.5, 4.0),
 )
 def test_who_may_have_one_more_may_have_fewer(use, room, weight):
-    claim = shares.WorkspaceUse(in_progress=use, weight=weight)
-    less = shares.WorkspaceUse(in_progress=max(0, use - 1), weight=weight)
-    assert less.may_take_place(room) or not claim.may_take_place(room)
+    claim = shares.WorkspaceQuota(in_progress=use, weight=weight)
+    less = shares.WorkspaceQuota(in_progress=max(0, use - 1), weight=weight)
+    assert less.may_take_slot(room) or not claim.may_take_slot(room)
 
 
 @given(
@@ -116,7 +116,7 @@
 )
 def test_shares_of_all_that_ask_make_up_the_whole(weights, places):
     parts = [
-        shares.WorkspaceUse(
+        shares.WorkspaceQuota(
             in_progress=0, weight=one, total_weight=sum(weights)
         ).fair_share(places)
         for one in weights
@@ -183,8 +183,8 @@
 
 
 def test_workspace_below_its_share_goes_past_what_is_full_up_to_the_slots():
-    below = shares.WorkspaceUse(in_progress=1, total_weight=10.0)
-    over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
+    below = shares.WorkspaceQuota(in_progress=1, total_weight=10.0)
+    over = shares.WorkspaceQuota(in_progress=40, total_weight=10.0)
     full = _load_snapshot(64)
     assert admission.refusal_reason(full, 4.0, _requester(claim=below)) is None
     assert admission.refusal_reason(full, 4.0, _requester(claim=over))
@@ -193,7 +193,7 @@
 
 
 def test_refusal_tells_a_surge_from_a_full_service():
-    over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
+    over = shares.WorkspaceQuota(in_progress=40, total_weight=10.0)
     assert "its workspace" in (
         admission.refusal_reason(
             _load_snapshot(62), 4.0, _requester(claim=over)
--- a/testing/routing/test_windowed_retry_budget.py
+++ b/testing/routing/test_windowed_retry_budget.py
@@ -97,7 +97,7 @@
     )
     now = datetime.timedelta()
     refused = sum(
-        budget.try_spend(now, usable_ratio=0.5, peers=3) for _ in range(99)
+        budget.try_spend(now, budget_fraction=0.5, peers=3) for _ in range(99)
     )
     broken = sum(budget.try_spend(now, peers=3) for _ in range(99))
     assert refused >= 1
--- a/testing/shares/test_fair_queue.py
+++ b/testing/shares/test_fair_queue.py
@@ -13,8 +13,8 @@
 
 def ticket(
     uid: object, group: str, cost: int = 10, workspace: str = "w"
-) -> shares.Ticket:
-    return shares.Ticket(
+) -> shares.QueuedRequest:
+    return shares.QueuedRequest(
         uid=str(uid),
         group=ids.WorkspaceGroupName(group),
         workspace=ids.WorkspaceName(workspace),
@@ -111,7 +111,7 @@
     ops: list[tuple[str, str, int]],
 ) -> None:
     queue = shares.FairQueue(lambda group: WEIGHTS[group])
-    waiting: dict[str, shares.Ticket] = {}
+    waiting: dict[str, shares.QueuedRequest] = {}
     for num, (op, group, cost) in enumerate(ops):
         if op == "push":
             waiting[str(num)] = ticket(num, group, cost)
--- a/testing/support/crash_rig.py
+++ b/testing/support/crash_rig.py
@@ -378,33 +378,33 @@
             task.cancel()
 
     def crash_times(
-        self, body: bytes, *, leave_out: Collection[str] = ()
+        self, body: bytes, *, exclude_nodes: Collection[str] = ()
     ) -> list[float]:
         """Return when servers ended under a request, first one first.
 
-        :param leave_out: processes whose sends do not count.
+        :param exclude_nodes: processes whose sends do not count.
         """
         ran = {
             one.server
             for one in self.sends
-            if one.body == body and one.node not in leave_out
+            if one.body == body and one.node not in exclude_nodes
         }
         return [at for at, name in self.crashes if name in ran]
 
     def sends_after_third_crash(
-        self, body: bytes, *, leave_out: Collection[str] = ()
+        self, body: bytes, *, exclude_nodes: Collection[str] = ()
     ) -> int:
         """Return its sends later than the bound after its third end.
 
-        :param leave_out: processes whose sends do not count.
+        :param exclude_nodes: processes whose sends do not count.
         """
-        ends = self.crash_times(body, leave_out=leave_out)
+        ends = self.crash_times(body, exclude_nodes=exclude_nodes)
         if len(ends) < 3:
             return 0
         contact: datetime.timedelta = edge_rig.BOUNDS.contact
         since = ends[2] + contact.total_seconds()
         return sum(
-            one.at > since and one.node not in leave_out
+            one.at > since and one.node not in exclude_nodes
             for one in self.sends
             if one.body == body
         )
