--- a/src/lugcross/routing/__init__.py
+++ b/src/lugcross/routing/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where a request goes, and whether it may go again."""
+"""Backend server selection, health tracking and retry budgets."""
 
 from lugcross.routing.backend_choice import BackendChoice
 from lugcross.routing.backend_choice import Candidate
--- a/src/lugcross/routing/backend_choice.py
+++ b/src/lugcross/routing/backend_choice.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Choice of the backend server for one request.
+"""Selection of the backend server for one request.
 
-Power of two choices, because the load that is known is old: always
-taking the least known load would send every entry host to one place.
+Uses the power of two choices. Load reports are stale, so if every entry
+host picked the server with the lowest reported load, they would all send
+to the same one.
 """
 
 from collections.abc import Collection
@@ -13,22 +14,26 @@
 
 from lugcross import ids
 
-#: Load that a request to another failure domain must save to be worth
-#: its way, as a part of a backend server's capacity.
+#: Penalty added to the load of servers in other failure domains, as a
+#: fraction of a server's capacity.
 OTHER_DOMAIN_COST_RATIO = 0.5
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Candidate:
-    """What is known of one backend server.
-
-    :param reported_requests: requests queued and running there when it
-        last told.
-    :param sent_since_report: requests sent there since.
-    :param ejected: it failed lately; used only if too few are left.
-    :param step_ms: time of its engine's last steps; 0 if not known. The
-        slowest rank of a group decides it, so a stalled rank shows.
+    """A backend server with its last known load.
+
+    :param usable: whether requests may be sent to it at all.
+    :param reported_requests: requests queued and running there according
+        to its last report.
+    :param sent_since_report: requests this entry host has sent there since
+        that report.
+    :param capacity: requests that it runs at once.
+    :param ejected: whether it failed recently; ejected servers are used
+        only if too few others are left.
+    :param step_ms: duration of its engine's recent steps; 0 if unknown. The
+        slowest rank of a group determines it, so it reveals a stalled rank.
     """
 
     name: ids.BackendName
@@ -42,7 +47,7 @@
 
     @property
     def load(self) -> float:
-        """Requests per slot, as far as known."""
+        """Known requests per slot."""
         return (self.reported_requests + self.sent_since_report) / max(
             1, self.capacity
         )
@@ -51,7 +56,7 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class BackendChoice:
-    """The backend server chosen, and the others that were looked at."""
+    """The backend server chosen, and all candidates compared for it."""
 
     best: Candidate
     considered: tuple[Candidate, ...]
@@ -64,10 +69,11 @@
     tried: Collection[ids.BackendName],
     rng: random.Random,
 ) -> BackendChoice | None:
-    """Choose where to send a request; none if no place is usable.
+    """Return the server to send a request to, or None if none is usable.
 
-    :param home: failure domain of this entry host; preferred.
-    :param tried: backend servers that refused this request before.
+    :param home: failure domain of this entry host; its servers are
+        preferred.
+    :param tried: backend servers that already refused this request.
     """
     usable = _without_ejected(
         [c for c in candidates if c.usable and c.name not in tried]
@@ -90,10 +96,10 @@
 
 
 def _without_ejected(usable: list[Candidate]) -> list[Candidate]:
-    """Leave out ejected ones, unless that would leave under half.
+    """Return the servers not ejected, or all if fewer than half remain.
 
-    When most seem to fail the fault is likely here or common to all,
-    and the rest would only be overrun.
+    If most servers seem to fail, the cause is probably this host or common
+    to all of them, and the remaining few would only be overloaded.
     """
     healthy = [c for c in usable if not c.ejected]
     return healthy if 2 * len(healthy) >= len(usable) else usable
@@ -101,9 +107,9 @@
 
 def _cost(candidate: Candidate, home: ids.DomainName, fastest: float) -> float:
     known = candidate.step_ms and fastest
-    pace = candidate.step_ms / fastest if known else 1.0
+    slowdown = candidate.step_ms / fastest if known else 1.0
     remote = candidate.domain != home
-    # One more than is there: an idle slow engine is still slow.
-    return (candidate.load + 1.0) * pace + (
+    # Add one so that a slow engine costs more even when it is idle.
+    return (candidate.load + 1.0) * slowdown + (
         OTHER_DOMAIN_COST_RATIO if remote else 0.0
     )
--- a/src/lugcross/routing/health.py
+++ b/src/lugcross/routing/health.py
@@ -1,30 +1,29 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Ejection of a failing backend server, and its careful return."""
+"""Passive health checks: ejection of backend servers and recovery probes."""
 
 import datetime
 from typing import final
 
 from lugcross import clock as clock_lib
 
-#: Faults in a row after which a backend server is ejected.
+#: Consecutive failures after which a backend server is ejected.
 FAULTS_TO_EJECT = 3
-#: Time of a first ejection; each further one takes twice as long.
+#: Duration of the first ejection; doubled for each further one.
 FIRST_EJECTION = datetime.timedelta(seconds=1)
-#: Longest ejection.
 MAX_EJECTION = datetime.timedelta(seconds=30)
-#: Time for which a server is left alone once it has turned a request away;
-#: each time in a row takes twice as long. A full one soon has a place again.
+#: Time for which a server gets no requests after it refused one; doubled for
+#: each consecutive refusal. Short, since a full server soon has a free slot.
 FIRST_REFUSAL_PAUSE = datetime.timedelta(milliseconds=100)
-#: Longest such time: it may take requests again unnoticed for as long.
+#: A server that accepts requests again may stay unused for this long.
 MAX_REFUSAL_PAUSE = datetime.timedelta(milliseconds=800)
 
 
 @final
 class BackendHealth:
-    """What one entry host has seen of one backend server.
+    """Health of one backend server as observed by this process.
 
-    After an ejection one request is let through; its end decides
-    whether the backend server is back.
+    Once an ejection, backoff or refusal pause is over, one request is sent
+    as a probe. Its outcome decides whether the server is used again.
     """
 
     def __init__(self) -> None:
@@ -36,22 +35,26 @@
         self._next_refusal_pause = FIRST_REFUSAL_PAUSE
 
     def is_ejected(self, now: clock_lib.Instant) -> bool:
-        """Tell whether requests should go elsewhere."""
+        """Return whether requests should go to other servers.
+
+        This is so during an ejection, a backoff or a pause after a refusal,
+        and until the probe that follows has ended.
+        """
         if self._avoided_until is None:
             return False
         return now < self._avoided_until or self._probing
 
     @property
     def on_probation(self) -> bool:
-        """Whether it was left alone and has answered nothing since."""
+        """Whether it was avoided and has not answered a request since."""
         return self._avoided_until is not None
 
     def record_backoff(self, until: clock_lib.Instant) -> None:
-        """Note that it wants no requests for a while.
+        """Record that the server asked for no requests until ``until``.
 
-        That is no fault, but it is tried as carefully afterwards: what a
-        server turns away at once would otherwise draw requests again, since
-        it looks idle.
+        This is not a failure, but the server is probed afterwards all the
+        same: a server that refuses at once looks idle and would otherwise
+        attract requests again.
         """
         self._avoided_until = (
             until
@@ -62,10 +65,10 @@
         self._backed_off = True
 
     def record_refusal(self, now: clock_lib.Instant) -> None:
-        """Note that it has turned a request away without running it.
+        """Record that the server refused a request without running it.
 
-        That is no fault, but what refuses within milliseconds looks idle: of
-        16 servers six that turned everything away got 384 of 600 attempts.
+        This is not a failure, but a server that refuses within milliseconds
+        looks idle and would attract most of the load.
         """
         self._probing = False
         until = now + self._next_refusal_pause
@@ -79,23 +82,25 @@
         )
 
     def is_probing_after_backoff(self) -> bool:
-        """Tell whether one request is finding out whether it has rested.
+        """Return whether the probe after a backoff is still in progress.
 
-        Until then it gets no other, also where there is no other server: all
-        that waited for its rest to end would reach it at once.
+        Until it ends the server gets no other request, even if there is no
+        other server: all requests that waited for the end of the backoff
+        would reach it at once.
         """
         return self._backed_off and self._probing
 
     def record_sent(self, now: clock_lib.Instant) -> None:
-        """Note that a request was sent."""
+        """Record that a request was sent; it may become the probe."""
         if self._avoided_until is not None and now >= self._avoided_until:
             self._probing = True
 
     def record_answer_started(self) -> None:
-        """Note that it has begun to answer: it takes requests again.
+        """Record that an answer has started, which ends a backoff or pause.
 
-        A stream goes on for seconds, in which a server that has rested would
-        get no other request. Whether it fails shows at the end only.
+        A stream may take seconds; waiting for its end would keep a server
+        that accepts requests again unused. An ejection for failures ends
+        only with a complete answer.
         """
         if self._consecutive_faults < FAULTS_TO_EJECT:
             self._avoided_until = None
@@ -104,7 +109,7 @@
             self._next_refusal_pause = FIRST_REFUSAL_PAUSE
 
     def record_success(self) -> None:
-        """Note that a request got its answer."""
+        """Record that a request was answered completely."""
         self._consecutive_faults = 0
         self._next_ejection = FIRST_EJECTION
         self._avoided_until = None
@@ -113,18 +118,21 @@
         self._next_refusal_pause = FIRST_REFUSAL_PAUSE
 
     def record_no_result(self) -> None:
-        """Note that a request ended without telling anything."""
+        """Record that a request ended without showing success or failure.
+
+        If it was the probe, the next request becomes one.
+        """
         self._probing = False
 
     def record_failure(self, now: clock_lib.Instant) -> bool:
-        """Note a fault; tell whether it leads to an ejection."""
+        """Record a failure; return whether it ejects the server."""
         self._backed_off = False
         self._consecutive_faults += 1
         if self._consecutive_faults < FAULTS_TO_EJECT and not self._probing:
             return False
         if self._avoided_until is not None and now < self._avoided_until:
-            # Faults of requests that were under way already: one
-            # outage must not count as many.
+            # The request was already in progress when the server was
+            # ejected: one outage must not count several times.
             return False
         self._avoided_until = now + self._next_ejection
         self._next_ejection = min(self._next_ejection * 2, MAX_EJECTION)
--- a/src/lugcross/routing/key_affinity.py
+++ b/src/lugcross/routing/key_affinity.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Order in which backend servers are asked to run a keyed request."""
+"""Order in which backend servers are tried for an idempotency key."""
 
 from lugcross import cfg
 from lugcross import ids
@@ -12,10 +12,11 @@
     service: ids.ServiceName,
     key: ids.IdempotencyKey,
 ) -> list[ids.BackendName]:
-    """Return the service's backend servers, the key's first one first.
+    """Return the service's backend servers in order of preference.
 
-    A repeat goes where the answer is likely kept. The order is only a
-    preference: the claim in the log decides who may run it.
+    A retry with the same key thus reaches the server that probably still has
+    the answer. The order is only a preference: the claim in the log decides
+    which server may run the request.
     """
     backends = config.by_service.get(service, ())
     return rendezvous_hashing.rendezvous_order(
--- a/src/lugcross/routing/rendezvous_hashing.py
+++ b/src/lugcross/routing/rendezvous_hashing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Rendezvous hashing: who is first for a key, alike on every node."""
+"""Rendezvous (highest random weight) hashing; same result on every node."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -10,15 +10,15 @@
 
 
 def rendezvous_order(key: str, names: Iterable[_Name]) -> list[_Name]:
-    """Return ``names``, best first for ``key``.
+    """Return ``names`` by descending score for ``key``.
 
-    When a name goes, only the keys that it was best for move.
+    When a name is removed, only the keys that it came first for move.
     """
     return sorted(names, key=lambda name: (-_score(key, name), name))
 
 
 def rendezvous_first(key: str, names: Iterable[_Name]) -> _Name | None:
-    """Return the best of ``names`` for ``key``, if there are any."""
+    """Return the name with the highest score, or None if there are none."""
     return max(names, key=lambda name: (_score(key, name), name), default=None)
 
 
--- a/src/lugcross/routing/retry_budget.py
+++ b/src/lugcross/routing/retry_budget.py
@@ -1,18 +1,22 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Retry budget: retries may add only a part to the load."""
+"""Retry budget: limits retries to a fraction of all requests."""
 
 import threading
 from typing import final
 
 #: Retries earned by each request.
 RETRY_RATIO = 0.1
-#: Retries that can be saved up; also what there is at the start.
+#: Retries that can be saved up; also the initial balance.
 MAX_SAVED_RETRIES = 10.0
 
 
 @final
 class RetryBudget:
-    """Budget of one service at one entry host."""
+    """Retry budget of one service on one entry host (a token bucket).
+
+    :param ratio: retries earned by each request.
+    :param max_saved: retries that can be saved up.
+    """
 
     def __init__(
         self,
@@ -26,14 +30,14 @@
         self._lock = threading.Lock()
 
     def record_request(self) -> None:
-        """Note one request of a caller."""
+        """Credit the budget for one request from a caller."""
         with self._lock:
             self._available = min(
                 self._max_saved, self._available + self._ratio
             )
 
     def try_spend(self) -> bool:
-        """Take one retry; tell whether there was one."""
+        """Take one retry from the budget; return False if there is none."""
         with self._lock:
             if self._available < 1.0:
                 return False
--- a/src/lugcross/routing/windowed_retry_budget.py
+++ b/src/lugcross/routing/windowed_retry_budget.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Repeat budget over a sliding window, kept without asking anyone.
+"""Retry budget over a sliding window, without coordination.
 
-Every process spends what its own requests have earned, and its part of
-what is allowed beyond. The sum over all processes then stays within the
-bound, whichever of them can be reached.
+Each process spends the retries that its own requests have earned, plus its
+part of a fixed allowance for the whole fleet. The sum over all processes
+therefore stays within the limit, even while they cannot reach each other.
 """
 
 import collections
@@ -12,24 +12,26 @@
 
 from lugcross import clock as clock_lib
 
-#: Part of the allowed ratio that is spent. The rest covers what is in
-#: flight at a window's edges, where requests and repeats fall apart.
+#: Fraction of the allowed ratio that is spent. The rest is a margin for the
+#: edges of a window, where a request and its retry may fall into different
+#: windows.
 _SPENT_RATIO = 0.8
-#: Part of the slack that is spent; processes that start or that nobody
-#: has heard of yet share in it too.
+#: Fraction of the slack that is spent. The rest is left for processes that
+#: have just started or are not known yet.
 _SLACK_RATIO = 0.5
-#: Repeats that a process may send in a window before it has earned any:
-#: a lost connection of its first requests must not fail them.
+#: Retries per window that need not be earned, so that a lost connection does
+#: not fail the first requests of a process.
 _FREE_RETRIES = 1
 
 
 @final
 class WindowedRetryBudget:
-    """Repeats of one service from one process.
+    """Retry budget of one service in one process.
 
-    :param ratio: repeats allowed for each request.
+    :param ratio: retries allowed per request.
     :param window_s: length of the window, in seconds.
-    :param slack: repeats allowed beyond, to all processes together.
+    :param slack: further retries per window allowed to all processes
+        together.
     """
 
     def __init__(
@@ -46,13 +48,13 @@
     def configure(
         self, *, ratio: float, window_s: float, slack: float
     ) -> None:
-        """Change what is allowed; what was spent stays counted."""
+        """Change the limits; retries already sent still count."""
         self._slack = slack * _SLACK_RATIO
         self._ratio = ratio * _SPENT_RATIO
         self._window = datetime.timedelta(seconds=window_s)
 
     def record_request(self, now: clock_lib.Instant) -> None:
-        """Note one request of a caller."""
+        """Record one request from a caller."""
         self._request_times.append(now)
 
     def try_spend(
@@ -62,16 +64,17 @@
         budget_fraction: float = 1.0,
         peers: int = 0,
     ) -> bool:
-        """Take one repeat; tell whether there was one.
+        """Take one retry from the budget; return False if there is none.
 
         :param budget_fraction: fraction of the budget that this kind of retry
             may use; the rest is reserved for other kinds.
-        :param peers: other processes that may exist, heard or not; with
-            none known the slack stays untouched, since there may be some.
+        :param peers: other processes that may exist, reachable or not. If
+            none are known, no slack is used, since the process may merely
+            not have heard of them.
         """
-        for moments in (self._request_times, self._retry_times):
-            while moments and now - moments[0] > self._window:
-                moments.popleft()
+        for times in (self._request_times, self._retry_times):
+            while times and now - times[0] > self._window:
+                times.popleft()
         earned = _FREE_RETRIES + self._ratio * len(self._request_times)
         if peers:
             earned += self._slack / (peers + 1)
--- a/src/lugcross/shares/__init__.py
+++ b/src/lugcross/shares/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Fair shares between rival workspaces and their groups."""
+"""Fair sharing of backend servers between workspaces and their groups."""
 
 from lugcross.shares.dynamic_limit import WorkspaceQuota
 from lugcross.shares.fair_queue import FairQueue
--- a/src/lugcross/shares/dynamic_limit.py
+++ b/src/lugcross/shares/dynamic_limit.py
@@ -1,20 +1,22 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How much of a full service one workspace may take from the others.
+"""Dynamic limit on the requests one workspace may have in progress.
 
-Load pattern: one workspace sends many times its usual for some seconds. If
-whoever comes first gets a place, its requests take every place that comes
-free, and those of all others are refused with it.
+Without a limit, a workspace that suddenly sends many times its usual load
+takes every slot that becomes free, and the requests of all other workspaces
+are refused along with its own.
 
-A workspace may have as many requests in progress as a few times the places
-that are still free. Where one wants all that there is, it leaves one part in
-17 free for the others; where several do, they end up with equally many; and
-what nobody else uses goes to whoever wants it. As others take more, the limit
-falls at once, and the places come back as answers end. Nobody needs to know
-who is how busy but the workspace's own use and the free places, so that
-processes with old news of each other still agree well enough.
+The limit of a workspace is a multiple of the number of free slots. A single
+workspace that wants everything leaves one slot in 17 free for the others;
+several such workspaces end up with equal parts; and slots that nobody else
+uses are available to whichever workspace wants them. When the others take
+more, the limit drops at once, and the excess drains as answers end. The
+decision needs only the workspace's own requests in progress and the number of
+free slots, so processes with outdated reports of each other still agree well
+enough.
 
-A request holds its place for as many passes as it writes events: places held
-are the work that counts, and reading a prompt is a hundredth of it.
+Requests in progress are a good measure of work: a request occupies its slot
+for as many engine passes as it writes events, while reading the prompt takes
+about a hundredth of that.
 
 Source: A. Choudhury, E. Hahne, "Dynamic Queue Length Thresholds for
 Shared-Memory Packet Switches", 1998.
@@ -23,42 +25,41 @@
 import dataclasses
 from typing import final
 
-#: Requests that a workspace of weight 1 may have in progress for each free
-#: place. Of a surge to 7.5 times the usual, seven processes in virtual time
-#: served the others 0.98 of the time with 16 as with 8, 0.97 with 32, and 0.50
-#: with no limit (means of three seeds). With 8 a workspace that has a third
-#: of a load that is too much leaves three to five of 70 places idle: 0.854 of
-#: such a day's requests were served, 0.881 with 16, 0.885 with 32 and 0.893
-#: with no limit (two plays each).
+#: Requests that a workspace of weight 1 may have in progress per free slot.
+#: A smaller value leaves more slots idle under overload; a larger one protects
+#: other workspaces less during a surge.
 REQUESTS_PER_FREE_SLOT = 16.0
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WorkspaceQuota:
-    """What one workspace has of a service, and may have.
+    """Use of a service by one workspace, and the limits that apply to it.
 
-    :param in_progress: its requests in progress, at all processes.
-    :param weight: its weight; 1 unless settings say otherwise.
+    :param in_progress: its requests in progress in all edge processes.
+    :param weight: its weight; 1 unless set otherwise in the settings.
     :param total_weight: sum of the weights of all workspaces with requests in
-        progress, this one included.
+        progress, including this one.
     """
 
     in_progress: int
     weight: float = 1.0
     total_weight: float = 1.0
 
-    def fair_share(self, places: float) -> float:
-        """Return its part of ``places`` if all that ask want more."""
-        return places * self.weight / self.total_weight
+    def fair_share(self, capacity: float) -> float:
+        """Return its part of ``capacity``, by weight of active workspaces.
 
-    def may_take_slot(self, free_places: float) -> bool:
-        """Tell whether it may take one of ``free_places``."""
+        :param capacity: requests that the service may run at once.
+        """
+        return capacity * self.weight / self.total_weight
+
+    def may_take_slot(self, free_slots: float) -> bool:
+        """Return whether it is below its limit, given ``free_slots``."""
         return (
             self.in_progress
-            < REQUESTS_PER_FREE_SLOT * self.weight * free_places
+            < REQUESTS_PER_FREE_SLOT * self.weight * free_slots
         )
 
-    def is_within_share(self, places: float) -> bool:
-        """Tell whether one more request is within its share."""
-        return self.in_progress + 1 <= self.fair_share(places)
+    def is_within_share(self, capacity: float) -> bool:
+        """Return whether one more request fits its fair share."""
+        return self.in_progress + 1 <= self.fair_share(capacity)
--- a/src/lugcross/shares/fair_queue.py
+++ b/src/lugcross/shares/fair_queue.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Fair queue of one backend server: shares between groups, in tokens.
+"""Fair queue of one backend server, with shares measured in tokens.
 
-Start-time fair queueing on two levels: workspace groups by their share,
-and the workspaces of a group evenly. Work is charged with its estimate
-when it is taken and corrected when its true cost is known.
+Hierarchical start-time fair queueing: workspace groups are served by weight,
+and the workspaces within a group evenly. A request is charged its estimated
+cost when it leaves the queue; the charge is corrected once the actual cost is
+known.
 
 Source: P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queueing", 1996.
 """
@@ -22,9 +23,9 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class QueuedRequest:
-    """One request that waits.
+    """A request in a :class:`FairQueue`.
 
-    :param cost: estimated work, in tokens.
+    :param cost: estimated cost, in tokens.
     """
 
     uid: str
@@ -35,15 +36,19 @@
 
 @final
 class _Flow:
-    """Tags of one group or workspace in the virtual time of its level."""
+    """Scheduling state of one group, or of one workspace in its group.
+
+    :ivar start_tag: virtual start time of its next request.
+    :ivar pending_charge: correction to apply when it next becomes active.
+    """
 
     def __init__(self) -> None:
         self.start_tag = 0.0
         self.pending_charge = 0.0
 
     def activate(self, virtual_time: float) -> None:
-        # Idle time earns no credit, or a group that wakes could starve
-        # the others; a debt still open is paid first.
+        # Idle time earns no credit, otherwise a flow that becomes active
+        # again could starve the others. An outstanding charge is applied.
         self.start_tag = (
             max(self.start_tag, virtual_time) + self.pending_charge
         )
@@ -66,9 +71,10 @@
 
 @final
 class FairQueue:
-    """Order in which the requests of rival groups are taken.
+    """Queue that serves competing workspace groups in proportion to weight.
 
-    :param weight: the configured share of a group.
+    :param weight: returns the configured weight of a group.
+    :ivar waiting_cost: total estimated cost of all queued requests, in tokens.
     """
 
     def __init__(self, weight: GroupWeight) -> None:
@@ -82,21 +88,24 @@
         return len(self._requests)
 
     def push(self, request: QueuedRequest) -> None:
-        """Let ``request`` wait for its turn."""
+        """Add a request."""
         group = self._groups.setdefault(request.group, _Group())
         if not group.waiting:
             group.flow.activate(self._virtual_time)
         flow = group.flows.setdefault(request.workspace, _Flow())
-        line = group.waiting.get(request.workspace)
-        if line is None:
+        fifo = group.waiting.get(request.workspace)
+        if fifo is None:
             flow.activate(group.virtual_time)
-            line = group.waiting[request.workspace] = collections.deque()
-        line.append(request)
+            fifo = group.waiting[request.workspace] = collections.deque()
+        fifo.append(request)
         self._requests[request.uid] = request
         self.waiting_cost += request.cost
 
     def pop(self) -> QueuedRequest | None:
-        """Take the request whose turn it is and charge its estimate."""
+        """Remove and return the next request and charge its estimated cost.
+
+        Returns None if the queue is empty.
+        """
         name = min(
             (name for name, group in self._groups.items() if group.waiting),
             key=lambda name: self._groups[name].flow.start_tag,
@@ -105,19 +114,19 @@
         if name is None:
             return None
         group = self._groups[name]
-        space = min(
+        workspace = min(
             group.waiting, key=lambda name: group.flows[name].start_tag
         )
-        request = group.waiting[space][0]
+        request = group.waiting[workspace][0]
         self._virtual_time = group.flow.start_tag
-        group.virtual_time = group.flows[space].start_tag
+        group.virtual_time = group.flows[workspace].start_tag
         group.flow.charge(request.cost / self._weight(name))
-        group.flows[space].charge(float(request.cost))
+        group.flows[workspace].charge(float(request.cost))
         self._remove(request)
         return request
 
     def remove(self, uid: str) -> bool:
-        """Take back a request; tell whether it was still waiting."""
+        """Remove a request by id; return whether it was still queued."""
         request = self._requests.get(uid)
         if request is None:
             return False
@@ -125,9 +134,9 @@
         return True
 
     def correct_charge(self, request: QueuedRequest, used: int) -> None:
-        """Correct the charge of a taken request to what it really used.
+        """Replace the estimated charge of a dequeued request by its cost.
 
-        :param used: work done, in tokens.
+        :param used: actual cost, in tokens.
         """
         group = self._groups.get(request.group)
         if group is None:
@@ -142,9 +151,9 @@
         del self._requests[request.uid]
         self.waiting_cost -= request.cost
         group = self._groups[request.group]
-        line = group.waiting[request.workspace]
-        line.remove(request)
-        if not line:
+        fifo = group.waiting[request.workspace]
+        fifo.remove(request)
+        if not fifo:
             del group.waiting[request.workspace]
 
 
@@ -152,6 +161,6 @@
     if backlogged:
         flow.charge(amount)
     else:
-        # Kept until it wakes: short requests sent one by one would
-        # otherwise escape the correction.
+        # Applied when the flow becomes active again. Otherwise a caller that
+        # sends one request at a time would never be charged the correction.
         flow.pending_charge = max(0.0, flow.pending_charge + amount)
