--- a/src/lugcross/crash_suspects/__init__.py
+++ b/src/lugcross/crash_suspects/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Requests that end the backend servers that run them."""
+"""Detection of requests that crash the backend servers that run them."""
 
 from lugcross.crash_suspects.assignment import assign_server
 from lugcross.crash_suspects.fingerprint import Fingerprint
--- a/src/lugcross/crash_suspects/assignment.py
+++ b/src/lugcross/crash_suspects/assignment.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which server tries a suspect, alike at every process.
+"""Deterministic assignment of crash suspects to servers.
 
-Suspects of the same two ends are tried once more, each at a server of its
-own: whichever of those ends, tells the one request to blame. Copies of one
-suspect that come to several processes at once meet at one server, so that they
-end one and not several.
+Requests suspected of the same two crashes are each tried once more on a
+server of their own, so that the next crash identifies the one to blame. All
+processes compute the same assignment: copies of one suspect that arrive at
+several processes at once run on the same server and crash only that one.
 """
 
 from collections.abc import Collection
@@ -19,16 +19,16 @@
     other_suspects: Collection[fingerprint.Fingerprint],
     servers: Sequence[str],
 ) -> str | None:
-    """Return the server of ``servers`` that a suspect should go to.
+    """Return the server to run a suspect on, or None if there is none.
 
-    :param other_suspects: other suspects with as much against them, which
-        get a server of their own as long as there are any.
+    :param other_suspects: suspects of the same crashes, each of which gets a
+        different server as long as there are enough.
     """
     free = list(servers)
-    for one in sorted({*other_suspects, request}):
-        found = routing.rendezvous_first(one.hex(), free or servers)
-        if one == request:
-            return found
-        if found in free:
-            free.remove(found)
+    for suspect in sorted({*other_suspects, request}):
+        server = routing.rendezvous_first(suspect.hex(), free or servers)
+        if suspect == request:
+            return server
+        if server in free:
+            free.remove(server)
     return None
--- a/src/lugcross/crash_suspects/fingerprint.py
+++ b/src/lugcross/crash_suspects/fingerprint.py
@@ -1,16 +1,17 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What makes two tries one request."""
+"""Fingerprints that identify a request across its retries."""
 
 import dataclasses
 import hashlib
 from typing import final
 from typing import NewType
 
-#: Stands for a request in logs, in peers' news and in lists of operators.
+#: Identifies a request in logs, in messages between edge processes and to
+#: operators.
 Fingerprint = NewType("Fingerprint", bytes)
 
-#: Bytes of a fingerprint: two requests with the same one are found in 2**64
-#: tries, and only among those of one workspace.
+#: Finding a collision takes about 2**64 attempts, and only requests of the
+#: same workspace can collide.
 FINGERPRINT_BYTES = 16
 _HASH_PERSONALIZATION = b"lugcross-request"
 
@@ -18,12 +19,12 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestIdentity:
-    """What stays the same when a caller sends its request again.
+    """The parts of a request that stay the same when its caller retries.
 
-    Ids of attempts, times left and what a stream is resumed from differ
-    between tries and are no part of it.
+    Attempt ids, the remaining time and the event to resume a stream from
+    differ between retries and are not included.
 
-    :param workspace: whose key was shown; empty without one.
+    :param workspace: workspace of the API key; empty without one.
     :param target: path and query.
     """
 
@@ -35,15 +36,15 @@
     body: bytes
 
     def fingerprint(self) -> Fingerprint:
-        """Return the keyed hash of all of it.
+        """Return a keyed hash of all fields.
 
-        The key belongs to the workspace, so that no caller can make a
-        request that looks like another workspace's. A body of 2 MB takes
-        5 ms, one of 2 KB 6 us (CPython 3.11, one core): it is hashed once,
-        and for requests only that anything hangs on.
+        The key is derived from the workspace, so no caller can construct a
+        request with the fingerprint of another workspace's request. Hashing a
+        large body takes milliseconds; call this only if the result is needed,
+        and once per request.
         """
         key = hashlib.blake2b(self.workspace.encode()).digest()
-        found = hashlib.blake2b(
+        digest = hashlib.blake2b(
             digest_size=FINGERPRINT_BYTES,
             key=key,
             person=_HASH_PERSONALIZATION,
@@ -55,8 +56,8 @@
             self.target,
         )
         for part in head:
-            # With its length, nothing can move from one part to the next.
-            found.update(len(part).to_bytes(4, "big"))
-            found.update(part)
-        found.update(self.body)
-        return Fingerprint(found.digest())
+            # The length prefix keeps bytes from moving between fields.
+            digest.update(len(part).to_bytes(4, "big"))
+            digest.update(part)
+        digest.update(self.body)
+        return Fingerprint(digest.digest())
--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -1,19 +1,23 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What speaks against a request: the servers that ended while they ran it.
-
-Load pattern: a request comes again and again, at any process, and each server
-that begins to run it ends. Whatever else ran there, up to a whole server's
-requests, comes back with it and is innocent. Callers come back after a tenth
-of a second to some seconds; servers are back after some seconds.
-
-A server's end counts once for each request that it ran, whoever saw it, and
-ends of copies that ran at once count as one: what many callers send is
-everywhere when a whole fleet goes dark, and would be refused for good. A
-request is refused once three servers have ended under it. Two are enough if
-they tell it from all others: no other request was at both, both ended at
-about the same point of its run, and no others ended then that did not run it.
-Four are needed while servers end at large, whatever they run. A request that
-ran to its end is cleared of all that was before.
+"""Registry of requests suspected of crashing the servers that run them.
+
+A request that crashes servers comes again and again, to any process, and
+crashes each server that starts to run it. All other requests that ran there,
+up to the capacity of a server, are lost too and are retried with it although
+they are innocent. Callers retry after a tenth of a second to some seconds;
+servers restart after some seconds.
+
+For each request that a server was running when it crashed, the crash counts
+once, no matter how many processes observed it. Crashes under copies that ran
+at the same time count as one: a popular request is running everywhere when a
+whole fleet goes down, and would otherwise be refused although it is innocent.
+
+- A request is refused after three crashes.
+- Two are enough if they single it out: no other request was running at both,
+  both happened after about the same run time, and no server that did not run
+  it crashed around the same time.
+- Four are needed while more servers crash without the request than with it.
+- A request that completes is cleared of all earlier crashes.
 """
 
 from collections.abc import Collection
@@ -26,43 +30,40 @@
 from lugcross import clock as clock_lib
 from lugcross.crash_suspects import fingerprint
 
-#: Ends that are enough. Each takes a server's other requests with it, and a
-#: group of ranks the group's.
+#: Crashes after which a request is refused. Each crash also fails the other
+#: requests of the server, and of its whole rank group if it belongs to one.
 CRASHES_TO_REFUSE = 3
-#: The same where the ends tell the request from all others.
+#: The same if the crashes single out the request.
 MIN_CRASHES_TO_REFUSE = 2
-#: The same where more servers have ended without it than with it. Of 900
-#: requests, beside a crash a second among ten servers, one was at three ends
-#: by chance.
+#: The same if more servers have crashed without the request than with it: an
+#: innocent request may be running at three unrelated crashes by chance.
 CRASHES_TO_REFUSE_IN_OUTAGE = 4
-#: Time around an end within which another server's end, without the request,
-#: shows that servers end for other reasons too: a rack or a failure domain
-#: that goes dark, servers that go down and up by turns. With 1 s, 4 of those
-#: 900 requests were taken for the cause after two ends.
+#: Time before and after a crash within which the crash of a server that did
+#: not run the request shows that servers also crash for other reasons: a rack
+#: or failure domain that loses power, or servers that restart in turn.
 UNRELATED_CRASH_WINDOW = datetime.timedelta(seconds=10)
-#: Part of its longer run that the shorter one must have lasted if a request
-#: ended two servers: it ends each at the same point, later where that is
-#: fuller, while whatever else runs there may be at any point.
+#: Minimum ratio of the shorter to the longer run time before two crashes that
+#: single out a request. The cause of a crash gets equally far each time, if
+#: more slowly on a busier server; an innocent request may be at any point.
 MIN_RUN_TIME_RATIO = 0.5
-#: Difference of two runs that says nothing: the ways there and back, and a
-#: process that was busy when the connection broke.
+#: Difference between two run times that is not significant: network latency,
+#: and a process that was busy when the connection broke.
 RUN_TIME_TOLERANCE = datetime.timedelta(milliseconds=50)
-#: How long what speaks against a request is kept. Its callers may try the
-#: software anew then, at the price of two servers' ends each time.
+#: How long a crash counts against a request. After that its callers may try
+#: it again, at the cost of at least two more crashes if nothing was fixed.
 SUSPICION_TTL = datetime.timedelta(minutes=10)
-#: Requests that are kept; past it those with the least against them go.
-#: A server runs 6 to 250 at once.
+#: Requests kept; beyond that, those with the fewest crashes are evicted.
 MAX_SUSPECTS = 512
-#: Ends that are kept of one request: one more than decides.
+#: Crashes kept per request: one more than can be needed for a decision.
 MAX_CRASHES_KEPT = CRASHES_TO_REFUSE_IN_OUTAGE + 1
 
 
 class SuspectStatus(enum.Enum):
-    """How a request is to be treated.
+    """How to treat a request.
 
-    ``NOT_SUSPECT``: like any other.
-    ``SUSPECT``: it may run, apart from other suspects.
-    ``REFUSED``: it may not run.
+    ``NOT_SUSPECT``: like any other request.
+    ``SUSPECT``: it may run, on a different server than other suspects.
+    ``REFUSED``: it must not run.
     """
 
     NOT_SUSPECT = "free"
@@ -73,11 +74,12 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class ServerCrash:
-    """The end of a server that was running a request.
+    """The crash of a server that was running a request.
 
-    :param server: the one life of the server that ended.
-    :param software: version of the service that the server ran.
-    :param ran_for: from when the request was sent there.
+    :param server: backend key, which differs for each life of a server.
+    :param software: software version that the server was running.
+    :param crashed_at: when the crash was observed.
+    :param ran_for: time from when the request was sent to the crash.
     """
 
     server: str
@@ -89,9 +91,11 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class SuspectRecord:
-    """All that is known of one request.
+    """The crashes at which one request was running.
 
-    :param cleared_at: when it last ran to its end; ends before it say nothing.
+    :param crashes: all known crashes, also those before ``cleared_at``.
+    :param cleared_at: when the request last completed; earlier crashes do not
+        count against it.
     """
 
     request: fingerprint.Fingerprint
@@ -100,7 +104,7 @@
 
     @property
     def crashes_since_cleared(self) -> tuple[ServerCrash, ...]:
-        """The ends that still speak against it."""
+        """The crashes that count against the request."""
         if self.cleared_at is None:
             return self.crashes
         return tuple(
@@ -109,17 +113,18 @@
 
     @property
     def changed_at(self) -> clock_lib.Instant:
-        """When the last of it happened."""
+        """Time of the latest crash or completion."""
         times = [one.crashed_at for one in self.crashes]
         if self.cleared_at is not None:
             times.append(self.cleared_at)
         return max(times)
 
     def merged_with(self, other: "SuspectRecord") -> "SuspectRecord":
-        """Return what both know; in any order and however often.
+        """Return the union of both records.
 
-        A server's end is as old as whoever knows it longest says: a process
-        that was suspended takes its own news for younger than they are.
+        Merging is commutative and idempotent. Of two times for the crash of
+        one server the earlier is kept: a process that was suspended dates
+        what it observed too late.
         """
         crashes = {one.server: one for one in self.crashes}
         for one in other.crashes:
@@ -141,25 +146,25 @@
 
 @final
 class SuspectRegistry:
-    """What this process knows of all requests that are or were suspect."""
+    """Crash records of all requests that this process knows of."""
 
     def __init__(self) -> None:
         self._records: dict[fingerprint.Fingerprint, SuspectRecord] = {}
-        #: Servers that answered after somebody took them for ended, and
-        #: when what they answered had been sent.
+        #: For servers that were reported as crashed but answered: when the
+        #: answered request was sent. Earlier reports were wrong.
         self._answered_since: dict[str, clock_lib.Instant] = {}
-        #: Servers that any record names; none while that must be looked up.
+        #: Servers named in any record; None if it must be recomputed.
         self._crashed_servers_cache: frozenset[str] | None = None
 
     def __len__(self) -> int:
         return len(self._records)
 
     def records(self) -> list[SuspectRecord]:
-        """Return all records, those first that changed last."""
+        """Return all records, the most recently changed first."""
         return list(reversed(self._records.values()))
 
     def find(self, request: fingerprint.Fingerprint) -> SuspectRecord | None:
-        """Return what is known of a request, if anything is."""
+        """Return the record of a request, or None."""
         return self._records.get(request)
 
     def record_crash(
@@ -168,20 +173,20 @@
         crash: ServerCrash,
         now: clock_lib.Instant,
     ) -> bool:
-        """Note that a server has ended while it ran ``request``."""
+        """Record a crash while running a request; return whether it is new."""
         return self.merge(SuspectRecord(request, (crash,)), now)
 
     def record_completion(
         self, request: fingerprint.Fingerprint, now: clock_lib.Instant
     ) -> bool:
-        """Note that a request ran to its end; tell whether that is news."""
+        """Clear a request that completed; return whether it was suspect."""
         known = self._records.get(request)
         if known is None or not known.crashes_since_cleared:
             return False
         return self.merge(SuspectRecord(request, cleared_at=now), now)
 
     def merge(self, record: SuspectRecord, now: clock_lib.Instant) -> bool:
-        """Take over what somebody knows; tell whether it was news."""
+        """Merge a record of a peer or the store; return whether it is new."""
         crashes = tuple(
             one for one in record.crashes if not self._is_disproved(one)
         )
@@ -197,15 +202,18 @@
         self._records.pop(record.request, None)
         self._records[record.request] = merged
         if len(self._records) > MAX_SUSPECTS:
-            self._drop_weakest()
+            self._evict_least_suspect()
         self._crashed_servers_cache = None
         return True
 
     def record_answer(self, server: str, since: clock_lib.Instant) -> None:
-        """Note that a server has answered what was sent at ``since``.
+        """Record that a server has answered a request.
 
-        Whoever said that it had ended before was wrong: a connection may be
-        refused for another reason, and news may be false.
+        Reports that it crashed before the request was sent were wrong, for
+        example because a connection was refused for another reason, and are
+        discarded.
+
+        :param since: when the answered request was sent.
         """
         if server not in self._crashed_servers():
             return
@@ -232,7 +240,7 @@
         return self._crashed_servers_cache
 
     def drop_expired(self, now: clock_lib.Instant) -> None:
-        """Let lapse what is too old."""
+        """Drop records older than :data:`SUSPICION_TTL`."""
         for request, record in list(self._records.items()):
             if record.changed_at <= now - SUSPICION_TTL:
                 del self._records[request]
@@ -244,7 +252,7 @@
     def suspects_sharing_crashes(
         self, request: fingerprint.Fingerprint
     ) -> list[fingerprint.Fingerprint]:
-        """Return other suspects that were where this one was."""
+        """Return the other suspects of any crash that counts against it."""
         record = self._records.get(request)
         if record is None:
             return []
@@ -261,13 +269,15 @@
     def counted_crashes(
         self,
         request: fingerprint.Fingerprint,
-        software: Collection[str],
+        software_versions: Collection[str],
         now: clock_lib.Instant,
     ) -> list[ServerCrash]:
-        """Return the ends that speak against a request, one by one.
+        """Return the crashes that count against a request, oldest first.
+
+        Crashes while copies ran concurrently are counted once.
 
-        :param software: versions that servers of its service run now; what
-            another one has done says nothing of them.
+        :param software_versions: versions that servers of its service run now;
+            crashes of other versions do not count.
         """
         record = self._records.get(request)
         if record is None:
@@ -275,18 +285,18 @@
         return _sequential_crashes(
             one
             for one in record.crashes_since_cleared
-            if one.software in software
+            if one.software in software_versions
             and one.crashed_at > now - SUSPICION_TTL
         )
 
     def status(
         self,
         request: fingerprint.Fingerprint,
-        software: Collection[str],
+        software_versions: Collection[str],
         now: clock_lib.Instant,
     ) -> SuspectStatus:
-        """Return how a request is to be treated now."""
-        crashes = self.counted_crashes(request, software, now)
+        """Return how to treat a request now."""
+        crashes = self.counted_crashes(request, software_versions, now)
         if not crashes:
             return SuspectStatus.NOT_SUSPECT
         if len(crashes) >= MIN_CRASHES_TO_REFUSE and len(
@@ -296,7 +306,7 @@
         return SuspectStatus.SUSPECT
 
     def _refusal_threshold(self, crashes: Collection[ServerCrash]) -> int:
-        """Return how many such ends are enough."""
+        """Return the number of crashes after which to refuse a request."""
         others = self._unrelated_crashed_servers(crashes)
         if (
             not others
@@ -313,9 +323,10 @@
     def _unrelated_crashed_servers(
         self, crashes: Collection[ServerCrash]
     ) -> set[str]:
-        """Return the servers that ended at about the time of ``crashes``.
+        """Return the other servers that crashed around the same time.
 
-        What was cleared since tells of a server's end all the same.
+        Crashes under requests cleared since then are included: the servers
+        did crash.
         """
         servers = {one.server for one in crashes}
         return {
@@ -330,7 +341,7 @@
         }
 
     def _is_only_explanation(self, crashes: Collection[ServerCrash]) -> bool:
-        """Tell whether only one request explains why servers ended."""
+        """Return whether only one request can have caused all ``crashes``."""
         shortest = min(one.ran_for for one in crashes)
         longest = max(one.ran_for for one in crashes)
         if (
@@ -349,7 +360,7 @@
         since = self._answered_since.get(crash.server)
         return since is not None and crash.crashed_at < since
 
-    def _drop_weakest(self) -> None:
+    def _evict_least_suspect(self) -> None:
         least = min(
             self._records.values(),
             key=lambda record: (
@@ -361,10 +372,10 @@
 
 
 def _sequential_crashes(crashes: Iterable[ServerCrash]) -> list[ServerCrash]:
-    """Return the ends of which each run began after the one before.
+    """Return the crashes without those whose runs overlap an earlier one.
 
-    Times are told by other processes, so that a run may seem to begin a
-    moment before the end that it followed.
+    Times come from different processes, so a run may seem to begin slightly
+    before the crash that it followed.
     """
     found: list[ServerCrash] = []
     for one in sorted(crashes, key=lambda crash: crash.crashed_at):
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -30,17 +30,18 @@
 class CrashTracker:
     """Requests that were running at servers that ended.
 
-    :param software: versions that the servers of a service run now.
+    :param software_versions: returns the versions that servers of a service run
+        now.
     """
 
     def __init__(
         self,
         clock: clock_lib.Clock,
         *,
-        software: Callable[[ids.ServiceName], frozenset[str]],
+        software_versions: Callable[[ids.ServiceName], frozenset[str]],
     ) -> None:
         self._clock = clock
-        self._software = software
+        self._software_versions = software_versions
         self._probes: dict[desired.BackendKey, asyncio.Task[bool]] = {}
         #: When servers were first found to have ended.
         self._crashed_at: dict[desired.BackendKey, clock_lib.Instant] = {}
@@ -68,7 +69,7 @@
             return crash_suspects.SuspectStatus.NOT_SUSPECT
         return self.registry.status(
             checked.fingerprint,
-            self._software(checked.service),
+            self._software_versions(checked.service),
             self._clock.monotonic(),
         )
 
@@ -80,7 +81,7 @@
             return []
         return self.registry.counted_crashes(
             checked.fingerprint,
-            self._software(checked.service),
+            self._software_versions(checked.service),
             self._clock.monotonic(),
         )
 
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -105,7 +105,7 @@
         self.pool = connection_pool.ConnectionPool(clock)
         self.metrics = metrics_lib.EdgeMetrics()
         self.crash_tracker = crash_tracker_lib.CrashTracker(
-            clock, software=self.software_versions
+            clock, software_versions=self.software_versions
         )
         self.crash_tracker.exempt_requests = _cleared_requests(
             settings.suspects
