--- a/src/lugcross/edge/avoided_servers.py
+++ b/src/lugcross/edge/avoided_servers.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Backend servers that should get nothing for now, as processes tell.
+"""Backend servers to avoid for now, as reported by edge processes.
 
-A group that lost a rank refuses at all the others until it forms anew, and a
-slow rank holds its group back. Whoever looks after expert maps sees it first
-and tells the others, so that nobody spends attempts there.
+A rank group that has lost a rank refuses requests on all other ranks until it
+forms again, and a slow rank slows down its whole group. The process that
+manages the expert maps notices this first and reports it to its peers, so
+that no process wastes attempts on such servers.
 """
 
 from collections.abc import Collection
@@ -13,14 +14,14 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 
-#: Age at which what was told counts no more: a few messages were lost, or
-#: whoever told it is gone. Without news a server is tried as usual.
+#: Age after which a report is discarded: several heartbeats were lost, or the
+#: reporting process is gone. The servers are then used as usual.
 _REPORT_MAX_AGE = datetime.timedelta(seconds=1.2)
 
 
 @final
 class AvoidedServers:
-    """What this process and its peers tell of some servers."""
+    """Union of the servers that this process and its peers report."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
@@ -28,13 +29,13 @@
             str, tuple[frozenset[desired.BackendKey], clock_lib.Instant]
         ] = {}
         self._servers: frozenset[desired.BackendKey] = frozenset()
-        #: Until when what was put together last holds.
+        #: When ``_servers`` must be rebuilt.
         self._valid_until = datetime.timedelta()
 
     def report(
         self, reporter: str, keys: Collection[desired.BackendKey]
     ) -> None:
-        """Take over which servers ``reporter`` has seen so."""
+        """Replace the servers that ``reporter`` wants avoided."""
         now = self._clock.monotonic()
         before, _ = self._reports.get(reporter, (frozenset(), now))
         if not keys:
@@ -45,9 +46,9 @@
             self._valid_until = now
 
     def servers(self) -> frozenset[desired.BackendKey]:
-        """Return the servers that anyone tells of.
+        """Return the servers that any process reports.
 
-        The same object is returned as long as nothing has changed.
+        Returns the same object as long as nothing has changed.
         """
         now = self._clock.monotonic()
         if now >= self._valid_until:
--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -71,8 +71,8 @@
 
     There is none if each was tried already or is being probed after a backoff.
     Ejected servers are used only if there are no others. A request that was
-    already refused by one server is not used to probe another, unless only
-    such servers are left.
+    already sent to one server is not used to probe another, unless only
+    servers on probation are left.
 
     :param home: failure domain of this process; its servers are preferred.
     :param tried: servers that this request was already sent to.
--- a/src/lugcross/edge/backend_loads.py
+++ b/src/lugcross/edge/backend_loads.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How busy each backend server is, from what several sources tell."""
+"""Load of each backend server, combined from several sources."""
 
 import collections
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 from lugcross import platform
 from lugcross import routing
 
-#: Age at which what a peer told of its requests counts no more: a few of
-#: its messages were lost, or it is gone and so are its requests.
+#: Age after which a peer's report is discarded: several of its heartbeats
+#: were lost, or the peer is gone and its requests with it.
 _PEER_REPORT_MAX_AGE = datetime.timedelta(seconds=1.5)
-#: Age at which a load told in an answer counts no more; about the time
-#: in which a server's requests are replaced by others.
+#: Age after which the load that a server reported in an answer is discarded:
+#: about the time in which its requests are replaced by others.
 _REPORTED_LOAD_MAX_AGE = datetime.timedelta(milliseconds=500)
-#: Mean age of the news of peers nearby: half of the time between two
-#: datagrams, and the way.
+#: Mean age of reports from peers in the same failure domain: half of the
+#: heartbeat interval plus the network latency.
 _SAME_DOMAIN_REPORT_AGE = datetime.timedelta(milliseconds=30)
-#: The same of peers in other failure domains.
+#: The same for peers in other failure domains.
 _OTHER_DOMAIN_REPORT_AGE = datetime.timedelta(milliseconds=105)
 
 
 @final
 @dataclasses.dataclass
 class _ReportedLoad:
-    """Requests that an answer told of its server."""
+    """Number of requests that a server reported in an answer."""
 
     requests: int
     at: clock_lib.Instant
@@ -42,9 +42,13 @@
 
 @final
 class BackendLoads:
-    """Requests in progress at each backend server, as far as known.
+    """Estimated requests in progress on each backend server, and its health.
 
-    :param service_of: service of a backend server; none if not known.
+    Combines this process's own requests, the counts reported by peers and the
+    loads that servers report in their answers.
+
+    :param service_of: returns the service of a backend server, or None if it
+        is not known.
     """
 
     def __init__(
@@ -64,25 +68,25 @@
             same_domain_age=_SAME_DOMAIN_REPORT_AGE,
             other_domain_age=_OTHER_DOMAIN_REPORT_AGE,
         )
-        #: By backend server; whoever told longest ago comes first.
+        #: Ordered by time of the report, oldest first.
         self._reported: collections.OrderedDict[
             desired.BackendKey, _ReportedLoad
         ] = collections.OrderedDict()
         self._health: dict[desired.BackendKey, routing.BackendHealth] = {}
 
     def record_started(self, key: desired.BackendKey) -> None:
-        """Note that a request was sent from here."""
+        """Record that this process has sent a request to a server."""
         self._running.add(key, 1)
         self.health(key).record_sent(self._clock.monotonic())
 
     def record_ended(self, key: desired.BackendKey) -> None:
-        """Note that a request sent from here is over."""
+        """Record that a request sent by this process has ended."""
         self._running.add(key, -1)
 
     def record_reported_load(
         self, key: desired.BackendKey, load: platform.ServerLoad
     ) -> None:
-        """Take over the load that an answer told."""
+        """Record the load that a server reported in an answer."""
         self._reported[key] = _ReportedLoad(
             load.running + load.waiting, self._clock.monotonic()
         )
@@ -95,13 +99,16 @@
         *,
         same_domain: bool = True,
     ) -> None:
-        """Take over what a peer has in progress.
+        """Replace the counts of requests that a peer has in progress.
 
-        :param same_domain: whether it is of this process's failure domain.
+        :param node: the peer.
+        :param running: its requests in progress, by backend server.
+        :param same_domain: whether it is in this process's failure domain.
         """
         before = self._running.set_peer_counts(node, running)
         if before is None:
-            # What it has had in progress for long is no burst.
+            # First report, or the first after a silence: these requests may
+            # have been running for long and must not count as a burst.
             return
         now = self._clock.monotonic()
         for key, count in running.items():
@@ -113,21 +120,21 @@
                 )
 
     def unreported_requests(self, service: ids.ServiceName) -> float:
-        """Return how many requests peers have sent and not told yet."""
+        """Return the estimated requests that peers have not reported yet."""
         return self._unreported.estimate(service, self._clock.monotonic())
 
     def own_requests(self) -> dict[desired.BackendKey, int]:
-        """Return what is in progress from here."""
+        """Return this process's requests in progress, by server."""
         return self._running.own()
 
     def requests_at(self, key: desired.BackendKey) -> int:
-        """Return how many requests ``key`` probably has."""
+        """Return the estimated number of requests on a server."""
         return self.requests_at_each([key])[0]
 
     def requests_at_each(
         self, keys: Iterable[desired.BackendKey]
     ) -> list[int]:
-        """Return how many requests each of several servers has."""
+        """Return the estimated number of requests on each of ``keys``."""
         running = self._running.sums()
         reported = self._fresh_reports()
         return [
@@ -138,7 +145,7 @@
         ]
 
     def total_requests(self, keys: Set[desired.BackendKey]) -> int:
-        """Return how many requests several servers probably have."""
+        """Return the estimated number of requests on all of ``keys``."""
         running = self._running.sums()
         total = self._running.sum_of_all(keys)
         for key, reported in self._fresh_reports().items():
@@ -156,28 +163,28 @@
         return self._reported
 
     def health(self, key: desired.BackendKey) -> routing.BackendHealth:
-        """Return what was seen of ``key`` from here."""
+        """Return the health of a server as observed by this process."""
         return self._health.setdefault(key, routing.BackendHealth())
 
     def is_ejected(self, key: desired.BackendKey) -> bool:
-        """Tell whether requests should go elsewhere."""
+        """Return whether requests should go to other servers for now."""
         health = self._health.get(key)
         return health is not None and health.is_ejected(
             self._clock.monotonic()
         )
 
     def on_probation(self, key: desired.BackendKey) -> bool:
-        """Tell whether it was left alone and has answered nothing since."""
+        """Return whether it was avoided and has not answered since."""
         health = self._health.get(key)
         return health is not None and health.on_probation
 
     def is_probing_after_backoff(self, key: desired.BackendKey) -> bool:
-        """Tell whether one request is finding out whether it has rested."""
+        """Return whether the probe after a backoff is in progress."""
         health = self._health.get(key)
         return health is not None and health.is_probing_after_backoff()
 
     def retain_only(self, known: set[desired.BackendKey]) -> None:
-        """Forget servers that are gone."""
+        """Drop the state of servers that are not in ``known``."""
         for table in (self._reported, self._health):
             for key in table.keys() - known:
                 del table[key]
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -119,8 +119,8 @@
             return False
         if checked.fingerprint in self.exempt_requests:
             return True
-        # One crash short of the limit, leave the retry to the caller: by then
-        # the reports of other processes will have arrived.
+        # After that many crashes the retry is left to the caller: by the time
+        # it comes back, reports of other processes will have arrived.
         return (
             not last_attempt_broke
             or len(self.counted_crashes(checked))
@@ -180,7 +180,7 @@
             return
         status = self.status(checked)
         logging.warning(
-            "server ended under a request",
+            "server crashed while running a request",
             extra={
                 "request": checked.caller_head.attempt_id,
                 "same": checked.fingerprint.hex(),
@@ -226,7 +226,7 @@
         ):
             return
         logging.info(
-            "suspect cleared",
+            "crash suspect cleared",
             extra={
                 "request": checked.caller_head.attempt_id,
                 "same": checked.fingerprint.hex(),
--- a/src/lugcross/edge/server_backoffs.py
+++ b/src/lugcross/edge/server_backoffs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Backend servers that asked this process for rest; no I/O."""
+"""Backoffs that backend servers have asked this process for; no I/O."""
 
 import collections
 from collections.abc import Iterable
@@ -9,59 +9,58 @@
 from lugcross import clock as clock_lib
 from lugcross import desired
 
-#: Urgent messages in one rest: a rank of a group whose pass is held needs to
-#: be armed, and the pass to be released.
+#: Urgent messages allowed per backoff. Two are needed for a rank of a group
+#: whose pass is held: one to arm the rank, one to release the pass.
 _MAX_URGENT_MESSAGES = 2
 
 
 @final
 class ServerBackoffs:
-    """Until when which server wants nothing from this process.
+    """Backend servers to send nothing to, and until when.
 
-    A server that turns a request away may ask whoever sent it for rest. Other
-    processes are not bound by it: what it asks of them it tells them itself.
+    A server that refuses a request may ask the sender to back off. This binds
+    only the process that sent the request; the server asks each process
+    itself.
 
-    Gone by, it also keeps requests from servers that refuse at once, which
-    look idle and so draw the most: of 16 servers five got 269 of 375 attempts
-    and ran none. An entry that goes for a while does not end a rest, nor does
-    a later answer that asks for less.
+    Honouring backoffs also keeps requests away from servers that refuse at
+    once, which look idle and would attract most of the load. A backoff does
+    not end early if the server's entry disappears for a while, or if a later
+    answer asks for less.
     """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
         self._until: dict[desired.BackendKey, clock_lib.Instant] = {}
-        #: How many urgent messages each has had in this rest.
+        #: Urgent messages sent to each server during its current backoff.
         self._urgent_sent: collections.Counter[desired.BackendKey] = (
             collections.Counter()
         )
         self._servers: frozenset[desired.BackendKey] = frozenset()
-        #: When the first of the rests ends that are known.
+        #: When the first of the current backoffs ends.
         self._next_end = datetime.timedelta.max
 
     def start(
         self, key: desired.BackendKey, duration: datetime.timedelta
     ) -> None:
-        """Note that a server has asked for rest, from now on.
-
-        One that asked for a longer one before gets that to its end.
-        """
+        """Start a backoff now; a longer one already in progress continues."""
         until = self._clock.monotonic() + duration
         self._until[key] = max(until, self._until.get(key, until))
         self._rebuild()
 
     def is_active(self, key: desired.BackendKey) -> bool:
-        """Tell whether a server wants nothing from this process now."""
+        """Return whether a server is to be sent nothing now."""
         return key in self.servers()
 
     def may_send_deferrable(self, key: desired.BackendKey) -> bool:
-        """Tell whether a server may be sent something that can wait."""
+        """Return whether a server may be sent a message that can wait."""
         return not self.is_active(key)
 
     def take_urgent_allowance(self, key: desired.BackendKey) -> bool:
-        """Take one of the few urgent messages that a rest allows.
+        """Return whether an urgent message may be sent, and count it.
 
-        The orders that bring a switch of expert maps to its end: while a pass
-        is held, no rank of the group serves anybody.
+        Urgent messages are the orders that complete a map switch: while a pass
+        is held, no rank of the group serves requests. A backoff allows only a
+        few of them.
         """
         if not self.is_active(key):
             return True
@@ -71,9 +70,9 @@
         return True
 
     def servers(self) -> frozenset[desired.BackendKey]:
-        """Return the servers that want nothing from this process now.
+        """Return the servers to send nothing to now.
 
-        The same object is returned as long as nothing has changed.
+        Returns the same object as long as nothing has changed.
         """
         now = self._clock.monotonic()
         if now >= self._next_end:
@@ -87,7 +86,10 @@
     def time_left(
         self, keys: Iterable[desired.BackendKey]
     ) -> datetime.timedelta | None:
-        """Return the time until the first of ``keys`` has rested, if any."""
+        """Return the time until the first of ``keys`` may be sent to again.
+
+        Returns None if none of them has a backoff.
+        """
         ends = [self._until[key] for key in self.servers().intersection(keys)]
         if not ends:
             return None
--- a/src/lugcross/edge/unreported_requests.py
+++ b/src/lugcross/edge/unreported_requests.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests peers have sent of which no news can have come yet.
+"""Estimate of the requests that peers have sent but not yet reported.
 
-Load pattern: a burst that comes to all processes at once. Each of them sees
-free places that the others are filling at the same moment. How many follows
-from the rate at which all of them have just begun requests, which their
-news tell, and from the age of these news.
+In a burst that reaches all processes at once, each of them sees free slots
+that the others are filling at the same moment. The number of requests not yet
+reported is estimated from the rate at which peers have recently started
+requests, according to their reports, and the age of these reports.
 """
 
 import datetime
@@ -14,28 +14,28 @@
 from lugcross import clock as clock_lib
 from lugcross import ids
 
-#: Time over which the rate is taken: of a burst, two thirds are followed
-#: after it. Longer spans are steadier, but the estimate is of few requests.
+#: After this time the rate has followed two thirds of a burst. A longer one
+#: would be steadier but follow bursts more slowly.
 _RATE_TIME_CONSTANT = datetime.timedelta(milliseconds=100)
 
 
 @final
 class _DecayingRate:
-    """Events of the last moments, older ones counting ever less."""
+    """Rate of events as an exponentially decaying average."""
 
     def __init__(self) -> None:
         self._weight = 0.0
         self._at = datetime.timedelta()
 
     def add(self, count: int, now: clock_lib.Instant) -> None:
-        """Note some events."""
+        """Record events at the time ``now``."""
         self._weight = self._decayed(now) + count
         self._at = now
 
     def expected_within(
         self, span: datetime.timedelta, now: clock_lib.Instant
     ) -> float:
-        """Return how many are to be expected within ``span``."""
+        """Return the expected number of events within ``span``."""
         return self._decayed(now) * (span / _RATE_TIME_CONSTANT)
 
     def _decayed(self, now: clock_lib.Instant) -> float:
@@ -44,12 +44,12 @@
 
 @final
 class UnreportedRequests:
-    """Requests of peers that are under way and not told, by service.
+    """Estimates the unreported requests of all peers, by service.
 
-    :param same_domain_age: mean age of the news of peers in the same failure
+    :param same_domain_age: mean age of reports from peers in the same failure
         domain.
-    :param other_domain_age: the same of peers in others, who are told less
-        often.
+    :param other_domain_age: the same for peers in other failure domains, which
+        send reports less often.
     """
 
     def __init__(
@@ -69,14 +69,14 @@
         *,
         same_domain: bool,
     ) -> None:
-        """Note that a peer has begun some requests since its last news."""
+        """Record requests that a peer has started since its last report."""
         rate = self._rates.setdefault((service, same_domain), _DecayingRate())
         rate.add(count, now)
 
     def estimate(
         self, service: ids.ServiceName, now: clock_lib.Instant
     ) -> float:
-        """Return how many requests of ``service`` are probably unseen."""
+        """Return the estimated number of unreported requests."""
         found = 0.0
         for same_domain, age in self._report_ages.items():
             rate = self._rates.get((service, same_domain))
--- a/testing/observe/test_request_timeline.py
+++ b/testing/observe/test_request_timeline.py
@@ -47,10 +47,18 @@
 def test_timeline_holds_other_attempts_of_the_same_request() -> None:
     tries = [
         _line_text(
-            1.0, "n1", "server ended under a request", request="r1", same="f"
+            1.0,
+            "n1",
+            "server crashed while running a request",
+            request="r1",
+            same="f",
         ),
         _line_text(
-            2.0, "n2", "server ended under a request", request="r2", same="f"
+            2.0,
+            "n2",
+            "server crashed while running a request",
+            request="r2",
+            same="f",
         ),
         _line_text(2.5, "n2", "refused", request="r3", same="other"),
         _line_text(3.0, "n3", "refused", request="r4", same="f"),
