--- a/testing/crash_suspects/test_fingerprint.py
+++ b/testing/crash_suspects/test_fingerprint.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which tries count as one request."""
+"""Fingerprints: which requests count as retries of the same request."""
 
 import dataclasses
 
--- a/testing/crash_suspects/test_registry.py
+++ b/testing/crash_suspects/test_registry.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What speaks against a request, whoever tells it and in whatever order."""
+"""Crash suspects, whatever the source and order of the reports."""
 
 import datetime
 import itertools
@@ -18,7 +18,7 @@
     return datetime.timedelta(seconds=seconds)
 
 
-def name(num: int) -> crash_suspects.Fingerprint:
+def fingerprint(num: int) -> crash_suspects.Fingerprint:
     return crash_suspects.Fingerprint(
         bytes([num]) * crash_suspects.FINGERPRINT_BYTES
     )
@@ -30,7 +30,7 @@
     return crash_suspects.ServerCrash(server, software, at(when), at(ran))
 
 
-A, B, C = name(1), name(2), name(3)
+A, B, C = fingerprint(1), fingerprint(2), fingerprint(3)
 
 
 @pytest.fixture
@@ -42,32 +42,32 @@
     return registry.status(request, software, at(now))
 
 
-def _note(registry, request, *crashes):
+def _record(registry, request, *crashes):
     for one in crashes:
         registry.record_crash(request, one, one.crashed_at)
 
 
 def test_request_that_ran_on_no_crashed_server_is_not_suspect(registry):
-    _note(registry, A, crash("s1", 1))
+    _record(registry, A, crash("s1", 1))
     assert _status(registry, B) is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 def test_one_crash_makes_suspect(registry):
-    _note(registry, A, crash("s1", 1))
+    _record(registry, A, crash("s1", 1))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
 def test_two_crashes_suffice_where_no_other_request_ran_at_both(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 1.1))
-    _note(registry, B, crash("s1", 1))
-    _note(registry, C, crash("s2", 1.1))
+    _record(registry, A, crash("s1", 1), crash("s2", 1.1))
+    _record(registry, B, crash("s1", 1))
+    _record(registry, C, crash("s2", 1.1))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
     assert _status(registry, B) is crash_suspects.SuspectStatus.SUSPECT
 
 
 def test_requests_that_ran_at_both_crashes_are_tried_once_more(registry):
     for request in (A, B):
-        _note(registry, request, crash("s1", 1), crash("s2", 5))
+        _record(registry, request, crash("s1", 1), crash("s2", 5))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
     registry.record_completion(B, at(7))
     assert _status(registry, B) is crash_suspects.SuspectStatus.NOT_SUSPECT
@@ -75,61 +75,61 @@
 
 
 def test_two_crashes_in_a_rack_outage_are_not_enough(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 5))
-    _note(registry, B, crash("s3", 5.4))
+    _record(registry, A, crash("s1", 1), crash("s2", 5))
+    _record(registry, B, crash("s3", 5.4))
     registry.record_completion(B, at(6))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
-    _note(registry, A, crash("s4", 9))
+    _record(registry, A, crash("s4", 9))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
 def test_three_crashes_are_not_enough_while_many_servers_crash(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 2), crash("s3", 3))
+    _record(registry, A, crash("s1", 1), crash("s2", 2), crash("s3", 3))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
     for num in range(4):
-        _note(registry, B, crash(f"t{num}", 2 + num))
+        _record(registry, B, crash(f"t{num}", 2 + num))
         registry.record_completion(B, at(2.5 + num))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
-    _note(registry, A, crash("s4", 5))
+    _record(registry, A, crash("s4", 5))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
 
 def test_two_crashes_after_different_run_times_are_not_enough(registry):
-    _note(registry, A, crash("s1", 1, ran=0.1), crash("s2", 5, ran=0.3))
+    _record(registry, A, crash("s1", 1, ran=0.1), crash("s2", 5, ran=0.3))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
 def test_copies_that_ran_at_once_count_once(registry):
-    """A request that many send is everywhere when all servers end."""
-    _note(
+    """A popular request is running everywhere when all servers crash."""
+    _record(
         registry,
         A,
         *(crash(f"s{num}", 1 + num / 100, ran=0.5) for num in range(8)),
     )
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
-    _note(registry, A, crash("t1", 3))
+    _record(registry, A, crash("t1", 3))
     assert len(registry.counted_crashes(A, SOFTWARE, at(4))) == 2
 
 
 def test_one_server_counts_once_whoever_saw_its_crash(registry):
     for seen in (1.0, 1.2, 4.0):
-        _note(registry, A, crash("s1", seen))
+        _record(registry, A, crash("s1", seen))
     assert len(registry.counted_crashes(A, SOFTWARE, at(5))) == 1
     assert registry.find(A).crashes == (crash("s1", 1.0),)
 
 
 def test_completed_request_is_cleared_of_earlier_crashes(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    _record(registry, A, crash("s1", 1), crash("s2", 5))
     registry.record_completion(A, at(6))
     assert _status(registry, A) is crash_suspects.SuspectStatus.NOT_SUSPECT
-    _note(registry, A, crash("s3", 5.5))
+    _record(registry, A, crash("s3", 5.5))
     assert _status(registry, A) is crash_suspects.SuspectStatus.NOT_SUSPECT
-    _note(registry, A, crash("s4", 7))
+    _record(registry, A, crash("s4", 7))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
 def test_other_software_version_is_judged_separately(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    _record(registry, A, crash("s1", 1), crash("s2", 5))
     new = frozenset(["v2"])
     assert (
         _status(registry, A, software=new)
@@ -143,7 +143,7 @@
 
 
 def test_suspicion_expires(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    _record(registry, A, crash("s1", 1), crash("s2", 5))
     later = 5 + crash_suspects.SUSPICION_TTL.total_seconds()
     assert (
         _status(registry, A, later - 4.5)
@@ -157,22 +157,22 @@
 
 
 def test_server_that_answers_has_not_crashed(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    _record(registry, A, crash("s1", 1), crash("s2", 5))
     registry.record_answer("s2", at(4.9))
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
     registry.record_answer("s2", at(5.1))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
-    _note(registry, A, crash("s2", 5))
+    _record(registry, A, crash("s2", 5))
     assert _status(registry, A) is crash_suspects.SuspectStatus.SUSPECT
 
 
 def test_flood_of_other_requests_evicts_no_refused_request(registry):
-    _note(registry, A, crash("s1", 1), crash("s2", 5))
+    _record(registry, A, crash("s1", 1), crash("s2", 5))
     for num in range(2 * registry_lib.MAX_SUSPECTS):
         other = crash_suspects.Fingerprint(
             num.to_bytes(crash_suspects.FINGERPRINT_BYTES, "big")
         )
-        _note(registry, other, crash("s9", 20 + num * 0.001))
+        _record(registry, other, crash("s9", 20 + num * 0.001))
     assert len(registry) == registry_lib.MAX_SUSPECTS
     assert _status(registry, A) is crash_suspects.SuspectStatus.REFUSED
 
@@ -205,14 +205,14 @@
 @given(st.lists(st.integers(0, 15), unique=True, min_size=1, max_size=6))
 def test_suspects_of_the_same_crashes_get_different_servers(nums):
     servers = [f"s{num}" for num in range(6)]
-    names = [name(num) for num in nums]
-    places = [
+    suspects = [fingerprint(num) for num in nums]
+    assigned = [
         crash_suspects.assign_server(
-            one, [x for x in names if x != one], servers
+            one, [x for x in suspects if x != one], servers
         )
-        for one in names
+        for one in suspects
     ]
-    assert len(set(places)) == len(names)
+    assert len(set(assigned)) == len(suspects)
 
 
 def test_copies_of_one_suspect_get_the_same_server():
--- a/testing/edge/test_crash_tracker.py
+++ b/testing/edge/test_crash_tracker.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How the end of a server is told from all else that breaks an attempt."""
+"""Detection of server crashes among all causes of broken attempts."""
 
 import asyncio
 
@@ -17,12 +17,12 @@
 
 
 class _CrashingServers:
-    """Servers of which the first ones that run a request end."""
+    """Servers that crash on the first ``count`` requests."""
 
     def __init__(self, one: rig.Rig, count: int) -> None:
         self._rig = one
         self._left = count
-        #: Servers that answered.
+        #: Indexes of the servers that answered, in order.
         self.answered: list[int] = []
 
     def script(self, index: int) -> rig.Script:
@@ -39,7 +39,7 @@
 
 
 def _play(route, *scripts):
-    """Return what a caller got, and the rig."""
+    """Send one request; return its answer and the rig."""
 
     async def main():
         one = rig.Rig()
@@ -53,13 +53,16 @@
 
 
 def _play_crashes(crashes, *, times=1, exempt=False):
-    """Return what a caller got each time, and the rig and its servers.
+    """Send a request repeatedly; return its answers, the rig and the servers.
 
-    :param exempt: whether an operator clears the request after its first try.
+    :param crashes: requests on which servers crash.
+    :param times: how often to send the request.
+    :param exempt: whether an operator exempts it after the first time.
     """
 
     async def main():
-        # Runs of no length are alike, however busy this machine is.
+        # On a manual clock all run times are zero, however busy the test
+        # machine is.
         one = rig.Rig(clock_lib.ManualClock())
         servers = _CrashingServers(one, crashes)
         await one.start(*([servers.script(num)] for num in range(3)))
@@ -81,7 +84,7 @@
 def test_server_crash_counts_against_the_request_it_ran():
     got, one, _ = _play_crashes(1)
     assert got[0].status == 200
-    # It ran to its end at the next server, and is cleared.
+    # It completed on the next server, which cleared it.
     records = one.edge_state.crash_tracker.registry.records()
     assert [len(record.crashes) for record in records] == [1]
     assert _counted_crashes(one) == [0]
--- a/testing/edge/test_crashing_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A request that ends each server that runs it, at processes by turns.
+"""A request that crashes every server and is retried at other processes.
 
-Servers ended one after the other, by twos at the pace at which a caller came
-back, and each group of ranks stood still most of the time. Whatever process
-the request came to knew nothing of its earlier tries: it sent the request to
-one server, saw the connection break, and sent it to the next one within 2 ms.
-The lines that settled it, of one try at a second process::
+Servers crashed one after the other, two each time the caller
+retried, and each rank group was down most of the time. The process that the
+retry reached knew nothing of earlier attempts: it sent the request to one
+server, saw the connection break, and sent it to the next one within 2 ms. Log
+of one retry at a second process::
 
     24.983 reaches server i-c5655f2b68 from front-didube-hall-2
     25.183 its run ends: 200 crashed
@@ -26,30 +26,31 @@
 import pytest
 import virtual_time
 
-#: Until every process has read the store and heard of the others, s.
+#: Time until every process has read the store and knows its peers.
 SETTLED_S = 4.0
-#: Ordinary requests a second: six in ten of all places are taken.
+#: Rate of ordinary requests; they take six in ten of all slots.
 LOAD_PER_S = 36.0
 CONTACT_S = edge_rig.BOUNDS.contact.total_seconds()
+#: Seeds and timings below belong to this body: its hash selects servers.
 CRASHING_BODY = b"ends who runs it"
 
 
-#: Moments at which faults strike, in seconds from the first try: just before
-#: and after the ends that decide.
-FAULT_MOMENTS_S = (0.0, 0.15, 0.3, 1.2)
+#: Times of faults, from the first send: just before and after the crashes
+#: that decide about the request.
+FAULT_TIMES_S = (0.0, 0.15, 0.3, 1.2)
 
 
 def _resend(
     fleet: crash_rig.Fleet, gap_s: float, seconds: float
 ) -> Coroutine[Any, Any, None]:
-    """Let the request come to processes drawn at random."""
+    """Send the crashing request to random processes, again and again."""
 
-    async def come() -> None:
+    async def resend() -> None:
         for _ in range(int(seconds / gap_s)):
             await asyncio.sleep(gap_s * fleet.rng.uniform(0.5, 1.5))
             fleet.ask(fleet.rng.choice(list(fleet.nodes)), CRASHING_BODY)
 
-    return come()
+    return resend()
 
 
 def _run(
@@ -59,7 +60,10 @@
     seed: int = 1,
     attempts: int = 2,
 ) -> crash_rig.Fleet:
-    """Play a day in a fleet of five processes and ten servers."""
+    """Run a scenario in a fleet of five processes and ten servers.
+
+    :param attempts: attempts per request that the route allows.
+    """
 
     async def main() -> crash_rig.Fleet:
         random.seed(seed)
@@ -81,7 +85,7 @@
 def _run_resends(
     monkeypatch, seed: int, gap_s: float, attempts: int
 ) -> crash_rig.Fleet:
-    """Let the request come again every ``gap_s`` for half a minute."""
+    """Send the crashing request about every ``gap_s`` for 30 seconds."""
     return _run(
         monkeypatch,
         lambda fleet: _resend(fleet, gap_s, 30.0),
@@ -101,10 +105,10 @@
 def test_request_that_crashes_servers_is_stopped(monkeypatch):
     crashes = {}
     late = {}
-    for play in itertools.product((1, 2), (0.2, 1.0, 3.0), (2, 4)):
-        fleet = _run_resends(monkeypatch, *play)
-        crashes[play] = len(fleet.crash_times(CRASHING_BODY))
-        late[play] = fleet.sends_after_third_crash(CRASHING_BODY)
+    for case in itertools.product((1, 2), (0.2, 1.0, 3.0), (2, 4)):
+        fleet = _run_resends(monkeypatch, *case)
+        crashes[case] = len(fleet.crash_times(CRASHING_BODY))
+        late[case] = fleet.sends_after_third_crash(CRASHING_BODY)
     assert max(crashes.values()) <= 3, crashes
     assert not any(late.values()), late
 
@@ -116,11 +120,11 @@
 
 
 def test_process_that_saw_it_may_be_killed_at_any_moment(monkeypatch):
-    for moment, seed in itertools.product(FAULT_MOMENTS_S, (1, 2)):
+    for fault_s, seed in itertools.product(FAULT_TIMES_S, (1, 2)):
 
-        async def scenario(fleet: crash_rig.Fleet, moment=moment) -> None:
+        async def scenario(fleet: crash_rig.Fleet, fault_s=fault_s) -> None:
             fleet.ask("n0-0", CRASHING_BODY)
-            await asyncio.sleep(moment)
+            await asyncio.sleep(fault_s)
             await fleet.restart("n0-0")
             await _resend(fleet, 0.5, 15.0)
 
@@ -137,11 +141,11 @@
     fleet.cut_off(name)
 
 
-async def _turn_away(fleet: crash_rig.Fleet, name: str) -> None:
+async def _cut_off_from_store(fleet: crash_rig.Fleet, name: str) -> None:
     fleet.cut_off_from_store(name)
 
 
-FAULTS = (_kill, _cut_off, _turn_away)
+FAULTS = (_kill, _cut_off, _cut_off_from_store)
 NODE_FAULTS = list(
     itertools.product(FAULTS, ("n0-0", "n0-1", "n0-2", "n1-0", "n1-1"))
 )
@@ -150,28 +154,31 @@
     for one, two in itertools.combinations(NODE_FAULTS, 2)
     if one[1] != two[1]
 ]
-#: How many placings are left out between two where not all are played; all
-#: 90 at each moment: ``ENDING_MODEL=all pytest THIS-FILE``.
+#: Every how many pairs one is tested. To test all 90 at each time, run
+#: ``ENDING_MODEL=all pytest THIS-FILE``.
 PAIR_STEP = 1 if os.environ.get("ENDING_MODEL") == "all" else 11
-#: Placing in which a process went on after the third end of all: two others
-#: were cut off, and one of the three had ended behind the cut. Ends at 4.09,
-#: 4.19 (told to nobody outside) and 4.89; a send at 8.49.
+#: Pair in which a process went on sending after three crashes: two others were
+#: cut off, and one of the crashes could be seen only by them. Crashes at 4.09,
+#: 4.19 (unknown to the others) and 4.89; a send at 8.49.
 PAIR_WITH_UNREPORTED_CRASH = 51
-#: Placing in which four were needed: behind two cuts the request ended four
-#: servers that those outside saw end without it. Sends of those outside at
-#: 4.00, 4.10, 5.93 and, with i-3, i-5, i-7 and i-9 ended besides, 12.19.
+#: Pair in which four crashes were needed: two processes that were cut off sent
+#: the request to four servers, and the others saw these crash without knowing
+#: about the request. Sends of the others at 4.00, 4.10, 5.93 and, after i-3,
+#: i-5, i-7 and i-9 had crashed, 12.19.
 PAIR_NEEDING_FOUR_CRASHES = 66
 
 
 def test_any_two_faults_at_the_moment_of_a_crash(monkeypatch):
-    """Whoever is not cut off sends it to no more than three servers.
-
-    A process that is cut off finds out by itself, and one that is killed
-    while it runs the request cannot tell whose end that was. What ends
-    behind a cut is seen outside as servers that end at large, so that one
-    more is needed; counted with all that ended there, three sends may be late.
+    """Processes that are not cut off send it to three servers at most.
+
+    One more is allowed for each process that is killed while it handles the
+    request, since it cannot report the crash, and one more if processes are
+    cut off: to the others the crashes there look unrelated to the request,
+    which raises the threshold. Processes that are cut off must find out by
+    themselves, so their own sends do not count. Counted from the third crash
+    of all, including theirs, three sends of the others may be late.
     """
-    for moment in FAULT_MOMENTS_S[1:3]:
+    for fault_s in FAULT_TIMES_S[1:3]:
         for num in sorted(
             {
                 *range(0, len(FAULT_PAIRS), PAIR_STEP),
@@ -181,9 +188,9 @@
         ):
             pair = FAULT_PAIRS[num]
 
-            async def scenario(fleet, moment=moment, pair=pair) -> None:
+            async def scenario(fleet, fault_s=fault_s, pair=pair) -> None:
                 fleet.ask("n0-0", CRASHING_BODY)
-                await asyncio.sleep(moment)
+                await asyncio.sleep(fault_s)
                 for fault, name in pair:
                     await fault(fleet, name)
                 await _resend(fleet, 0.5, 10.0)
@@ -193,19 +200,19 @@
             sends = [one for one in fleet.sends if one.body == CRASHING_BODY]
             others = [one for one in sends if one.node not in cut]
             killed = sum(fault is _kill for fault, _ in pair)
-            at_large = 1 if cut else 0
-            assert len(others) <= 3 + killed + at_large, pair
+            unrelated = 1 if cut else 0
+            assert len(others) <= 3 + killed + unrelated, pair
             late = fleet.sends_after_third_crash(
                 CRASHING_BODY, exclude_nodes=cut
             )
-            assert late <= at_large, pair
-            ends = fleet.crash_times(CRASHING_BODY)
-            since = ends[2] + CONTACT_S if len(ends) > 2 else math.inf
+            assert late <= unrelated, pair
+            crashes = fleet.crash_times(CRASHING_BODY)
+            since = crashes[2] + CONTACT_S if len(crashes) > 2 else math.inf
             assert sum(one.at > since for one in others) <= 3, pair
 
 
 def test_process_that_was_cut_off_learns_of_it(monkeypatch):
-    """Cut off it ends as many as one that knows nothing, and then no more."""
+    """While cut off it may crash three servers itself, and then no more."""
 
     async def scenario(fleet: crash_rig.Fleet) -> None:
         fleet.cut_off("n1-1")
@@ -226,7 +233,7 @@
 
 
 def test_copies_at_all_processes_at_once_crash_one_server_more(monkeypatch):
-    """What nobody has heard of ends a server each; then one for all."""
+    """Each copy of a yet unknown request crashes one server, then one more."""
 
     async def scenario(fleet: crash_rig.Fleet) -> None:
         for name in fleet.nodes:
@@ -253,7 +260,7 @@
 
 
 def test_popular_request_is_not_refused_when_all_servers_crash(monkeypatch):
-    """Copies of one request run everywhere, and every server ends at once."""
+    """Copies of one request run everywhere, and all servers crash at once."""
     popular = b"what many send"
 
     async def scenario(fleet: crash_rig.Fleet) -> None:
--- a/testing/edge/test_retry_policy.py
+++ b/testing/edge/test_retry_policy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What may be sent again and what may be told, for any run of events."""
+"""The retry policy, for any sequence of attempt outcomes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -7,13 +7,13 @@
 
 from lugcross.edge import retry_policy
 
-EVENTS = st.lists(
+OUTCOMES = st.lists(
     st.sampled_from(list(retry_policy.AttemptOutcome)), max_size=8
 )
 
 
 def _play(
-    events: list[retry_policy.AttemptOutcome],
+    outcomes: list[retry_policy.AttemptOutcome],
     *,
     repeatable: bool,
     attempts: int,
@@ -26,46 +26,48 @@
         repeatable=repeatable, max_attempts=attempts
     )
     used = []
-    for event in events:
-        used.append(event)
-        state = retry_policy.state_after(state, event)
-        action = retry_policy.next_action(state, event, retry_available=True)
+    for outcome in outcomes:
+        used.append(outcome)
+        state = retry_policy.state_after(state, outcome)
+        action = retry_policy.next_action(state, outcome, retry_available=True)
         if action is not retry_policy.Action.RETRY:
             return state, action, used
     return state, None, used
 
 
-@given(EVENTS, st.booleans(), st.integers(1, 4))
-def test_never_more_backends_than_the_route_allows(events, rep, attempts):
-    state, _, used = _play(events, repeatable=rep, attempts=attempts)
+@given(OUTCOMES, st.booleans(), st.integers(1, 4))
+def test_never_more_backends_than_the_route_allows(
+    outcomes, repeatable, attempts
+):
+    state, _, used = _play(outcomes, repeatable=repeatable, attempts=attempts)
     unreached = retry_policy.AttemptOutcome.UNREACHED
     assert sum(one is not unreached for one in used) <= attempts
     assert state.attempts_sent <= attempts
 
 
-@given(EVENTS, st.integers(1, 4))
-def test_unrepeatable_is_not_retried_once_it_may_have_run(events, attempts):
-    _, _, used = _play(events, repeatable=False, attempts=attempts)
-    proved = (
+@given(OUTCOMES, st.integers(1, 4))
+def test_unrepeatable_is_not_retried_once_it_may_have_run(outcomes, attempts):
+    _, _, used = _play(outcomes, repeatable=False, attempts=attempts)
+    not_run = (
         retry_policy.AttemptOutcome.NOT_RUN,
         retry_policy.AttemptOutcome.UNREACHED,
     )
-    assert all(one in proved for one in used[:-1])
+    assert all(one in not_run for one in used[:-1])
 
 
-@given(EVENTS, st.integers(1, 4))
-def test_refused_only_where_nothing_ran(events, attempts):
-    _, action, used = _play(events, repeatable=False, attempts=attempts)
+@given(OUTCOMES, st.integers(1, 4))
+def test_refused_only_where_nothing_ran(outcomes, attempts):
+    _, action, used = _play(outcomes, repeatable=False, attempts=attempts)
     if action is retry_policy.Action.REFUSE:
-        ran = (
+        may_have_run = (
             retry_policy.AttemptOutcome.BROKEN,
             retry_policy.AttemptOutcome.FAILED,
         )
-        assert not any(one in ran for one in used)
+        assert not any(one in may_have_run for one in used)
 
 
-@pytest.mark.parametrize("event", list(retry_policy.AttemptOutcome))
-def test_started_answer_is_aborted_and_never_replaced(event):
+@pytest.mark.parametrize("outcome", list(retry_policy.AttemptOutcome))
+def test_started_answer_is_aborted_and_never_replaced(outcome):
     state = retry_policy.RequestState(
         repeatable=True,
         max_attempts=2,
@@ -74,6 +76,6 @@
         answer_started=True,
     )
     assert (
-        retry_policy.final_action(state, event)
+        retry_policy.final_action(state, outcome)
         is retry_policy.Action.ABORT_ANSWER
     )
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Servers that ask for rest, and servers that say that they leave.
+"""Servers that ask for a backoff, and servers that say that they leave.
 
-Five of 16 engines turned everything away for nine seconds and asked whoever
-sent it for 3 s of rest. All processes went on sending to them: what is turned
-away is over within 2 ms, so that these five always looked the least busy, and
-nothing read what they asked for. They got 269 of 375 attempts; 79 of 224
-streams were refused while the other eleven engines had room for them. The
-lines that settled it::
+Five of 16 engines refused all requests for nine seconds and asked each sender
+to back off for 3 s. All processes went on sending to them: a refusal takes
+less than 2 ms, so these five always looked the least busy, and nothing read
+the backoff they asked for. They got 269 of 375 attempts; 79 of 224 streams
+were refused while the other eleven engines had room for them. Log::
 
     6.048 front-didube-hall-1 backend i-cbd32cdf63 event not-run action again
     6.283 front-didube-hall-1 backend i-cbd32cdf63 event not-run action again
@@ -39,31 +38,32 @@
 BACKOFF = datetime.timedelta(seconds=BACKOFF_S)
 SECOND = datetime.timedelta(seconds=1)
 A_MOMENT = datetime.timedelta(milliseconds=100)
-#: What was on its way may still arrive this long after a server has asked.
+#: Requests already in flight may still arrive this long after a server has
+#: asked for a backoff.
 IN_FLIGHT_S = 0.5
-#: Requests that may arrive all the same, by what servers' owners allow.
+#: Further requests during a backoff that the owners of the servers tolerate.
 MAX_IN_FLIGHT = 2
-#: Until every process has read the store and heard of the others, s.
+#: Time until every process has read the store and knows its peers.
 SETTLED_S = 4.0
-#: Ordinary requests a second: four in ten of all places.
+#: Rate of ordinary requests; they take four in ten of all slots.
 LOAD_PER_S = 36.0
 OVERLOAD_S = 9.0
-#: Repeats that all processes may send in ten seconds beyond a fifth of what
-#: callers send.
-REPEAT_SLACK = 90
-#: Requests that were served of the wave while nobody went by refusals.
+#: Retries that all processes together may send in ten seconds, in addition to
+#: a fifth of the callers' requests.
+RETRY_SLACK = 90
+#: Requests that were served of the same load before backoffs were honoured.
 MIN_SERVED = 2478
-#: Part of the requests from which on users want an alert.
+#: Fraction of refused requests above which users want an alert.
 MAX_REFUSED_RATIO = 0.1
 
-TURNS_AWAY = edge_rig.answer(
+REFUSES = edge_rig.answer(
     503, b"", b"Not-Executed: 1", b"Retry-After: 3", seal=False
 )
 SUCCEEDS = edge_rig.answer()
 
 
 def _play(scripts, act, one=edge_rig.SAFE_ROUTE):
-    """Run ``act`` before servers that follow scripts, by a manual clock."""
+    """Run ``act`` with servers that follow scripts, on a manual clock."""
 
     async def main():
         clock = clock_lib.ManualClock()
@@ -89,7 +89,7 @@
             assert (await rig.ask()).status == 200
         return len(rig.backends[0].seen)
 
-    assert _play([[TURNS_AWAY] + [SUCCEEDS] * 5, [SUCCEEDS] * 10], act) > 1
+    assert _play([[REFUSES] + [SUCCEEDS] * 5, [SUCCEEDS] * 10], act) > 1
 
 
 def test_server_that_says_it_leaves_gets_nothing_past_the_drain_bound():
@@ -97,7 +97,7 @@
     leaves = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
 
     async def act(rig, clock):
-        # Whichever is chosen by chance, the first one is to tell it.
+        # Make sure that the first server is chosen and says that it leaves.
         rig.edge_state.broken_group_servers.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
         rig.edge_state.broken_group_servers.report("peer", [])
@@ -110,15 +110,19 @@
 
 
 def _late_sends(
-    fleet: crash_rig.Fleet, rest_s: float = BACKOFF_S
+    fleet: crash_rig.Fleet, backoff_s: float = BACKOFF_S
 ) -> dict[tuple[str, str], int]:
-    """Return the most that any server got in a rest, by who sent it."""
+    """Return the most requests sent during one backoff, by node and server.
+
+    Pairs without any are left out. Requests in flight when the backoff began
+    are not counted.
+    """
     pairs = collections.defaultdict(list)
     for one in fleet.refusals:
         pairs[one.node, one.server].append(one.at)
     most = {
         pair: max(
-            sum(at + IN_FLIGHT_S < late <= at + rest_s for late in moments)
+            sum(at + IN_FLIGHT_S < late <= at + backoff_s for late in moments)
             for at in moments
         )
         for pair, moments in pairs.items()
@@ -127,17 +131,17 @@
 
 
 def _fleet(monkeypatch, seed: int, *, servers: int) -> crash_rig.Fleet:
-    """Return five processes that may repeat as often as users allow."""
+    """Return a fleet of five processes with the users' retry budget."""
     fleet = crash_rig.Fleet(monkeypatch, 3, 2, servers=servers, seed=seed)
     for node in fleet.nodes.values():
         node.edge_state.bounds = msgspec.structs.replace(
-            edge_rig.BOUNDS, repeat_slack=REPEAT_SLACK
+            edge_rig.BOUNDS, repeat_slack=RETRY_SLACK
         )
     return fleet
 
 
 def _shed_load(monkeypatch, seed: int, share: float) -> crash_rig.Fleet:
-    """Let a part of the servers turn everything away for some seconds."""
+    """Let a fraction of the servers refuse all requests for some seconds."""
 
     async def main():
         random.seed(seed)
@@ -169,10 +173,10 @@
         answers = collections.Counter(one.status for one in fleet.answers)
         refused[seed, share] = answers[503] / answers.total()
     assert max(late.values()) <= MAX_IN_FLIGHT, late
-    # With a third of the servers away the others have room for all. The red
-    # code refused 0.43 to 0.53 of the requests.
-    few = [part for (_, share), part in refused.items() if share == 0.3]
-    assert max(few) < MAX_REFUSED_RATIO, refused
+    # If a third of the servers refuse, the others have room for all requests.
+    # Without backoffs 0.43 to 0.53 of the requests were refused.
+    third = [ratio for (_, share), ratio in refused.items() if share == 0.3]
+    assert max(third) < MAX_REFUSED_RATIO, refused
 
 
 def test_request_waiting_for_its_connection_is_not_sent_during_a_backoff():
@@ -183,7 +187,7 @@
 
         async def acquire_late(backend, **kwargs):
             conn = await acquire(backend, **kwargs)
-            # Another request is turned away meanwhile.
+            # Meanwhile another request is refused.
             rig.edge_state.backoffs.start(backend.key, BACKOFF)
             return conn
 
@@ -194,12 +198,12 @@
 
     got = _play([[SUCCEEDS]], act)
     assert got.status == 503
-    # As soon as the server has rested, and spread over a moment.
+    # When the backoff ends, plus jitter.
     assert BACKOFF_S - 0.1 < float(got.headers[b"retry-after"]) < BACKOFF_S + 1
 
 
 def test_caller_is_told_when_the_first_backoff_ends():
-    away = edge_rig.answer(
+    refuses = edge_rig.answer(
         503, b"", b"Not-Executed: 1", b"Retry-After: 2.5", seal=False
     )
 
@@ -210,14 +214,14 @@
         assert [len(one.seen) for one in rig.backends] == [1, 1]
         return first, second
 
-    for got in _play([[TURNS_AWAY], [away]], act):
+    for got in _play([[REFUSES], [refuses]], act):
         assert got.status == 503
         assert b"asked for rest" in got.body
         assert 2.4 <= float(got.headers[b"retry-after"]) < 3.3
 
 
 @pytest.mark.parametrize(
-    "value, rest_s",
+    "value, backoff_s",
     [
         pytest.param(b"3", 3.0, id="seconds"),
         pytest.param(b"0.25", 0.25, id="part-of-a-second"),
@@ -233,9 +237,11 @@
         pytest.param(b"", None, id="empty"),
     ],
 )
-def test_retry_after_is_read_as_seconds(value, rest_s):
+def test_retry_after_is_read_as_seconds(value, backoff_s):
     head = platform.parse_backend_response_head(503, [(b"retry-after", value)])
-    assert head.retry_after == (rest_s and datetime.timedelta(seconds=rest_s))
+    assert head.retry_after == (
+        backoff_s and datetime.timedelta(seconds=backoff_s)
+    )
 
 
 @pytest.mark.parametrize("status", [200, 202, 302, 404, 421])
@@ -270,7 +276,7 @@
 
 def test_server_on_probation_is_probed_again_after_its_caller_leaves():
     async def act(rig, clock):
-        # Turned away and rested; the trial's caller leaves before its answer.
+        # After the backoff, the caller of the probe leaves before its answer.
         health = rig.edge_state.loads.health(KEY)
         health.record_backoff(clock.monotonic())
         clock.advance(A_MOMENT)
@@ -297,7 +303,7 @@
 
     async def act(rig, clock):
         first, second = rig.backends
-        # The second one is broken until the first has told that it leaves.
+        # The second server is avoided until the first has said that it leaves.
         rig.edge_state.broken_group_servers.report("peer", [OTHER])
         assert (await rig.ask()).status == 200
         rig.edge_state.broken_group_servers.report("peer", [])
@@ -407,16 +413,16 @@
     async def act(rig, clock):
         await rig.ask()
         clock.advance(BACKOFF)
-        trial = asyncio.create_task(rig.ask())
+        probe = asyncio.create_task(rig.ask())
         await rig.backends[0].request_received.wait()
         while len(rig.backends[0].seen) < 2:
             await asyncio.sleep(0)
         others = [await rig.ask() for _ in range(3)]
-        trial.cancel()
+        probe.cancel()
         return others, len(rig.backends[0].seen)
 
     others, seen = _play(
-        [[TURNS_AWAY, edge_rig.never_answer, SUCCEEDS, SUCCEEDS, SUCCEEDS]],
+        [[REFUSES, edge_rig.never_answer, SUCCEEDS, SUCCEEDS, SUCCEEDS]],
         act,
     )
     assert seen == 2
@@ -435,14 +441,14 @@
     assert _play([[SAYS_LEAVING], [SUCCEEDS]], act) == [KEY]
 
 
-def _overload_waves(monkeypatch, seed: int, rest_s: float | None):
-    """Overload few servers, which turn away what they have no slot for."""
+def _overload_waves(monkeypatch, seed: int, backoff_s: float | None):
+    """Overload one, two and all servers by taking most of their slots away."""
 
     async def main():
         random.seed(seed)
         fleet = _fleet(monkeypatch, seed, servers=10)
         for one in fleet.servers:
-            one.backoff_when_full_s = rest_s
+            one.backoff_when_full_s = backoff_s
         fleet.start()
         await asyncio.sleep(SETTLED_S)
         with fleet.under_load(LOAD_PER_S):
@@ -465,20 +471,23 @@
     monkeypatch,
 ):
     served = {}
-    for seed, rest_s in itertools.product((1, 2, 3), (None, 1.0)):
-        fleet = _overload_waves(monkeypatch, seed, rest_s)
+    for seed, backoff_s in itertools.product((1, 2, 3), (None, 1.0)):
+        fleet = _overload_waves(monkeypatch, seed, backoff_s)
         answers = collections.Counter(one.status for one in fleet.answers)
-        served[seed, rest_s] = answers[200]
-        if rest_s:
-            assert not _late_sends(fleet, rest_s), (seed, rest_s)
-    # As many at least as were served with the same seeds, without rests, by
-    # the code that sent to these servers again at once; 2487 now.
-    with_rest = sum(n for (_, rest_s), n in served.items() if rest_s)
-    assert with_rest >= MIN_SERVED, served
+        served[seed, backoff_s] = answers[200]
+        if backoff_s:
+            assert not _late_sends(fleet, backoff_s), (seed, backoff_s)
+    # At least as many as were served with the same seeds when requests were
+    # sent to these servers again at once.
+    with_backoff = sum(n for (_, backoff_s), n in served.items() if backoff_s)
+    assert with_backoff >= MIN_SERVED, served
 
 
 def _refused_ratio(monkeypatch, seed: int) -> float:
-    """Return the part refused while a third takes nothing, without a time."""
+    """Return the fraction refused while five of 16 servers have no slots.
+
+    These servers refuse without asking for a backoff.
+    """
 
     async def main():
         random.seed(seed)
@@ -498,7 +507,8 @@
 
 
 def test_servers_that_only_turn_away_do_not_draw_the_load(monkeypatch):
-    # They look idle, too: 0.84 to 0.85 were refused while that counted, 0.38
-    # to 0.40 since they are left alone for up to 0.8 s after each refusal.
+    # These servers look idle: 0.84 to 0.85 of the requests were refused while
+    # they kept attracting load, 0.38 to 0.40 since they are avoided for up to
+    # 0.8 s after each refusal.
     refused = [_refused_ratio(monkeypatch, seed) for seed in (1, 2, 3)]
     assert max(refused) < MAX_REFUSED_RATIO, refused
--- a/testing/edge/test_unreported_requests.py
+++ b/testing/edge/test_unreported_requests.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests peers have sent unseen is estimated with a small error.
+"""Accuracy of the estimate of requests that peers have not reported yet.
 
-Each fleet is played in time moved by hand: every process gets requests at
-random and tells its peers every 50 ms (those of its domain) or 200 ms, and
-one process's estimate is held against what it really has not heard of.
+Each fleet is simulated on a manual clock: every process gets requests at
+random and reports to its peers every 50 ms (same failure domain) or 200 ms.
+One process's estimate is compared with the actual number.
 """
 
 import dataclasses
@@ -20,7 +20,7 @@
 MS = datetime.timedelta(milliseconds=1)
 SERVICE = ids.ServiceName("s")
 KEY = desired.BackendKey("i-1")
-#: Time from one beat to the next, nearby and to other domains.
+#: Heartbeat interval within a failure domain and to other domains.
 SAME_DOMAIN_GAP_MS, OTHER_DOMAIN_GAP_MS = 50, 200
 REQUEST_MS = 1700
 
@@ -29,17 +29,20 @@
 class _Peer:
     same_domain: bool
     starts: list[int]
-    told_at: int = 0
+    reported_at: int = 0
 
     def running(self, at: int) -> int:
         return sum(1 for one in self.starts if at - REQUEST_MS < one <= at)
 
     def unreported(self) -> int:
-        return sum(1 for one in self.starts if one > self.told_at)
+        return sum(1 for one in self.starts if one > self.reported_at)
 
 
 class _Fleet:
-    """One process's view of its peers' requests."""
+    """One process and its simulated peers.
+
+    :param rate: requests per second of all peers together.
+    """
 
     def __init__(self, peers: int, rate: float, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -52,7 +55,7 @@
             _Peer(same_domain=num % 5 == 0, starts=[]) for num in range(peers)
         ]
         self.errors: list[float] = []
-        self.truth: list[int] = []
+        self.actual: list[int] = []
 
     def run(self, end: int) -> None:
         for now in range(end):
@@ -60,17 +63,17 @@
             for num, peer in enumerate(self.peers):
                 self._step(num, peer, now)
             if now > 1000 and now % 20 == 0:
-                truth = sum(peer.unreported() for peer in self.peers)
-                seen = self.loads.unreported_requests(SERVICE)
-                self.truth.append(truth)
-                self.errors.append(seen - truth)
+                actual = sum(peer.unreported() for peer in self.peers)
+                estimate = self.loads.unreported_requests(SERVICE)
+                self.actual.append(actual)
+                self.errors.append(estimate - actual)
 
     def _step(self, num: int, peer: _Peer, now: int) -> None:
         if self.rng.random() < self.rate:
             peer.starts.append(now)
         gap = SAME_DOMAIN_GAP_MS if peer.same_domain else OTHER_DOMAIN_GAP_MS
         if (now + 7 * num) % gap == 0:
-            peer.told_at = now
+            peer.reported_at = now
             running = peer.running(now)
             counts = {KEY: running} if running else {}
             self.loads.record_peer_requests(
@@ -78,31 +81,31 @@
             )
 
 
-#: Peers, requests a second, and the typical error as a part of the mean. Of
-#: the few requests that seven processes have unseen chance alone moves the
-#: number by two thirds.
+#: Peers, requests per second, and the allowed mean error relative to the mean
+#: number of unreported requests. With seven processes there are so few of them
+#: that they vary by two thirds by chance alone.
 FLEETS = [(6, 40.0, 1.05), (28, 80.0, 0.5), (98, 240.0, 0.35)]
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize(("peers", "rate", "most"), FLEETS, ids=str)
+@pytest.mark.parametrize(("peers", "rate", "max_error"), FLEETS, ids=str)
 def test_estimate_is_near_what_was_sent(
-    peers: int, rate: float, most: float, seed: int
+    peers: int, rate: float, max_error: float, seed: int
 ):
-    """The typical error stays under a part of the mean.
+    """The mean error is small compared with the mean number.
 
-    Taking each peer to have sent as many as this process in 60 ms was off
-    by 1.1 to 1.5 times the mean at each of these sizes.
+    An earlier estimate, that each peer had sent as many requests as this
+    process in 60 ms, was off by 1.1 to 1.5 times the mean for these fleets.
     """
     fleet = _Fleet(peers, rate, seed)
     fleet.run(4000)
-    mean = sum(fleet.truth) / len(fleet.truth)
+    mean = sum(fleet.actual) / len(fleet.actual)
     bias = sum(fleet.errors) / len(fleet.errors)
-    typical = sum(map(abs, fleet.errors)) / len(fleet.errors)
-    # Without requests unseen the test would say nothing.
+    mean_error = sum(map(abs, fleet.errors)) / len(fleet.errors)
+    # Without unreported requests the test would prove nothing.
     assert mean > 2.0
     assert abs(bias) < 0.4 * mean
-    assert typical < most * mean
+    assert mean_error < max_error * mean
 
 
 def test_nothing_is_unreported_after_an_idle_second():
--- a/testing/membership/test_duty_holders.py
+++ b/testing/membership/test_duty_holders.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Duties: one fence at a time counts, whoever sleeps or races."""
+"""Duties: one fencing token is valid at a time, despite pauses and races."""
 
 import hypothesis
 from hypothesis import stateful
@@ -77,7 +77,7 @@
 
 
 class DutyMachine(stateful.RuleBasedStateMachine):
-    """Nodes that see different lives, sleep, restart and race."""
+    """Nodes that disagree on who is alive, pause, restart and race."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -115,7 +115,7 @@
 
     @stateful.rule(node=st.sampled_from(NODES))
     def order(self, node: ids.NodeName) -> None:
-        """A node that believes that it holds the duty gives an order."""
+        """Let a node that believes that it holds the duty give an order."""
         held = self.views[node].holder(DUTY)
         if held is None or held.incarnation != self.incarnation(node):
             return
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Choice, subsets, rendezvous hashing and the retry budget."""
+"""Server choice, subsets, rendezvous hashing, retry budget and health."""
 
 import collections
 import dataclasses
--- a/testing/routing/test_windowed_retry_budget.py
+++ b/testing/routing/test_windowed_retry_budget.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The repeat budget, for any run of requests and repeats."""
+"""The windowed retry budget, for any sequence of requests and retries."""
 
 import datetime
 
@@ -20,39 +20,39 @@
 def test_retries_of_any_window_stay_within_the_ratio(steps):
     budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     now = 0.0
-    asked: list[float] = []
-    spent: list[float] = []
-    for gap, asks in steps:
+    requests: list[float] = []
+    retries: list[float] = []
+    for gap, is_request in steps:
         now += gap
-        moment = datetime.timedelta(seconds=now)
-        if asks:
-            budget.record_request(moment)
-            asked.append(now)
-        elif budget.try_spend(moment):
-            spent.append(now)
+        instant = datetime.timedelta(seconds=now)
+        if is_request:
+            budget.record_request(instant)
+            requests.append(now)
+        elif budget.try_spend(instant):
+            retries.append(now)
             assert _retries_in_window(
-                spent, now
-            ) <= 1 + RATIO * _requests_within(asked, now, 1)
-        # Requests leave a window that goes on past its last repeat; they
-        # are in the one before it.
-        assert _retries_in_window(spent, now) <= 1 + RATIO * _requests_within(
-            asked, now, 2
-        )
+                retries, now
+            ) <= 1 + RATIO * _requests_within(requests, now, 1)
+        # Requests that have left the window since its last retry are in the
+        # window before it.
+        assert _retries_in_window(
+            retries, now
+        ) <= 1 + RATIO * _requests_within(requests, now, 2)
 
 
-def _retries_in_window(spent: list[float], now: float) -> int:
-    """Return how many repeats lie in the last window."""
-    return sum(1 for time in spent if now - time < WINDOW_S)
+def _retries_in_window(retries: list[float], now: float) -> int:
+    """Return the number of retries in the last window."""
+    return sum(1 for time in retries if now - time < WINDOW_S)
 
 
-def _requests_within(asked: list[float], now: float, windows: int) -> int:
-    """Return how many requests lie in the last windows, edges included."""
-    return sum(1 for time in asked if now - time <= windows * WINDOW_S)
+def _requests_within(requests: list[float], now: float, windows: int) -> int:
+    """Return the number of requests in the last windows, edges included."""
+    return sum(1 for time in requests if now - time <= windows * WINDOW_S)
 
 
 def test_requests_may_leave_the_window_after_its_last_retry():
-    # At 9 s the second repeat is allowed by seven requests; at 11 s the
-    # window still holds both repeats, and two of the requests.
+    # At 9 s seven requests allow the second retry. At 11 s the window still
+    # holds both retries, but only two of the requests.
     budget = routing.WindowedRetryBudget(ratio=RATIO, window_s=WINDOW_S)
     for now in (0, 0, 0, 0, 0, 1):
         budget.record_request(datetime.timedelta(seconds=now))
@@ -75,12 +75,12 @@
         for _ in range(8)
     ]
     now = datetime.timedelta()
-    spent = sum(
+    retries = sum(
         budget.try_spend(now, peers=7)
         for budget in budgets
         for _ in range(100)
     )
-    assert 8 < spent <= 80
+    assert 8 < retries <= 80
 
 
 def test_process_without_known_peers_uses_no_slack():
--- a/testing/shares/test_fair_queue.py
+++ b/testing/shares/test_fair_queue.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Fair queue: shares in tokens, whatever the rivals send."""
+"""Fair queue: shares in tokens, whatever competing groups send."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 WEIGHTS = {"x": 3.0, "y": 1.0, "z": 1.0}
 
 
-def ticket(
+def request(
     uid: object, group: str, cost: int = 10, workspace: str = "w"
 ) -> shares.QueuedRequest:
     return shares.QueuedRequest(
@@ -27,7 +27,7 @@
     return shares.FairQueue(lambda group: WEIGHTS[group])
 
 
-def taken_cost(queue: shares.FairQueue, budget: int) -> dict[str, int]:
+def served_cost(queue: shares.FairQueue, budget: int) -> dict[str, int]:
     got = dict.fromkeys(WEIGHTS, 0)
     while sum(got.values()) < budget:
         one = queue.pop()
@@ -40,9 +40,9 @@
     queue: shares.FairQueue,
 ) -> None:
     for num in range(400):
-        queue.push(ticket(f"x{num}", "x", 10))
-        queue.push(ticket(f"y{num}", "y", 100))
-    got = taken_cost(queue, 4000)
+        queue.push(request(f"x{num}", "x", 10))
+        queue.push(request(f"y{num}", "y", 100))
+    got = served_cost(queue, 4000)
     assert got["x"] / got["y"] == pytest.approx(3.0, rel=0.1)
 
 
@@ -50,9 +50,9 @@
     queue: shares.FairQueue,
 ) -> None:
     for num in range(200):
-        queue.push(ticket(f"y{num}", "y", 10, workspace=f"w{num % 20}"))
-        queue.push(ticket(f"z{num}", "z", 10))
-    got = taken_cost(queue, 2000)
+        queue.push(request(f"y{num}", "y", 10, workspace=f"w{num % 20}"))
+        queue.push(request(f"z{num}", "z", 10))
+    got = served_cost(queue, 2000)
     assert got["y"] == pytest.approx(got["z"], abs=20)
 
 
@@ -60,9 +60,9 @@
     queue: shares.FairQueue,
 ) -> None:
     for num in range(90):
-        queue.push(ticket(f"a{num}", "x", 10, workspace="loud"))
+        queue.push(request(f"a{num}", "x", 10, workspace="loud"))
     for num in range(10):
-        queue.push(ticket(f"b{num}", "x", 10, workspace="quiet"))
+        queue.push(request(f"b{num}", "x", 10, workspace="quiet"))
     first = [queue.pop() for _ in range(20)]
     quiet = [one for one in first if one and one.workspace == "quiet"]
     assert len(quiet) == 10
@@ -72,11 +72,11 @@
     queue: shares.FairQueue,
 ) -> None:
     for num in range(100):
-        queue.push(ticket(f"y{num}", "y", 10))
-    taken_cost(queue, 500)
+        queue.push(request(f"y{num}", "y", 10))
+    served_cost(queue, 500)
     for num in range(100):
-        queue.push(ticket(f"z{num}", "z", 10))
-    got = taken_cost(queue, 400)
+        queue.push(request(f"z{num}", "z", 10))
+    got = served_cost(queue, 400)
     assert got["z"] == pytest.approx(got["y"], abs=20)
 
 
@@ -84,8 +84,8 @@
     queue: shares.FairQueue,
 ) -> None:
     for num in range(300):
-        queue.push(ticket(f"y{num}", "y", 10))
-        queue.push(ticket(f"z{num}", "z", 10))
+        queue.push(request(f"y{num}", "y", 10))
+        queue.push(request(f"z{num}", "z", 10))
     used = {"y": 0, "z": 0}
     for _ in range(200):
         one = queue.pop()
@@ -114,7 +114,7 @@
     waiting: dict[str, shares.QueuedRequest] = {}
     for num, (op, group, cost) in enumerate(ops):
         if op == "push":
-            waiting[str(num)] = ticket(num, group, cost)
+            waiting[str(num)] = request(num, group, cost)
             queue.push(waiting[str(num)])
         elif op == "pop":
             one = queue.pop()
@@ -140,7 +140,7 @@
     left = {"x": len(xs), "y": len(ys)}
     for name, costs in (("x", xs), ("y", ys)):
         for num, cost in enumerate(costs):
-            queue.push(ticket(f"{name}{num}", name, cost))
+            queue.push(request(f"{name}{num}", name, cost))
     got = {"x": 0.0, "y": 0.0}
     bound = max(xs) / WEIGHTS["x"] + max(ys) / WEIGHTS["y"]
     while all(left.values()):
@@ -148,5 +148,5 @@
         assert one is not None
         left[one.group] -= 1
         got[one.group] += one.cost / WEIGHTS[one.group]
-        # The classic bound of start-time fair queueing.
+        # The fairness bound of start-time fair queueing.
         assert abs(got["x"] - got["y"]) <= bound
--- a/testing/support/crash_rig.py
+++ b/testing/support/crash_rig.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A small fleet before servers that some requests end, in virtual time.
+"""Simulated fleet with servers that some requests crash, in virtual time.
 
-Processes are whole but for their sockets: handler, knowledge, datagrams and
-followers of the store. Servers work, end, and start again with a new id.
+Everything in the edge processes is real except their sockets: request handler,
+state, heartbeats and store followers. The servers run requests, crash, and
+restart with a new id.
 """
 
 import asyncio
@@ -25,21 +26,21 @@
 from lugcross import http1
 from lugcross import platform
 
-#: How long an ordinary request runs, in seconds.
+#: Run time of an ordinary request.
 REQUEST_S = 1.0
-#: How long a server runs a request that ends it, in seconds.
+#: Time from the start of a crashing request to the crash.
 CRASH_AFTER_S = 0.09
-#: From the end of a server until its next life, in seconds.
+#: Time from a crash until the server is back under a new id.
 RESTART_S = 3.0
-#: From the end of a server until its entry goes, in seconds.
+#: Time from a crash until the server's entry is removed from the store.
 ENTRY_REMOVED_AFTER_S = 2.0
 SLOTS_PER_SERVER = 6
 _LATENCY_S = 0.001
 _SERVER_PORT = 80
-#: How often an ordinary caller tries, and when it comes back, in seconds.
-_MAX_TRIES = 3
+#: Attempts of an ordinary caller, and the delay before each retry.
+_MAX_CALLER_ATTEMPTS = 3
 _RETRY_DELAY_RANGE_S = (0.2, 1.0)
-#: The process that carries the request of a task.
+#: Name of the edge process that handles the request of the current task.
 _current_node = contextvars.ContextVar("node", default="")
 _KEYS = ("key-a", "key-b", "key-c")
 
@@ -73,29 +74,44 @@
 
 @dataclasses.dataclass(eq=False)
 class Server:
-    """One place at which servers run, one life after the other."""
-
-    place: int
+    """A backend server; it gets a new name each time it starts.
+
+    :param index: determines its host address and failure domain.
+    :param name: id of the current life.
+    :param up: whether it is running.
+    :param running: number of requests in progress.
+    :param backoff_s: if set, it refuses all requests and asks for a backoff
+        of this length.
+    :param backoff_when_full_s: backoff that it asks for when it has no free
+        slot; None to refuse without one.
+    :param slots: requests that it runs at once.
+    :param leaving: whether its answers say that it is leaving.
+    :param crashed: set when the current life crashes.
+    """
+
+    index: int
     name: str = ""
     up: bool = False
     running: int = 0
-    #: What it answers instead of running requests, in seconds of rest.
     backoff_s: float | None = None
-    #: For how long it asks for rest where it has no slot, in seconds.
     backoff_when_full_s: float | None = None
     slots: int = SLOTS_PER_SERVER
-    #: Whether it says in its answers that it is leaving.
     leaving: bool = False
     crashed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     @property
     def host(self) -> str:
-        return f"10.0.0.{self.place + 1}"
+        return f"10.0.0.{self.index + 1}"
 
 
 @dataclasses.dataclass(frozen=True)
 class Send:
-    """A request that reached a server."""
+    """A request that reached a server.
+
+    :param at: virtual time, in seconds.
+    :param node: edge process that sent it.
+    :param server: id of the server's life.
+    """
 
     at: float
     body: bytes
@@ -105,7 +121,12 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a caller was told."""
+    """The answer to a request.
+
+    :param at: when the request was sent, in seconds of virtual time.
+    :param body: body of the request.
+    :param text: body of the answer.
+    """
 
     at: float
     body: bytes
@@ -114,7 +135,7 @@
 
 
 class _FakeConn:
-    """Takes the place of :class:`lugcross.http1.ClientConn`."""
+    """Fake of :class:`lugcross.http1.ClientConn`."""
 
     closing = False
     has_unread_data = False
@@ -186,7 +207,7 @@
 
 
 class _RecordedExchange:
-    """Takes what a caller is told."""
+    """Exchange that records the answer to a caller."""
 
     def __init__(self, answer: Answer) -> None:
         self._answer = answer
@@ -200,7 +221,14 @@
 
 
 class Fleet(fleet_rig.Fleet):
-    """Processes and servers; ``crashing_bodies`` end who runs them."""
+    """Edge processes and the servers behind them.
+
+    :ivar crashing_bodies: bodies of the requests that crash servers.
+    :ivar sends: requests that servers started to run.
+    :ivar refusals: requests that servers refused, asking for a backoff.
+    :ivar crashes: times and server ids of all crashes.
+    :ivar answers: answers to all requests.
+    """
 
     def __init__(
         self,
@@ -213,7 +241,6 @@
         super().__init__(monkeypatch, *domains)
         self.crashing_bodies: set[bytes] = set()
         self.sends: list[Send] = []
-        #: Requests that servers turned away and asked for rest.
         self.refusals: list[Send] = []
         self.crashes: list[tuple[float, str]] = []
         self.answers: list[Answer] = []
@@ -221,7 +248,7 @@
         self._ordinary: set[asyncio.Task[None]] = set()
         self._tasks: dict[str, set[asyncio.Task[Answer]]] = {}
         self.rng = random.Random(seed)
-        self.servers = [Server(place) for place in range(servers)]
+        self.servers = [Server(index) for index in range(servers)]
         self._by_host = {one.host: one for one in self.servers}
         monkeypatch.setattr(http1, "connect", self._connect)
         self.store.standin.append(
@@ -240,13 +267,13 @@
         value = edge_rig.backend_entry(
             "app",
             f"{server.host}:{_SERVER_PORT}",
-            f"d{server.place % 2}",
+            f"d{server.index % 2}",
             slots=SLOTS_PER_SERVER,
         )
         self.store.standin.append(platform.BACKENDS_TOPIC, server.name, value)
 
     def crash(self, server: Server) -> None:
-        """End a server as a crash does; it is back after some seconds."""
+        """Crash a server; it restarts after :data:`RESTART_S`."""
         if not server.up:
             return
         loop = asyncio.get_running_loop()
@@ -263,38 +290,38 @@
         loop.call_later(RESTART_S, self._start_server, server)
 
     async def crash_repeatedly(self, gap_s: float, count: int) -> None:
-        """End some servers again and again, whatever they run."""
+        """Crash ``count`` random servers about every ``gap_s`` seconds."""
         while True:
             await asyncio.sleep(gap_s * self.rng.uniform(0.5, 1.5))
             for one in self.rng.sample(self.servers, count):
                 self.crash(one)
 
     async def restart(self, name: str) -> None:
-        """Kill a process with all that it carries, and start it again."""
+        """Kill an edge process with its requests, and start it again."""
         for task in list(self._tasks.get(name, ())):
             task.cancel()
         await super().restart(name)
 
     async def restart_all(self) -> None:
-        """Start all processes anew, knowing nothing of before."""
+        """Restart all edge processes; they lose their state."""
         for name in list(self.nodes):
             await self.restart(name)
 
     def is_crashing(self, body: bytes) -> bool:
-        """Tell whether a request ends who runs it."""
+        """Return whether a request crashes servers."""
         return body in self.crashing_bodies
 
     def run_s(self, body: bytes) -> float:
-        """Return how long a request runs."""
+        """Return the run time of a request."""
         return CRASH_AFTER_S if self.is_crashing(body) else REQUEST_S
 
     def record_send(self, body: bytes, server: Server) -> None:
-        """Note that a server has begun a request."""
+        """Record that a server has started to run a request."""
         now = asyncio.get_running_loop().time()
         self.sends.append(Send(now, body, _current_node.get(), server.name))
 
     def record_refusal(self, body: bytes, server: Server) -> None:
-        """Note that a server wants no request for a while."""
+        """Record that a server has refused a request and asked to back off."""
         now = asyncio.get_running_loop().time()
         self.refusals.append(Send(now, body, _current_node.get(), server.name))
 
@@ -309,11 +336,11 @@
         return _FakeConn(self, server)
 
     def ask(self, node: str, body: bytes, key: str = _KEYS[0]) -> None:
-        """Send a request to a process; its answer comes to ``answers``."""
+        """Start a request to an edge process; see :attr:`answers`."""
         task = asyncio.create_task(self._run_request(node, body, key))
-        mine = self._tasks.setdefault(node, set())
-        mine.add(task)
-        task.add_done_callback(mine.discard)
+        tasks = self._tasks.setdefault(node, set())
+        tasks.add(task)
+        task.add_done_callback(tasks.discard)
 
     async def _run_request(self, name: str, body: bytes, key: str) -> Answer:
         clock = virtual_time.LoopClock()
@@ -348,8 +375,8 @@
     async def _send_until_served(
         self, name: str, body: bytes, key: str
     ) -> None:
-        """Send an ordinary request again until it is served."""
-        for _ in range(_MAX_TRIES):
+        """Act as a caller that retries a request until it is served."""
+        for _ in range(_MAX_CALLER_ATTEMPTS):
             answer = await self._run_request(name, body, key)
             if answer.status == http.HTTPStatus.OK:
                 return
@@ -357,7 +384,7 @@
             name = self.rng.choice(list(self.nodes))
 
     async def ordinary_load(self, per_s: float) -> None:
-        """Send ordinary requests to all processes until cancelled."""
+        """Send ordinary requests to random processes until cancelled."""
         for num in itertools.count():
             await asyncio.sleep(self.rng.expovariate(per_s))
             name = self.rng.choice(list(self.nodes))
@@ -370,7 +397,7 @@
 
     @contextlib.contextmanager
     def under_load(self, per_s: float) -> Iterator[None]:
-        """Send ordinary requests meanwhile."""
+        """Send ordinary requests while the context is active."""
         task = asyncio.create_task(self.ordinary_load(per_s))
         try:
             yield
@@ -380,9 +407,9 @@
     def crash_times(
         self, body: bytes, *, exclude_nodes: Collection[str] = ()
     ) -> list[float]:
-        """Return when servers ended under a request, first one first.
+        """Return the times of crashes under a request, in order.
 
-        :param exclude_nodes: processes whose sends do not count.
+        :param exclude_nodes: edge processes whose sends do not count.
         """
         ran = {
             one.server
@@ -394,15 +421,17 @@
     def sends_after_third_crash(
         self, body: bytes, *, exclude_nodes: Collection[str] = ()
     ) -> int:
-        """Return its sends later than the bound after its third end.
+        """Return the number of sends of a request after its third crash.
+
+        Sends within the contact bound after that crash are allowed.
 
-        :param exclude_nodes: processes whose sends do not count.
+        :param exclude_nodes: edge processes whose sends do not count.
         """
-        ends = self.crash_times(body, exclude_nodes=exclude_nodes)
-        if len(ends) < 3:
+        crash_times = self.crash_times(body, exclude_nodes=exclude_nodes)
+        if len(crash_times) < 3:
             return 0
         contact: datetime.timedelta = edge_rig.BOUNDS.contact
-        since = ends[2] + contact.total_seconds()
+        since = crash_times[2] + contact.total_seconds()
         return sum(
             one.at > since and one.node not in exclude_nodes
             for one in self.sends
