--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -108,13 +108,15 @@
         if self.cleared_at is None:
             return self.crashes
         return tuple(
-            one for one in self.crashes if one.crashed_at > self.cleared_at
+            crash
+            for crash in self.crashes
+            if crash.crashed_at > self.cleared_at
         )
 
     @property
     def changed_at(self) -> clock_lib.Instant:
         """Time of the latest crash or completion."""
-        times = [one.crashed_at for one in self.crashes]
+        times = [crash.crashed_at for crash in self.crashes]
         if self.cleared_at is not None:
             times.append(self.cleared_at)
         return max(times)
@@ -126,13 +128,14 @@
         one server the earlier is kept: a process that was suspended dates
         what it observed too late.
         """
-        crashes = {one.server: one for one in self.crashes}
-        for one in other.crashes:
-            known = crashes.get(one.server)
-            if known is None or one.crashed_at < known.crashed_at:
-                crashes[one.server] = one
+        crashes = {crash.server: crash for crash in self.crashes}
+        for crash in other.crashes:
+            known = crashes.get(crash.server)
+            if known is None or crash.crashed_at < known.crashed_at:
+                crashes[crash.server] = crash
         kept = sorted(
-            crashes.values(), key=lambda one: (one.crashed_at, one.server)
+            crashes.values(),
+            key=lambda crash: (crash.crashed_at, crash.server),
         )
         cleared = [
             t for t in (self.cleared_at, other.cleared_at) if t is not None
@@ -188,7 +191,7 @@
     def merge(self, record: SuspectRecord, now: clock_lib.Instant) -> bool:
         """Merge a record of a peer or the store; return whether it is new."""
         crashes = tuple(
-            one for one in record.crashes if not self._is_disproved(one)
+            crash for crash in record.crashes if not self._is_disproved(crash)
         )
         record = dataclasses.replace(record, crashes=crashes)
         before = self._records.get(record.request)
@@ -220,7 +223,9 @@
         self._answered_since[server] = since
         for request, record in list(self._records.items()):
             left = tuple(
-                one for one in record.crashes if not self._is_disproved(one)
+                crash
+                for crash in record.crashes
+                if not self._is_disproved(crash)
             )
             if left or record.cleared_at is not None:
                 self._records[request] = dataclasses.replace(
@@ -233,9 +238,9 @@
     def _crashed_servers(self) -> frozenset[str]:
         if self._crashed_servers_cache is None:
             self._crashed_servers_cache = frozenset(
-                one.server
+                crash.server
                 for record in self._records.values()
-                for one in record.crashes
+                for crash in record.crashes
             )
         return self._crashed_servers_cache
 
@@ -256,13 +261,14 @@
         record = self._records.get(request)
         if record is None:
             return []
-        servers = {one.server for one in record.crashes_since_cleared}
+        servers = {crash.server for crash in record.crashes_since_cleared}
         return [
             other.request
             for other in self._records.values()
             if other.request != request
             and any(
-                one.server in servers for one in other.crashes_since_cleared
+                crash.server in servers
+                for crash in other.crashes_since_cleared
             )
         ]
 
@@ -283,10 +289,10 @@
         if record is None:
             return []
         return _sequential_crashes(
-            one
-            for one in record.crashes_since_cleared
-            if one.software in software_versions
-            and one.crashed_at > now - SUSPICION_TTL
+            crash
+            for crash in record.crashes_since_cleared
+            if crash.software in software_versions
+            and crash.crashed_at > now - SUSPICION_TTL
         )
 
     def status(
@@ -328,33 +334,34 @@
         Crashes under requests cleared since then are included: the servers
         did crash.
         """
-        servers = {one.server for one in crashes}
+        servers = {crash.server for crash in crashes}
         return {
             other.server
             for record in self._records.values()
             for other in record.crashes
             if other.server not in servers
             and any(
-                abs(one.crashed_at - other.crashed_at) < UNRELATED_CRASH_WINDOW
-                for one in crashes
+                abs(crash.crashed_at - other.crashed_at)
+                < UNRELATED_CRASH_WINDOW
+                for crash in crashes
             )
         }
 
     def _is_only_explanation(self, crashes: Collection[ServerCrash]) -> bool:
         """Return whether only one request can have caused all ``crashes``."""
-        shortest = min(one.ran_for for one in crashes)
-        longest = max(one.ran_for for one in crashes)
+        shortest = min(crash.ran_for for crash in crashes)
+        longest = max(crash.ran_for for crash in crashes)
         if (
             shortest < MIN_RUN_TIME_RATIO * longest
             and longest - shortest > RUN_TIME_TOLERANCE
         ):
             return False
-        servers = {one.server for one in crashes}
+        servers = {crash.server for crash in crashes}
         server_sets = (
-            {one.server for one in record.crashes_since_cleared}
+            {crash.server for crash in record.crashes_since_cleared}
             for record in self._records.values()
         )
-        return sum(servers <= found for found in server_sets) == 1
+        return sum(servers <= others for others in server_sets) == 1
 
     def _is_disproved(self, crash: ServerCrash) -> bool:
         since = self._answered_since.get(crash.server)
@@ -377,12 +384,12 @@
     Times come from different processes, so a run may seem to begin slightly
     before the crash that it followed.
     """
-    found: list[ServerCrash] = []
-    for one in sorted(crashes, key=lambda crash: crash.crashed_at):
+    sequential: list[ServerCrash] = []
+    for crash in sorted(crashes, key=lambda crash: crash.crashed_at):
         if (
-            not found
-            or one.crashed_at - one.ran_for
-            >= found[-1].crashed_at - RUN_TIME_TOLERANCE
+            not sequential
+            or crash.crashed_at - crash.ran_for
+            >= sequential[-1].crashed_at - RUN_TIME_TOLERANCE
         ):
-            found.append(one)
-    return found
+            sequential.append(crash)
+    return sequential
--- a/src/lugcross/edge/avoided_servers.py
+++ b/src/lugcross/edge/avoided_servers.py
@@ -59,10 +59,10 @@
         for reporter, (_, at) in list(self._reports.items()):
             if now - at >= _REPORT_MAX_AGE:
                 del self._reports[reporter]
-        found: frozenset[desired.BackendKey] = frozenset().union(
+        servers: frozenset[desired.BackendKey] = frozenset().union(
             *(keys for keys, _ in self._reports.values())
         )
-        if found != self._servers:
-            self._servers = found
-        ends = [at + _REPORT_MAX_AGE for _, at in self._reports.values()]
-        self._valid_until = min(ends, default=datetime.timedelta.max)
+        if servers != self._servers:
+            self._servers = servers
+        expiries = [at + _REPORT_MAX_AGE for _, at in self._reports.values()]
+        self._valid_until = min(expiries, default=datetime.timedelta.max)
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -102,7 +102,7 @@
 
         After that their request may be tried once more, as a suspect.
         """
-        oldest = min(one.crashed_at for one in crashes)
+        oldest = min(crash.crashed_at for crash in crashes)
         return oldest + crash_suspects.SUSPICION_TTL - self._clock.monotonic()
 
     def may_retry(
@@ -136,10 +136,10 @@
         other_suspects = self.registry.suspects_sharing_crashes(
             checked.fingerprint
         )
-        found = crash_suspects.assign_server(
+        server = crash_suspects.assign_server(
             checked.fingerprint, other_suspects, servers
         )
-        return None if found is None else desired.BackendKey(found)
+        return None if server is None else desired.BackendKey(server)
 
     async def record_broken_attempt(
         self,
@@ -156,13 +156,13 @@
             before that, the request never ran there.
         """
         task = asyncio.create_task(
-            self._judge_broken_attempt(checked, backend, since)
+            self._check_for_crash(checked, backend, since)
         )
         self._pending_notes.add(task)
         task.add_done_callback(self._pending_notes.discard)
         await asyncio.shield(task)
 
-    async def _judge_broken_attempt(
+    async def _check_for_crash(
         self,
         checked: checked_request.CheckedRequest,
         backend: desired.Backend,
@@ -186,7 +186,9 @@
                 "same": checked.fingerprint.hex(),
                 "service": checked.service,
                 "backend": backend.key,
-                "ends": [one.server for one in self.counted_crashes(checked)],
+                "ends": [
+                    crash.server for crash in self.counted_crashes(checked)
+                ],
                 "standing": status.value,
             },
         )
@@ -251,13 +253,13 @@
                 "same": record.request.hex(),
                 "ends": [
                     {
-                        "backend": one.server,
-                        "software": one.software,
+                        "backend": crash.server,
+                        "software": crash.software,
                         "ago_s": round(
-                            (now - one.crashed_at).total_seconds(), 1
+                            (now - crash.crashed_at).total_seconds(), 1
                         ),
                     }
-                    for one in record.crashes_since_cleared
+                    for crash in record.crashes_since_cleared
                 ],
                 "exempt": record.request in self.exempt_requests,
             }
--- a/src/lugcross/edge/unreported_requests.py
+++ b/src/lugcross/edge/unreported_requests.py
@@ -77,9 +77,9 @@
         self, service: ids.ServiceName, now: clock_lib.Instant
     ) -> float:
         """Return the estimated number of unreported requests."""
-        found = 0.0
+        total = 0.0
         for same_domain, age in self._report_ages.items():
             rate = self._rates.get((service, same_domain))
             if rate is not None:
-                found += rate.expected_within(age, now)
-        return found
+                total += rate.expected_within(age, now)
+        return total
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -252,7 +252,7 @@
             self._journal.record(
                 observe.DecisionTopic.EJECTION,
                 peer.name,
-                rule=f"{routing.health.FAULTS_TO_EJECT} faults in a row",
+                rule=f"{routing.health.FAILURES_TO_EJECT} faults in a row",
                 result="ejected",
             )
 
--- a/src/lugcross/membership/log_relays.py
+++ b/src/lugcross/membership/log_relays.py
@@ -39,8 +39,8 @@
 
     def live_in_domain(self) -> frozenset[ids.NodeName]:
         """Return the live entry hosts of this host's failure domain."""
-        near = (one for one in self.all() if one.domain == self._domain)
-        return frozenset((self._node, *(one.node for one in near)))
+        near = (host for host in self.all() if host.domain == self._domain)
+        return frozenset((self._node, *(host.node for host in near)))
 
     def all(self) -> list[wire.Seen]:
         """Return all live entry hosts, by name.
@@ -50,10 +50,10 @@
         """
         newest: dict[ids.NodeName, wire.Seen] = {}
         for seen in self._seen.values():
-            for one in seen:
-                known = newest.get(one.node)
-                if known is None or known.offset < one.offset:
-                    newest[one.node] = one
+            for host in seen:
+                known = newest.get(host.node)
+                if known is None or known.offset < host.offset:
+                    newest[host.node] = host
         return [newest[name] for name in sorted(newest)]
 
     def is_log_relay(self) -> bool:
--- a/src/lugcross/routing/health.py
+++ b/src/lugcross/routing/health.py
@@ -7,7 +7,7 @@
 from lugcross import clock as clock_lib
 
 #: Consecutive failures after which a backend server is ejected.
-FAULTS_TO_EJECT = 3
+FAILURES_TO_EJECT = 3
 #: Duration of the first ejection; doubled for each further one.
 FIRST_EJECTION = datetime.timedelta(seconds=1)
 MAX_EJECTION = datetime.timedelta(seconds=30)
@@ -27,7 +27,7 @@
     """
 
     def __init__(self) -> None:
-        self._consecutive_faults = 0
+        self._consecutive_failures = 0
         self._next_ejection = FIRST_EJECTION
         self._avoided_until: clock_lib.Instant | None = None
         self._probing = False
@@ -102,7 +102,7 @@
         that accepts requests again unused. An ejection for failures ends
         only with a complete answer.
         """
-        if self._consecutive_faults < FAULTS_TO_EJECT:
+        if self._consecutive_failures < FAILURES_TO_EJECT:
             self._avoided_until = None
             self._probing = False
             self._backed_off = False
@@ -110,7 +110,7 @@
 
     def record_success(self) -> None:
         """Record that a request was answered completely."""
-        self._consecutive_faults = 0
+        self._consecutive_failures = 0
         self._next_ejection = FIRST_EJECTION
         self._avoided_until = None
         self._probing = False
@@ -127,8 +127,11 @@
     def record_failure(self, now: clock_lib.Instant) -> bool:
         """Record a failure; return whether it ejects the server."""
         self._backed_off = False
-        self._consecutive_faults += 1
-        if self._consecutive_faults < FAULTS_TO_EJECT and not self._probing:
+        self._consecutive_failures += 1
+        if (
+            self._consecutive_failures < FAILURES_TO_EJECT
+            and not self._probing
+        ):
             return False
         if self._avoided_until is not None and now < self._avoided_until:
             # The request was already in progress when the server was
--- a/testing/routing/test_health.py
+++ b/testing/routing/test_health.py
@@ -42,7 +42,7 @@
 def test_server_ejected_for_faults_is_on_probation_until_an_answer_completes():
     server = health.BackendHealth()
     now = datetime.timedelta()
-    for _ in range(health.FAULTS_TO_EJECT):
+    for _ in range(health.FAILURES_TO_EJECT):
         server.record_failure(now)
     now += health.FIRST_EJECTION
     server.record_sent(now)
