--- a/bench/control.py
+++ b/bench/control.py
@@ -160,7 +160,7 @@
         ]
         found[f"choice_us_at_{count}"] = _MICRO * slopes.seconds_each(
             lambda c=candidates: routing.choose_backend(
-                c, home=ids.DomainName("d1"), tried=(), rng=rng
+                c, own_domain=ids.DomainName("d1"), tried=(), rng=rng
             ),
             count=300,
         )
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -104,7 +104,7 @@
             pool,
             timeout_s=engine_transport.ORDER_TIMEOUT_S,
             on_answer_head=self.edge_state.apply_answer_head,
-            may_send=self.edge_state.backoffs.take_urgent_allowance,
+            may_send=self.edge_state.backoffs.try_spend_urgent,
         )
         urgent = functools.partial(
             self.state_sync.peers.schedule_send, urgent=True
--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -19,7 +19,7 @@
 #: Penalty added to the load of servers in other failure domains, as a
 #: fraction of their slots. It accounts for the traffic and a few ms of
 #: latency.
-OTHER_DOMAIN_COST_RATIO = 0.17
+OTHER_DOMAIN_PENALTY = 0.17
 
 
 @final
@@ -63,7 +63,7 @@
 def choose_backend(
     candidates: Sequence[Candidate],
     *,
-    home: ids.DomainName,
+    own_domain: ids.DomainName,
     tried: Collection[desired.BackendKey],
     rng: random.Random,
 ) -> BackendChoice | None:
@@ -74,7 +74,8 @@
     already sent to one server is not used to probe another, unless only
     servers on probation are left.
 
-    :param home: failure domain of this process; its servers are preferred.
+    :param own_domain: failure domain of this process; its servers are
+        preferred.
     :param tried: servers that this request was already sent to.
     """
     untried = [
@@ -91,7 +92,9 @@
         pool,
         key=lambda c: (
             c.load
-            + (0.0 if c.backend.domain == home else OTHER_DOMAIN_COST_RATIO),
+            + (
+                0.0 if c.backend.domain == own_domain else OTHER_DOMAIN_PENALTY
+            ),
             rng.random(),
         ),
     )
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -390,7 +390,7 @@
             for one, count in zip(servers, busy, strict=True)
         ]
         return backend_choice.choose_backend(
-            candidates, home=self._own_domain, tried=tried, rng=self._rng
+            candidates, own_domain=self._own_domain, tried=tried, rng=self._rng
         )
 
     def retry_budget(
--- a/src/lugcross/edge/server_backoffs.py
+++ b/src/lugcross/edge/server_backoffs.py
@@ -55,7 +55,7 @@
         """Return whether a server may be sent a message that can wait."""
         return not self.is_active(key)
 
-    def take_urgent_allowance(self, key: desired.BackendKey) -> bool:
+    def try_spend_urgent(self, key: desired.BackendKey) -> bool:
         """Return whether an urgent message may be sent, and count it.
 
         Urgent messages are the orders that complete a map switch: while a pass
--- a/src/lugcross/entry/caller.py
+++ b/src/lugcross/entry/caller.py
@@ -115,7 +115,7 @@
             return self._first_home(req, tried)
         choice = routing.choose_backend(
             self._candidates(req.service),
-            home=self._domain,
+            own_domain=self._domain,
             tried=tried,
             rng=self._rng,
         )
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -153,7 +153,7 @@
     ) -> None:
         self._loop = loop
         self._feed = cfg.Feed(store)
-        self._neighbours = membership.SeenEntryHosts(node, domain)
+        self._neighbours = membership.LiveEntryHosts(node, domain)
         self._tell_relay: Callable[[bool], None] = lambda relay: None
         self._clock = clock
         self._journal = journal
--- a/src/lugcross/membership/__init__.py
+++ b/src/lugcross/membership/__init__.py
@@ -12,13 +12,13 @@
 from lugcross.membership.duty_holders import FencingTokenGuard
 from lugcross.membership.host_list_watcher import HostListWatcher
 from lugcross.membership.host_list_watcher import leaving_node_names
+from lugcross.membership.log_relays import LiveEntryHosts
 from lugcross.membership.log_relays import RELAYS_PER_DOMAIN
-from lugcross.membership.log_relays import SeenEntryHosts
 
 __all__ = [
     "RELAYS_PER_DOMAIN",
     "HostListWatcher",
-    "SeenEntryHosts",
+    "LiveEntryHosts",
     "leaving_node_names",
     "choose_backend_subset",
     "DutyHolders",
--- a/src/lugcross/membership/log_relays.py
+++ b/src/lugcross/membership/log_relays.py
@@ -14,7 +14,7 @@
 
 
 @final
-class SeenEntryHosts:
+class LiveEntryHosts:
     """Entry hosts that are alive, as seen by the agents they have links to.
 
     An agent notices the loss of an entry host as soon as its link breaks,
--- a/src/lugcross/routing/backend_choice.py
+++ b/src/lugcross/routing/backend_choice.py
@@ -16,7 +16,7 @@
 
 #: Penalty added to the load of servers in other failure domains, as a
 #: fraction of a server's capacity.
-OTHER_DOMAIN_COST_RATIO = 0.5
+OTHER_DOMAIN_PENALTY = 0.5
 
 
 @final
@@ -65,27 +65,27 @@
 def choose_backend(
     candidates: Sequence[Candidate],
     *,
-    home: ids.DomainName,
+    own_domain: ids.DomainName,
     tried: Collection[ids.BackendName],
     rng: random.Random,
 ) -> BackendChoice | None:
     """Return the server to send a request to, or None if none is usable.
 
-    :param home: failure domain of this entry host; its servers are
+    :param own_domain: failure domain of this entry host; its servers are
         preferred.
     :param tried: backend servers that already refused this request.
     """
     usable = _without_ejected(
         [c for c in candidates if c.usable and c.name not in tried]
     )
-    near = [c for c in usable if c.domain == home]
-    far = [c for c in usable if c.domain != home]
+    near = [c for c in usable if c.domain == own_domain]
+    far = [c for c in usable if c.domain != own_domain]
     considered = _sample_two(near, rng) + _sample_two(far, rng)
     if not considered:
         return None
     steps = [c.step_ms for c in considered if c.step_ms]
     fastest = min(steps, default=0.0)
-    best = min(considered, key=lambda c: _cost(c, home, fastest))
+    best = min(considered, key=lambda c: _cost(c, own_domain, fastest))
     return BackendChoice(best, tuple(considered))
 
 
@@ -105,11 +105,13 @@
     return healthy if 2 * len(healthy) >= len(usable) else usable
 
 
-def _cost(candidate: Candidate, home: ids.DomainName, fastest: float) -> float:
+def _cost(
+    candidate: Candidate, own_domain: ids.DomainName, fastest: float
+) -> float:
     known = candidate.step_ms and fastest
     slowdown = candidate.step_ms / fastest if known else 1.0
-    remote = candidate.domain != home
+    remote = candidate.domain != own_domain
     # Add one so that a slow engine costs more even when it is idle.
     return (candidate.load + 1.0) * slowdown + (
-        OTHER_DOMAIN_COST_RATIO if remote else 0.0
+        OTHER_DOMAIN_PENALTY if remote else 0.0
     )
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -270,7 +270,7 @@
     def relays_among(live: list[ids.NodeName]) -> list[str]:
         found = []
         for name in live:
-            near = membership.SeenEntryHosts(name, domain)
+            near = membership.LiveEntryHosts(name, domain)
             near.update_seen("l1", [seen(one) for one in live[:4]])
             near.update_seen("l2", [seen(one) for one in live[2:]])
             if near.is_log_relay():
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -37,7 +37,7 @@
 ):
     found = backend_choice.choose_backend(
         candidates,
-        home=ids.DomainName("d1"),
+        own_domain=ids.DomainName("d1"),
         tried=[desired.BackendKey(one) for one in tried],
         rng=random.Random(1),
     )
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -396,9 +396,9 @@
 
 def test_two_urgent_messages_are_allowed_during_a_backoff(manual_clock):
     backoffs = server_backoffs_lib.ServerBackoffs(manual_clock)
-    assert all(backoffs.take_urgent_allowance(KEY) for _ in range(9))
+    assert all(backoffs.try_spend_urgent(KEY) for _ in range(9))
     backoffs.start(KEY, BACKOFF)
-    assert [backoffs.take_urgent_allowance(KEY) for _ in range(4)] == [
+    assert [backoffs.try_spend_urgent(KEY) for _ in range(4)] == [
         True,
         True,
     ] + [False] * 2
@@ -406,7 +406,7 @@
     manual_clock.advance(BACKOFF)
     assert backoffs.may_send_deferrable(KEY)
     backoffs.start(KEY, BACKOFF)
-    assert backoffs.take_urgent_allowance(KEY)
+    assert backoffs.try_spend_urgent(KEY)
 
 
 def test_server_gets_one_probe_after_its_backoff():
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -33,7 +33,7 @@
 ) -> str | None:
     choice = routing.choose_backend(
         candidates,
-        home=NEAR,
+        own_domain=NEAR,
         tried=[ids.BackendName(name) for name in tried],
         rng=random.Random(1),
     )
@@ -100,10 +100,10 @@
 def test_key_moves_only_when_its_first_backend_is_removed() -> None:
     names = [ids.BackendName(f"b{num}") for num in range(20)]
     for num in range(200):
-        home = routing.rendezvous_first(f"key{num}", names)
+        before = routing.rendezvous_first(f"key{num}", names)
         others = [n for n in names if n != "b7"]
         after = routing.rendezvous_first(f"key{num}", others)
-        assert after == home or home == "b7"
+        assert after == before or before == "b7"
 
 
 def test_retries_stay_within_the_ratio_of_requests() -> None:
