--- a/bench/control.py
+++ b/bench/control.py
@@ -160,7 +160,7 @@
         ]
         found[f"choice_us_at_{count}"] = _MICRO * slopes.seconds_each(
             lambda c=candidates: routing.choose_backend(
-                c, home=ids.DomainName("d1"), tried=(), rng=rng
+                c, own_domain=ids.DomainName("d1"), tried=(), rng=rng
             ),
             count=300,
         )
@@ -187,7 +187,7 @@
     def turn() -> None:
         num = next(count)
         queue.push(
-            shares.Ticket(
+            shares.QueuedRequest(
                 uid=str(num),
                 group=ids.WorkspaceGroupName(f"g{num % 10}"),
                 workspace=ids.WorkspaceName(f"w{num % 250}"),
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -112,7 +112,7 @@
             pool,
             timeout_s=engine_transport.ORDER_TIMEOUT_S,
             on_answer_head=self.edge_state.apply_answer_head,
-            may_send=self.edge_state.backoffs.take_urgent_allowance,
+            may_send=self.edge_state.backoffs.try_spend_urgent,
         )
         send_urgently = functools.partial(
             self.state_sync.peers.schedule_send, urgent=True
@@ -269,7 +269,7 @@
         serve = functools.partial(
             metrics_lib.serve,
             self.edge_state.metrics,
-            suspects_json=self.edge_state.crash_tracker.listing_json,
+            suspects_json=self.edge_state.crash_tracker.suspects_json,
         )
         await self._serve_platform(reader, writer, serve)
 
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -153,7 +153,7 @@
     ) -> None:
         self._loop = loop
         self._feed = cfg.Feed(store)
-        self._neighbours = membership.SeenEntryHosts(node, domain)
+        self._neighbours = membership.LiveEntryHosts(node, domain)
         self._tell_relay: Callable[[bool], None] = lambda relay: None
         self._clock = clock
         self._journal = journal
@@ -252,7 +252,7 @@
             self._journal.record(
                 observe.DecisionTopic.EJECTION,
                 peer.name,
-                rule=f"{routing.health.FAULTS_TO_EJECT} faults in a row",
+                rule=f"{routing.health.FAILURES_TO_EJECT} faults in a row",
                 result="ejected",
             )
 
@@ -337,7 +337,7 @@
 
     def _receive(self, peer: Peer, link: wire.Link, msg: wire.Message) -> None:
         if isinstance(msg, wire.Entries):
-            self._neighbours.on_entries(link, msg.seen)
+            self._neighbours.update_seen(link, msg.seen)
             self._tell_relay(self._neighbours.is_log_relay())
             return
         peer.receive(msg, self._clock.monotonic())
--- a/src/lugcross/membership/__init__.py
+++ b/src/lugcross/membership/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which hosts are there, and which to keep links to."""
+"""Live hosts, links between hosts, and tasks held by a single host."""
 
 from lugcross.membership.backend_subset import choose_backend_subset
 from lugcross.membership.duty_holders import decode_duty_claim
@@ -12,13 +12,13 @@
 from lugcross.membership.duty_holders import FencingTokenGuard
 from lugcross.membership.host_list_watcher import HostListWatcher
 from lugcross.membership.host_list_watcher import leaving_node_names
+from lugcross.membership.log_relays import LiveEntryHosts
 from lugcross.membership.log_relays import RELAYS_PER_DOMAIN
-from lugcross.membership.log_relays import SeenEntryHosts
 
 __all__ = [
     "RELAYS_PER_DOMAIN",
     "HostListWatcher",
-    "SeenEntryHosts",
+    "LiveEntryHosts",
     "leaving_node_names",
     "choose_backend_subset",
     "DutyHolders",
