--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -79,7 +79,7 @@
         """Return the number for orders; none where none is needed."""
         return self._lease.held_generation if self._needs_fencing() else None
 
-    def may_order(self, generation: experts.Generation | None) -> bool:
+    def may_send_orders(self, generation: experts.Generation | None) -> bool:
         """Tell whether orders under ``generation`` may still be given."""
         if not self._needs_fencing():
             return True
@@ -88,10 +88,10 @@
             and generation == self._lease.held_generation
         )
 
-    def note_refused(self, generation: experts.Generation) -> None:
+    def note_fenced(self, generation: experts.Generation) -> None:
         """Note that an engine knows a higher number: stop at once."""
         logging.warning("lease superseded", extra={"generation": generation})
-        self._lease.note_refused(generation)
+        self._lease.note_fenced(generation)
 
     def store_answers(self) -> bool:
         """Tell whether the store answered the last call about the lease."""
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -149,7 +149,7 @@
         return await self._engines.report(backend)
 
     def _may_order(self) -> bool:
-        return self._leadership.may_order(self._generation)
+        return self._leadership.may_send_orders(self._generation)
 
     async def _send_pending_orders(self, switch: experts.MapSwitch) -> None:
         pending = switch.pending_orders()
@@ -179,7 +179,7 @@
             result is experts.OrderResult.FENCED
             and self._generation is not None
         ):
-            self._leadership.note_refused(self._generation)
+            self._leadership.note_fenced(self._generation)
         return result
 
     async def _check_epoch(self, switch: experts.MapSwitch) -> None:
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -87,7 +87,7 @@
         self._renewed_at = clock.monotonic()
         self._retry_at = clock.monotonic()
         #: Highest number that is known to be of no use any more.
-        self._highest_spent = Generation(0)
+        self._highest_revoked = Generation(0)
         self._held_generation: Generation | None = None
         #: Whether the store left the last call without an answer.
         self.store_unavailable = False
@@ -143,7 +143,7 @@
             # What was claimed since the copy that the store came back from is
             # not known to it: each era has numbers above all earlier ones.
             lowest = positions.era(self.expected_end) << _GENERATION_BIT_COUNT
-            number = Generation(max(before, self._highest_spent, lowest) + 1)
+            number = Generation(max(before, self._highest_revoked, lowest) + 1)
             return LeaseRecord(holder=self._incarnation, generation=number)
         assert self._held_generation is not None
         return LeaseRecord(
@@ -174,9 +174,9 @@
             self._held_generation is not None
             and number > self._held_generation
         ):
-            self._give_up(self._held_generation)
+            self._revoke(self._held_generation)
         ours = record.holder == self._incarnation and not record.released
-        if ours and number > self._highest_spent:
+        if ours and number > self._highest_revoked:
             # A write of ours whose answer was lost took effect.
             self._held_generation = number
             self._renewed_at = now
@@ -189,8 +189,8 @@
         self._seen_record, self._expected_end = record, end
         self._unchanged_since = self._renewed_at = self._clock.monotonic()
         if record.released:
-            self._give_up(record.generation)
-        elif record.generation > self._highest_spent:
+            self._revoke(record.generation)
+        elif record.generation > self._highest_revoked:
             self._held_generation = record.generation
 
     def note_conflict(self) -> None:
@@ -210,18 +210,18 @@
             self._held_generation is not None
             and generation > self._held_generation
         ):
-            self._give_up(self._held_generation)
+            self._revoke(self._held_generation)
 
-    def note_refused(self, generation: Generation) -> None:
+    def note_fenced(self, generation: Generation) -> None:
         """Note that an engine has seen a higher number than ``generation``."""
-        self._give_up(generation)
+        self._revoke(generation)
 
-    def _give_up(self, generation: Generation) -> None:
+    def _revoke(self, generation: Generation) -> None:
         """Never use a number again."""
-        self._highest_spent = max(self._highest_spent, generation)
+        self._highest_revoked = max(self._highest_revoked, generation)
         if (
             self._held_generation is not None
-            and self._held_generation <= self._highest_spent
+            and self._held_generation <= self._highest_revoked
         ):
             self._held_generation = None
             self._expected_end = None
--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -85,11 +85,11 @@
     async def act(rig: Rig) -> None:
         leadership, _ = rig.process("a")
         assert not leadership.is_leader()
-        assert not leadership.may_order(None)
+        assert not leadership.may_send_orders(None)
         await rounds(leadership)
         assert leadership.is_leader()
         assert leadership.generation() == 1
-        assert leadership.may_order(experts.Generation(1))
+        assert leadership.may_send_orders(experts.Generation(1))
 
     run(act)
 
@@ -100,7 +100,7 @@
         leadership, candidacy = rig.process("a")
         assert leadership.is_leader()
         assert leadership.generation() is None
-        assert leadership.may_order(None)
+        assert leadership.may_send_orders(None)
         candidacy.is_first = False
         assert not leadership.is_leader()
         assert not rig.store.called_paths
@@ -144,7 +144,7 @@
         leadership.has_work_in_progress = lambda: busy
         candidacy.is_fit = False
         await rounds(leadership)
-        assert leadership.may_order(experts.Generation(1))
+        assert leadership.may_send_orders(experts.Generation(1))
         busy = False
         await rounds(leadership)
         assert leadership.generation() is None
@@ -156,9 +156,9 @@
     async def act(rig: Rig) -> None:
         leadership, _ = rig.process("a")
         await rounds(leadership)
-        leadership.note_refused(experts.Generation(1))
+        leadership.note_fenced(experts.Generation(1))
         assert not leadership.is_leader()
-        assert not leadership.may_order(experts.Generation(1))
+        assert not leadership.may_send_orders(experts.Generation(1))
         await rounds(leadership)
         rig.clock.advance(lease_lib.TIME_TO_LIVE)
         await rounds(leadership)
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -120,13 +120,13 @@
     def generation(self) -> experts.Generation | None:
         return self.current_generation
 
-    def may_order(self, generation: experts.Generation | None) -> bool:
+    def may_send_orders(self, generation: experts.Generation | None) -> bool:
         return (
             generation == self.current_generation
             and generation not in self.refused_generations
         )
 
-    def note_refused(self, generation: experts.Generation) -> None:
+    def note_fenced(self, generation: experts.Generation) -> None:
         self.refused_generations.append(generation)
         self.leads = False
 
--- a/testing/experts/test_lease.py
+++ b/testing/experts/test_lease.py
@@ -216,7 +216,7 @@
 ) -> None:
     process = new_process("a")
     process.settle()
-    process.lease.note_refused(experts.Generation(1))
+    process.lease.note_fenced(experts.Generation(1))
     assert process.lease.held_generation is None
     process.step()
     assert process.lease.held_generation is None
@@ -230,7 +230,7 @@
 ) -> None:
     process = new_process("a")
     process.settle()
-    process.lease.note_refused(experts.Generation(1))
+    process.lease.note_fenced(experts.Generation(1))
     store.newest = None
     process.settle()
     assert process.lease.held_generation == 2
@@ -284,7 +284,7 @@
         process.wants_lease = rng.random() < 0.95
         process.held_by_peer = rng.random() < 0.3
         if process.lease.held_generation and rng.random() < 0.01:
-            process.lease.note_refused(process.lease.held_generation)
+            process.lease.note_fenced(process.lease.held_generation)
         action = process.next_action()
         lost = rng.random() < 0.2
         if lost and action not in (LeaseAction.NONE, LeaseAction.READ):
