--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -122,7 +122,7 @@
             clock=clock,
             sleep=asyncio.sleep,
             leadership=self._duty,
-            allocator=experts.NumberAllocator(
+            allocator=experts.SwitchNumberAllocator(
                 rng.getrandbits(_MAP_OWNER_BITS)
             ),
             on_group_state_change=urgent,
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -62,7 +62,7 @@
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
         leadership: map_leadership.MapLeadership,
-        allocator: experts.NumberAllocator,
+        allocator: experts.SwitchNumberAllocator,
         on_group_state_change: Callable[[], None],
         node: str,
         cfg: settings_lib.Maps,
--- a/src/lugcross/edge/switch_runner.py
+++ b/src/lugcross/edge/switch_runner.py
@@ -38,7 +38,7 @@
         engines: platform.EngineClient,
         queries: rank_queries.RankQueries,
         *,
-        allocator: experts.NumberAllocator,
+        allocator: experts.SwitchNumberAllocator,
         leadership: map_leadership.MapLeadership,
         clock: clock_lib.Clock,
         sleep: switch_driver.Sleep,
--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -24,7 +24,6 @@
 from lugcross.experts.orders import Epoch
 from lugcross.experts.orders import Hold
 from lugcross.experts.orders import MapVersion
-from lugcross.experts.orders import NumberAllocator
 from lugcross.experts.orders import Order
 from lugcross.experts.orders import OrderResult
 from lugcross.experts.orders import PassNumber
@@ -32,6 +31,7 @@
 from lugcross.experts.orders import Rank
 from lugcross.experts.orders import RankReport
 from lugcross.experts.orders import Release
+from lugcross.experts.orders import SwitchNumberAllocator
 from lugcross.experts.planner import MapPlan
 from lugcross.experts.planner import plan_in_steps
 from lugcross.experts.planner import plan_map
@@ -58,7 +58,6 @@
     "MapPlan",
     "MapSwitch",
     "MapVersion",
-    "NumberAllocator",
     "Order",
     "OrderResult",
     "PassNumber",
@@ -67,6 +66,7 @@
     "RankReport",
     "Release",
     "SwitchBackoff",
+    "SwitchNumberAllocator",
     "SwitchOutcome",
     "SwitchPhase",
     "counts_by_set",
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -115,32 +115,34 @@
 
 
 #: Low bits of a version, which tell whose it is.
-_ALLOCATOR_BIT_COUNT = 16
+_PROCESS_NUMBER_BIT_COUNT = 16
 #: Processes hold passes of this many classes, by their number, so that one
 #: rarely holds, and so never releases, the pass that another holds.
 _PASS_CLASS_COUNT = 4
 #: The same where leases are numbered: two holders in a row never hold the
 #: same pass, and what the one before them sends is refused.
-_LEASED_PASS_CLASS_COUNT = 2
+_PASS_CLASS_COUNT_WITH_LEASE = 2
 
 
 @final
-class NumberAllocator:
+class SwitchNumberAllocator:
     """Chooses versions and passes so that no other process chooses them.
 
-    :param number: drawn at random at each start of a process.
+    :param process_number: drawn at random at each start of a process.
     """
 
-    def __init__(self, number: int) -> None:
-        self._number = number & ((1 << _ALLOCATOR_BIT_COUNT) - 1)
+    def __init__(self, process_number: int) -> None:
+        self._process_number = process_number & (
+            (1 << _PROCESS_NUMBER_BIT_COUNT) - 1
+        )
         self._last_version = MapVersion(0)
-        self._class_count = _PASS_CLASS_COUNT
-        self._class = self._number
+        self._pass_class_count = _PASS_CLASS_COUNT
+        self._pass_class = self._process_number
 
     def use_generation(self, generation: lease.Generation) -> None:
         """Choose passes by the number of a lease from now on."""
-        self._class_count = _LEASED_PASS_CLASS_COUNT
-        self._class = generation
+        self._pass_class_count = _PASS_CLASS_COUNT_WITH_LEASE
+        self._pass_class = generation
 
     def next_version(self, highest_version: MapVersion) -> MapVersion:
         """Return a version above ``highest_version``, never chosen before.
@@ -149,14 +151,15 @@
         what this process has chosen itself.
         """
         high = (
-            max(highest_version, self._last_version) >> _ALLOCATOR_BIT_COUNT
+            max(highest_version, self._last_version)
+            >> _PROCESS_NUMBER_BIT_COUNT
         ) + 1
         self._last_version = MapVersion(
-            high << _ALLOCATOR_BIT_COUNT | self._number
+            high << _PROCESS_NUMBER_BIT_COUNT | self._process_number
         )
         return self._last_version
 
-    def next_pass(self, last_pass: PassNumber) -> PassNumber:
+    def next_pass_to_hold(self, last_pass: PassNumber) -> PassNumber:
         """Return the next pass past ``last_pass`` that this process holds."""
-        ahead = (self._class - last_pass - 1) % self._class_count
+        ahead = (self._pass_class - last_pass - 1) % self._pass_class_count
         return PassNumber(last_pass + 1 + ahead)
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -81,7 +81,7 @@
         version: orders.MapVersion,
         new_map: expert_map.ExpertMap | None,
         old_map: expert_map.ExpertMap,
-        allocator: orders.NumberAllocator,
+        allocator: orders.SwitchNumberAllocator,
         pass_at_planning: orders.PassNumber = orders.PassNumber(0),
     ) -> None:
         self._pass_at_planning = pass_at_planning
@@ -116,7 +116,7 @@
         armed_version: orders.MapVersion | None,
         held_pass: orders.PassNumber,
         old_map: expert_map.ExpertMap,
-        allocator: orders.NumberAllocator,
+        allocator: orders.SwitchNumberAllocator,
     ) -> "MapSwitch":
         """Return one that finishes what another process has left.
 
@@ -275,7 +275,7 @@
         self, current_pass: orders.PassNumber, passes_ahead: int
     ) -> None:
         """Choose the pass; from now on it may be held."""
-        self._target_pass = self._allocator.next_pass(
+        self._target_pass = self._allocator.next_pass_to_hold(
             orders.PassNumber(current_pass + passes_ahead)
         )
         self._held_passes.add(self._target_pass)
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -148,7 +148,7 @@
             clock=self.clock,
             sleep=self._sleep,
             leadership=self.leadership,
-            allocator=experts.NumberAllocator(1),
+            allocator=experts.SwitchNumberAllocator(1),
             on_group_state_change=self._changed,
             node="n1",
             cfg=cfg,
@@ -392,7 +392,7 @@
     group = rank_groups.RankGroup("g", SERVICE, LIMITS, RANK_COUNT)
     ranks = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
     old = ranks.report(1)
-    ranks.form_anew()
+    ranks.start_new_epoch()
     group.apply_report(ranks.report(0), SECOND)
     group.apply_report(dataclasses.replace(old, is_open=False), SECOND)
     assert group.is_open
@@ -466,7 +466,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(4)
         for _ in range(epochs):
-            rig.engines.group.form_anew()
+            rig.engines.group.start_new_epoch()
             assert rig.engines.group.ranks[0].version_and_map == (
                 0,
                 INITIAL_MAP,
@@ -491,7 +491,7 @@
         async def order(backend, order, epoch, generation):
             if isinstance(order, experts.Prepare) and engines.is_open:
                 engines.is_open = False
-                engines.group.form_anew()
+                engines.group.start_new_epoch()
                 return experts.OrderResult.UNKNOWN
             return await obey(backend, order, epoch, generation)
 
@@ -683,7 +683,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(6)
         jumping_demand = JumpingDemand(rig)
-        rig.engines.group.form_anew()
+        rig.engines.group.start_new_epoch()
         rig.engines.uses = [0] * LIMITS.expert_count
         before = jumping_demand.reads
         for _ in range(12):
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -43,7 +43,7 @@
     """
 
     index: int
-    allocator: experts.NumberAllocator
+    allocator: experts.SwitchNumberAllocator
     life: int = 0
     switch: experts.MapSwitch | None = None
     epoch: int = 0
@@ -83,7 +83,7 @@
         self.group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
         self.processes = [
             SwitchingProcess(
-                num, experts.NumberAllocator(_allocator_number(num, 0))
+                num, experts.SwitchNumberAllocator(_allocator_number(num, 0))
             )
             for num in range(PROCESS_COUNT)
         ]
@@ -234,7 +234,7 @@
         ]
         process.life += 1
         process.generation = None
-        process.allocator = experts.NumberAllocator(
+        process.allocator = experts.SwitchNumberAllocator(
             _allocator_number(process.index, process.life)
         )
 
@@ -251,9 +251,9 @@
         del pick
         self.group.begin_pass()
 
-    def form_anew(self, pick: int) -> None:
+    def start_new_epoch(self, pick: int) -> None:
         del pick
-        self.group.form_anew()
+        self.group.start_new_epoch()
 
 
 #: Events, each as often as it stands to the others in a walk.
@@ -268,7 +268,7 @@
     Fleet.copy: 6.0,
     Fleet.read_reports: 4.0,
     Fleet.pass_begins: 4.0,
-    Fleet.form_anew: 0.05,
+    Fleet.start_new_epoch: 0.05,
     Fleet.claim: 0.2,
 }
 FENCES = pytest.mark.parametrize(
@@ -381,7 +381,7 @@
         version=experts.MapVersion(version),
         new_map=MAPS[1],
         old_map=MAPS[0],
-        allocator=experts.NumberAllocator(1),
+        allocator=experts.SwitchNumberAllocator(1),
     )
 
 
@@ -436,7 +436,7 @@
             armed_version=max((one.version for one in armed), default=None),
             held_pass=report.held_pass,
             old_map=MAPS[0],
-            allocator=experts.NumberAllocator(2),
+            allocator=experts.SwitchNumberAllocator(2),
         )
         drive(group, found)
     assert_runs_on(group)
@@ -454,7 +454,7 @@
         armed_version=slow.version,
         held_pass=slow.target_pass,
         old_map=MAPS[0],
-        allocator=experts.NumberAllocator(2),
+        allocator=experts.SwitchNumberAllocator(2),
     )
     drive(group, found)
     for rank, order in late:
@@ -494,7 +494,7 @@
 
 
 def test_version_is_never_chosen_twice() -> None:
-    allocator = experts.NumberAllocator(7)
+    allocator = experts.SwitchNumberAllocator(7)
     first = allocator.next_version(experts.MapVersion(0))
     assert allocator.next_version(experts.MapVersion(0)) > first
 
@@ -511,7 +511,9 @@
 @pytest.mark.parametrize("after", range(6))
 def test_processes_of_unlike_classes_never_hold_one_pass(after: int) -> None:
     steps = [
-        experts.NumberAllocator(number).next_pass(experts.PassNumber(after))
+        experts.SwitchNumberAllocator(number).next_pass_to_hold(
+            experts.PassNumber(after)
+        )
         for number in range(PASS_CLASS_COUNT)
     ]
     assert len(set(steps)) == PASS_CLASS_COUNT
@@ -522,9 +524,9 @@
 def test_holders_in_a_row_never_hold_one_pass(after: int) -> None:
     steps = []
     for generation in (7, 8):
-        allocator = experts.NumberAllocator(3)
+        allocator = experts.SwitchNumberAllocator(3)
         allocator.use_generation(experts.Generation(generation))
-        steps.append(allocator.next_pass(experts.PassNumber(after)))
+        steps.append(allocator.next_pass_to_hold(experts.PassNumber(after)))
     assert len(set(steps)) == 2
     assert min(steps) == after + 1
 
--- a/testing/support/rank_simulator.py
+++ b/testing/support/rank_simulator.py
@@ -11,7 +11,7 @@
 from lugcross import experts
 
 
-class TwoMapsError(AssertionError):
+class MixedMapsError(AssertionError):
     """A pass began while two ranks differed in their maps."""
 
 
@@ -102,9 +102,9 @@
         self.epoch = 0
         self.last_pass = 0
         self.ranks: list[SimulatedRank] = []
-        self.form_anew()
+        self.start_new_epoch()
 
-    def form_anew(self) -> None:
+    def start_new_epoch(self) -> None:
         """Begin a new life, with the first map and nothing else."""
         self.epoch += 1
         self.last_pass = 0
@@ -137,7 +137,7 @@
     def begin_pass(self) -> bool:
         """Begin a pass, unless it is held.
 
-        :raises TwoMapsError: when the ranks differ in their maps.
+        :raises MixedMapsError: when the ranks differ in their maps.
         """
         if self.next_pass_is_held:
             return False
@@ -148,7 +148,7 @@
             rank.version_and_map != self.ranks[0].version_and_map
             for rank in self.ranks
         ):
-            raise TwoMapsError(
+            raise MixedMapsError(
                 [rank.version_and_map[0] for rank in self.ranks]
             )
         return True
