--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -32,9 +32,9 @@
 #: Tries of one rank's order to prepare after which the switch is left. No
 #: harm is done yet; where orders go unanswered so often, arming all ranks
 #: would hold up the group for long.
-_MAX_PREPARE_COUNT = 3
+_MAX_UNANSWERED_PREPARE_COUNT = 3
 #: Tries to hold a pass. Each refusal means that the pass had begun.
-_MAX_HOLD_COUNT = 6
+_MAX_FAILED_HOLD_COUNT = 6
 #: Refusals of one rank to be armed after which it is asked to decide
 #: against the switch; copying may last a little longer than reckoned.
 _MAX_ARM_REFUSAL_COUNT = 4
@@ -47,8 +47,8 @@
     COPY = "copy"
     HOLD = "hold"
     ARM = "arm"
-    DECIDE = "decide"
-    VOID = "void"
+    START_ROLLBACK = "decide"
+    ROLL_BACK = "void"
     RELEASE = "release"
     OVER = "over"
 
@@ -58,7 +58,7 @@
 
     SWITCHED = "switched"
     CANCELLED = "left"
-    VOIDED = "voided"
+    ROLLED_BACK = "voided"
 
 
 @final
@@ -90,9 +90,9 @@
         self._new_map = new_map
         self._old_map = old_map
         self._allocator = allocator
-        self._void_version = allocator.next_version(version)
-        self._ranks_left = self._all_ranks()
-        self._hold_count = 0
+        self._rollback_version = allocator.next_version(version)
+        self._pending_ranks = self._all_ranks()
+        self._failed_hold_count = 0
         self._refusal_counts: collections.Counter[orders.Rank] = (
             collections.Counter()
         )
@@ -103,7 +103,7 @@
         self._may_arm = True
         self._disarmed_ranks: set[orders.Rank] = set()
         self._target_pass = orders.PassNumber(0)
-        self._held_passes: set[orders.PassNumber] = set()
+        self._possibly_held_passes: set[orders.PassNumber] = set()
         self._outcome = SwitchOutcome.CANCELLED
         self.phase = SwitchPhase.PREPARE
 
@@ -136,19 +136,22 @@
             old_map=old_map,
             allocator=allocator,
         )
-        switch._void_version = allocator.next_version(highest_version)
+        switch._rollback_version = allocator.next_version(highest_version)
         switch._may_arm = armed_version is not None
         switch._target_pass = held_pass
-        switch._held_passes = {held_pass}
+        switch._possibly_held_passes = {held_pass}
         switch._enter_phase(
-            SwitchPhase.ARM if switch._may_arm else SwitchPhase.DECIDE
+            SwitchPhase.ARM if switch._may_arm else SwitchPhase.START_ROLLBACK
         )
         return switch
 
     @property
     def may_hold_pass(self) -> bool:
         """Whether a pass may be held, so that it must be brought to an end."""
-        return bool(self._held_passes) and self.phase is not SwitchPhase.OVER
+        return (
+            bool(self._possibly_held_passes)
+            and self.phase is not SwitchPhase.OVER
+        )
 
     @property
     def outcome(self) -> SwitchOutcome:
@@ -170,23 +173,23 @@
         if self.phase is SwitchPhase.PREPARE:
             assert self._new_map is not None
             order = orders.Prepare(self._version, self._new_map)
-            return [(rank, order) for rank in sorted(self._ranks_left)]
+            return [(rank, order) for rank in sorted(self._pending_ranks)]
         if self.phase is SwitchPhase.HOLD:
             return [(orders.Rank(0), orders.Hold(self.target_pass))]
         if self.phase is SwitchPhase.ARM:
             arm = orders.Arm(self._version, self.target_pass)
-            return [(rank, arm) for rank in sorted(self._ranks_left)]
-        if self.phase is SwitchPhase.DECIDE:
-            return [(self._deciding_rank, self._void_prepare())]
-        if self.phase is SwitchPhase.VOID:
+            return [(rank, arm) for rank in sorted(self._pending_ranks)]
+        if self.phase is SwitchPhase.START_ROLLBACK:
+            return [(self._deciding_rank, self._rollback_prepare())]
+        if self.phase is SwitchPhase.ROLL_BACK:
             return [
-                (rank, self._void_order(rank))
-                for rank in sorted(self._ranks_left)
+                (rank, self._rollback_order(rank))
+                for rank in sorted(self._pending_ranks)
             ]
         if self.phase is SwitchPhase.RELEASE:
             return [
                 (orders.Rank(0), orders.Release(step))
-                for step in sorted(self._held_passes)
+                for step in sorted(self._possibly_held_passes)
             ]
         return []
 
@@ -213,10 +216,10 @@
             self._handle_hold(result)
         elif self.phase is SwitchPhase.ARM:
             self._handle_arm(rank, result)
-        elif self.phase is SwitchPhase.DECIDE:
-            self._handle_decide(result)
-        elif self.phase is SwitchPhase.VOID:
-            self._handle_void(rank, order, result)
+        elif self.phase is SwitchPhase.START_ROLLBACK:
+            self._handle_start_rollback(result)
+        elif self.phase is SwitchPhase.ROLL_BACK:
+            self._handle_roll_back(rank, order, result)
         elif self.phase is SwitchPhase.RELEASE:
             self._handle_release(order, result)
 
@@ -254,7 +257,7 @@
         """Whether a later pass must be named before going on."""
         return (
             self.phase is SwitchPhase.HOLD
-            and self._target_pass not in self._held_passes
+            and self._target_pass not in self._possibly_held_passes
         )
 
     def cancel(self) -> None:
@@ -264,7 +267,9 @@
         elif self.phase is SwitchPhase.HOLD:
             self._outcome = SwitchOutcome.CANCELLED
             self._enter_phase(
-                SwitchPhase.RELEASE if self._held_passes else SwitchPhase.OVER
+                SwitchPhase.RELEASE
+                if self._possibly_held_passes
+                else SwitchPhase.OVER
             )
 
     def note_epoch_ended(self) -> None:
@@ -278,15 +283,15 @@
         self._target_pass = self._allocator.next_pass_to_hold(
             orders.PassNumber(current_pass + passes_ahead)
         )
-        self._held_passes.add(self._target_pass)
+        self._possibly_held_passes.add(self._target_pass)
 
     def _all_ranks(self) -> set[orders.Rank]:
         return {orders.Rank(rank) for rank in range(self._rank_count)}
 
     def _enter_phase(self, phase: SwitchPhase) -> None:
         self.phase = phase
-        self._ranks_left = self._all_ranks()
-        self._hold_count = 0
+        self._pending_ranks = self._all_ranks()
+        self._failed_hold_count = 0
         self._refusal_counts.clear()
 
     def _finish(self, outcome: SwitchOutcome) -> None:
@@ -299,52 +304,52 @@
         if result is orders.OrderResult.REFUSED:
             self._finish(SwitchOutcome.CANCELLED)
         elif result is orders.OrderResult.DONE:
-            self._ranks_left.discard(rank)
-            if not self._ranks_left:
+            self._pending_ranks.discard(rank)
+            if not self._pending_ranks:
                 self._enter_phase(SwitchPhase.COPY)
         else:
             self._unanswered_counts[rank] += 1
-            if self._unanswered_counts[rank] >= _MAX_PREPARE_COUNT:
+            if self._unanswered_counts[rank] >= _MAX_UNANSWERED_PREPARE_COUNT:
                 self._finish(SwitchOutcome.CANCELLED)
 
     def _handle_hold(self, result: orders.OrderResult) -> None:
         if result is orders.OrderResult.DONE:
             self._enter_phase(SwitchPhase.ARM)
             return
-        self._hold_count += 1
+        self._failed_hold_count += 1
         if result is orders.OrderResult.REFUSED:
-            self._held_passes.discard(self._target_pass)
-        if self._hold_count >= _MAX_HOLD_COUNT:
+            self._possibly_held_passes.discard(self._target_pass)
+        if self._failed_hold_count >= _MAX_FAILED_HOLD_COUNT:
             self.cancel()
 
     def _handle_arm(
         self, rank: orders.Rank, result: orders.OrderResult
     ) -> None:
         if result is orders.OrderResult.DONE:
-            self._ranks_left.discard(rank)
-            if not self._ranks_left:
+            self._pending_ranks.discard(rank)
+            if not self._pending_ranks:
                 self._outcome = SwitchOutcome.SWITCHED
                 self._enter_phase(SwitchPhase.RELEASE)
         elif result is orders.OrderResult.REFUSED:
             self._refusal_counts[rank] += 1
             if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
                 self._deciding_rank = rank
-                self._enter_phase(SwitchPhase.DECIDE)
+                self._enter_phase(SwitchPhase.START_ROLLBACK)
 
-    def _handle_decide(self, result: orders.OrderResult) -> None:
+    def _handle_start_rollback(self, result: orders.OrderResult) -> None:
         if result is orders.OrderResult.DONE:
             self._disarmed_ranks = set()
-            self._enter_phase(SwitchPhase.VOID)
-            self._ranks_left.discard(self._deciding_rank)
+            self._enter_phase(SwitchPhase.ROLL_BACK)
+            self._pending_ranks.discard(self._deciding_rank)
         elif result is orders.OrderResult.REFUSED:
             # It is armed by now, or has had a higher version.
-            self._raise_void_version()
+            self._raise_rollback_version()
             if self._may_arm:
                 self._enter_phase(SwitchPhase.ARM)
             else:
-                self._count_void_refusal(self._deciding_rank)
+                self._count_rollback_refusal(self._deciding_rank)
 
-    def _count_void_refusal(self, rank: orders.Rank) -> None:
+    def _count_rollback_refusal(self, rank: orders.Rank) -> None:
         """Leave it after a few refusals: the rank is armed with something.
 
         Newer reports tell with what, and it is found again.
@@ -353,12 +358,12 @@
         if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
             self._finish(SwitchOutcome.CANCELLED)
 
-    def _void_order(self, rank: orders.Rank) -> orders.Order:
+    def _rollback_order(self, rank: orders.Rank) -> orders.Order:
         if rank in self._disarmed_ranks or not self._may_arm:
-            return self._void_prepare()
+            return self._rollback_prepare()
         return orders.Disarm(self._version)
 
-    def _handle_void(
+    def _handle_roll_back(
         self,
         rank: orders.Rank,
         order: orders.Order,
@@ -368,16 +373,16 @@
             if result is orders.OrderResult.DONE:
                 self._disarmed_ranks.add(rank)
         elif result is orders.OrderResult.DONE:
-            self._ranks_left.discard(rank)
+            self._pending_ranks.discard(rank)
         elif result is orders.OrderResult.REFUSED:
             # A late order has armed it anew, or it had a higher version.
             self._disarmed_ranks.discard(rank)
-            self._raise_void_version()
+            self._raise_rollback_version()
             if not self._may_arm:
-                self._count_void_refusal(rank)
+                self._count_rollback_refusal(rank)
                 return
-        if not self._ranks_left:
-            self._outcome = SwitchOutcome.VOIDED
+        if not self._pending_ranks:
+            self._outcome = SwitchOutcome.ROLLED_BACK
             self._enter_phase(SwitchPhase.RELEASE)
 
     def _handle_release(
@@ -387,12 +392,14 @@
             return
         assert isinstance(order, orders.Release)
         # Refused means that the group has a new life by now.
-        self._held_passes.discard(order.pass_number)
-        if not self._held_passes:
+        self._possibly_held_passes.discard(order.pass_number)
+        if not self._possibly_held_passes:
             self.phase = SwitchPhase.OVER
 
-    def _void_prepare(self) -> orders.Prepare:
-        return orders.Prepare(self._void_version, self._old_map)
+    def _rollback_prepare(self) -> orders.Prepare:
+        return orders.Prepare(self._rollback_version, self._old_map)
 
-    def _raise_void_version(self) -> None:
-        self._void_version = self._allocator.next_version(self._void_version)
+    def _raise_rollback_version(self) -> None:
+        self._rollback_version = self._allocator.next_version(
+            self._rollback_version
+        )
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -410,7 +410,7 @@
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     drive(group, switch, copied=range(RANK_COUNT - 1))
-    assert switch.outcome is experts.SwitchOutcome.VOIDED
+    assert switch.outcome is experts.SwitchOutcome.ROLLED_BACK
     assert_runs_on(group)
     assert [rank.version_and_map[1] for rank in group.ranks] == [
         MAPS[0]
