--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -97,13 +97,13 @@
         reports = engine_transport.EngineTransport(
             pool,
             timeout_s=engine_transport.REPORT_TIMEOUT_S,
-            on_answer_head=self.edge_state.apply_answer_head,
+            on_response_head=self.edge_state.apply_answer_head,
             may_send=self.edge_state.backoffs.may_send_deferrable,
         )
         orders = engine_transport.EngineTransport(
             pool,
             timeout_s=engine_transport.ORDER_TIMEOUT_S,
-            on_answer_head=self.edge_state.apply_answer_head,
+            on_response_head=self.edge_state.apply_answer_head,
             may_send=self.edge_state.backoffs.take_urgent_allowance,
         )
         urgent = functools.partial(
--- a/src/lugcross/edge/eligible_servers.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -46,8 +46,8 @@
     def sample(self, rng: random.Random) -> list[desired.Backend]:
         """Return the servers that one choice looks at."""
         return [
-            *_random_run(self.same_domain, rng),
-            *_random_run(self.other_domains, rng),
+            *_random_slice(self.same_domain, rng),
+            *_random_slice(self.other_domains, rng),
         ]
 
 
@@ -81,7 +81,7 @@
     return others
 
 
-def _random_run(
+def _random_slice(
     servers: tuple[desired.Backend, ...], rng: random.Random
 ) -> Sequence[desired.Backend]:
     """Return a run of servers from a place drawn at random."""
--- a/src/lugcross/edge/engine_transport.py
+++ b/src/lugcross/edge/engine_transport.py
@@ -24,7 +24,7 @@
     """Sends one request at a time over a pooled connection.
 
     :param timeout_s: longest wait, in seconds.
-    :param on_answer_head: takes over what a server says of itself.
+    :param on_response_head: takes over what a server says of itself.
     :param may_send: tells whether a server may be sent anything now.
     """
 
@@ -33,14 +33,14 @@
         pool: connection_pool.ConnectionPool,
         *,
         timeout_s: float,
-        on_answer_head: Callable[
+        on_response_head: Callable[
             [desired.Backend, platform.BackendResponseHead], None
         ],
         may_send: Callable[[desired.BackendKey], bool],
     ) -> None:
         self._pool = pool
         self._timeout_s = timeout_s
-        self._on_answer_head = on_answer_head
+        self._on_response_head = on_response_head
         self._may_send = may_send
 
     async def exchange(
@@ -78,5 +78,5 @@
             answer.status, answer.headers
         )
         self._pool.release(backend, conn, head.keep_alive)
-        self._on_answer_head(backend, head)
+        self._on_response_head(backend, head)
         return answer.status, got
--- a/src/lugcross/edge/pass_times.py
+++ b/src/lugcross/edge/pass_times.py
@@ -24,7 +24,7 @@
 _SAME_PASS_RATIO = 0.5
 #: Passes past this many times the usual come of a fault: a group that
 #: stands still tells nothing of demand.
-_FAULT_FACTOR = 6.0
+_STALL_FACTOR = 6.0
 
 
 @final
@@ -73,7 +73,7 @@
         if typical is None:
             self._typical = pause
             return False
-        if pause > typical * _FAULT_FACTOR:
+        if pause > typical * _STALL_FACTOR:
             return False
         if pause > typical * _JUMP_FACTOR:
             self._typical = pause
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -95,7 +95,7 @@
 
     async def update_slowness(self, group: rank_groups.RankGroup) -> None:
         """Ask all ranks how slow they are, if that is due."""
-        if not group.rank_slowness.is_due(self._clock.monotonic()):
+        if not group.rank_slowness.query_is_due(self._clock.monotonic()):
             return
         ranks = group.ranks_to_ask(self._backoffs.servers())
         reports = await self._fetch_reports(group, ranks)
--- a/src/lugcross/edge/rank_slowness.py
+++ b/src/lugcross/edge/rank_slowness.py
@@ -17,7 +17,7 @@
 
 #: Times the usual from which on a rank counts as slow: below it, moving
 #: experts away costs more than the rank.
-_SLOW_FACTOR = 1.25
+_MIN_SLOW_FACTOR = 1.25
 #: Part by which a belief must change for maps to be planned anew.
 _SIGNIFICANT_CHANGE_RATIO = 0.25
 #: Time between two rounds of questions where no rank is known to be slow: a
@@ -46,7 +46,7 @@
         """
         self._due_at = now + report_lag
 
-    def is_due(self, now: clock_lib.Instant) -> bool:
+    def query_is_due(self, now: clock_lib.Instant) -> bool:
         """Tell whether all ranks should be asked now."""
         return now >= self._due_at
 
@@ -59,7 +59,7 @@
         """
         before = dict(self._factors)
         for rank, times in factors.items():
-            if times < _SLOW_FACTOR:
+            if times < _MIN_SLOW_FACTOR:
                 self._factors.pop(rank, None)
             else:
                 self._factors[rank] = times
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -215,7 +215,7 @@
 
     def reader_rank(self) -> int:
         """Return how many processes ask the store before this one."""
-        return store_readers.reader_position(
+        return store_readers.reader_index(
             self._reader(), self._other_readers()
         )
 
--- a/src/lugcross/edge/store_readers.py
+++ b/src/lugcross/edge/store_readers.py
@@ -49,7 +49,7 @@
     )
 
 
-def reader_position(
+def reader_index(
     candidate: ReaderCandidate, peers: Collection[ReaderCandidate]
 ) -> int:
     """Return how many of those that ask go before a process.
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -21,7 +21,7 @@
 #: set to be left as it is. Lower, and copies rise faster than the load falls:
 #: 63 ranks, 8 sets, 252 experts, to 1.5 with 106 copies, to 1.3 with 163,
 #: and what one reading tells of demand is no more exact than that.
-_EVEN_LOAD_RATIO = 1.4
+_ACCEPTABLE_LOAD_RATIO = 1.4
 #: Most by which a plan may stay above the best that was reached for a set,
 #: in mean rank loads, to be left with fewer copies.
 _MIN_LOAD_DECREASE_RATIO = 0.03
@@ -98,17 +98,17 @@
         yield
     # Every set adds its most loaded rank to a pass: the worst goes first,
     # so that it finds copies left.
-    open_placements = list(placements)
-    while open_placements:
-        worst = max(open_placements, key=_max_load)
+    improvable_placements = list(placements)
+    while improvable_placements:
+        worst = max(improvable_placements, key=_max_load)
         placement, best = worst
         relocation = (
             placement.best_relocation()
-            if placement.max_load > _EVEN_LOAD_RATIO
+            if placement.max_load > _ACCEPTABLE_LOAD_RATIO
             else None
         )
         if relocation is None:
-            open_placements.remove(worst)
+            improvable_placements.remove(worst)
         else:
             placement.apply(relocation)
             best.update()
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -11,16 +11,16 @@
 
 #: Least by which a step must lighten the most loaded rank for each copy, in
 #: mean rank loads: below it lies the noise of one reading.
-_MIN_GAIN_RATIO = 0.04
+_MIN_GAIN_PER_COPY = 0.04
 #: Experts of the most loaded rank that are tried, heaviest first: what is
 #: lighter than these cannot be why it is the slowest.
-_TRIED_EXPERT_COUNT = 2
+_CANDIDATE_EXPERT_COUNT = 2
 #: Ranks that are tried to take something over, least loaded first: what is
 #: more loaded than these is no better place, and 256 ranks take too long.
-_TRIED_RANK_COUNT = 5
+_CANDIDATE_TARGET_COUNT = 5
 #: Steps of one set, at most, for each of its ranks: a set that takes more
 #: changes the same ranks in circles.
-_MAX_RELOCATIONS_PER_RANK_COUNT = 3
+_MAX_RELOCATIONS_PER_RANK = 3
 
 
 @final
@@ -83,9 +83,7 @@
             sum(self._replica_loads[one] for one in held) * slowness[rank]
             for rank, held in enumerate(self.ranks)
         ]
-        self._relocations_left_count = _MAX_RELOCATIONS_PER_RANK_COUNT * len(
-            ranks
-        )
+        self._relocations_left_count = _MAX_RELOCATIONS_PER_RANK * len(ranks)
 
     @property
     def max_load(self) -> float:
@@ -98,7 +96,7 @@
             return None
         source = self._loads.index(max(self._loads))
         heavy = heapq.nlargest(
-            _TRIED_EXPERT_COUNT,
+            _CANDIDATE_EXPERT_COUNT,
             self.ranks[source],
             key=self._replica_loads.__getitem__,
         )
@@ -112,7 +110,7 @@
                 for candidate in self._relocations_to(expert, source, rank):
                     if found is None or candidate.gain > found.gain:
                         found = candidate
-        if found is None or found.gain < _MIN_GAIN_RATIO:
+        if found is None or found.gain < _MIN_GAIN_PER_COPY:
             return None
         return found
 
@@ -123,7 +121,9 @@
             for rank, load in enumerate(self._loads)
             if rank != source and self._may_copy(rank)
         ]
-        return [rank for _, rank in heapq.nsmallest(_TRIED_RANK_COUNT, free)]
+        return [
+            rank for _, rank in heapq.nsmallest(_CANDIDATE_TARGET_COUNT, free)
+        ]
 
     def apply(self, relocation: Relocation) -> None:
         """Carry out a step."""
@@ -147,7 +147,7 @@
             self._slowness[source],
             self._slowness[target],
         )
-        evicted, freed, peak = self._make_room(target, expert)
+        evicted, freed, peak = self._choose_eviction(target, expert)
         if evicted is None and self._is_full(target):
             yield from self._swaps(expert, source, target)
             return
@@ -248,7 +248,7 @@
     def _is_full(self, rank: int) -> bool:
         return len(self.ranks[rank]) >= self._limits.max_experts_per_rank
 
-    def _make_room(
+    def _choose_eviction(
         self, rank: int, expert: int
     ) -> tuple[int | None, float, float]:
         """Return what a full rank would give up for ``expert``.
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -21,7 +21,7 @@
 #: is broken (1.5 s), and a look (0.5 s).
 BREAK_WINDOW = datetime.timedelta(seconds=2.5)
 #: Lives in a row that ended so, from which on the group is left alone.
-BREAKS_BEFORE_BACKOFF_COUNT = 2
+BREAK_COUNT_FOR_BACKOFF = 2
 #: First rest: the time in which four jumps of demand pass on the users' days,
 #: so that one rest in vain costs little; doubled each time.
 INITIAL_BACKOFF = datetime.timedelta(seconds=15)
@@ -63,7 +63,7 @@
             self._break_count = 0
             return False
         self._break_count += 1
-        doublings = self._break_count - BREAKS_BEFORE_BACKOFF_COUNT
+        doublings = self._break_count - BREAK_COUNT_FOR_BACKOFF
         if doublings < 0:
             return False
         self._active_until = now + min(
--- a/testing/edge/test_rank_slowness.py
+++ b/testing/edge/test_rank_slowness.py
@@ -16,19 +16,19 @@
 
 def test_all_ranks_are_asked_once_reports_tell_of_longer_passes():
     slowness = rank_slowness_lib.RankSlowness()
-    assert slowness.is_due(_instant(0))
+    assert slowness.query_is_due(_instant(0))
     slowness.update({SLOW_RANK: 1.0}, _instant(0))
-    assert not slowness.is_due(_instant(1))
+    assert not slowness.query_is_due(_instant(1))
     slowness.note_jump(_instant(1), REPORT_LAG)
-    assert not slowness.is_due(_instant(1.1))
-    assert slowness.is_due(_instant(1.2))
+    assert not slowness.query_is_due(_instant(1.1))
+    assert slowness.query_is_due(_instant(1.2))
 
 
 def test_rank_is_slow_until_it_tells_that_it_is_not():
     slowness = rank_slowness_lib.RankSlowness()
     assert slowness.update({SLOW_RANK: 4.0}, _instant(0))
     assert slowness.factors(3) == (1.0, 4.0, 1.0)
-    assert slowness.is_due(_instant(1))
+    assert slowness.query_is_due(_instant(1))
     assert not slowness.update({}, _instant(1)), "its silence changes nothing"
     assert slowness.factors(3) == (1.0, 4.0, 1.0)
     assert slowness.update({SLOW_RANK: 1.0}, _instant(2))
--- a/testing/edge/test_store_readers.py
+++ b/testing/edge/test_store_readers.py
@@ -75,7 +75,7 @@
 def test_those_that_ask_are_ranked_over_all_domains() -> None:
     candidates = _candidates_in(2, 2, 2)
     ranks = {
-        one.incarnation: store_readers.reader_position(
+        one.incarnation: store_readers.reader_index(
             one, [o for o in candidates if o is not one]
         )
         for one in candidates
@@ -89,4 +89,4 @@
     candidates[0] = store_readers.ReaderCandidate("i00-d0", False, "d0")
     others = [one for one in candidates if one.incarnation != "i00-d1"]
     candidate = next(one for one in candidates if one.incarnation == "i00-d1")
-    assert store_readers.reader_position(candidate, others) == 0
+    assert store_readers.reader_index(candidate, others) == 0
