--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Expert maps of running groups: see demand, plan, switch all ranks."""
+"""Expert maps of rank groups: measuring demand, planning, switching.
+
+An expert map says which experts each rank of a group holds. Nothing in this
+package does I/O.
+"""
 
 from lugcross.experts.demand import counts_by_set
 from lugcross.experts.demand import ExpertCounts
--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What experts are in demand, from the running counts of single ranks."""
+"""Demand for experts, computed from the cumulative use counts of one rank."""
 
 from collections.abc import Sequence
 import dataclasses
@@ -8,17 +8,20 @@
 from lugcross.experts import expert_map
 from lugcross.experts import orders
 
-#: Uses of an expert between two readings, over all sets, below which they
-#: tell of too few requests to plan by.
+#: Fewer expert uses than this between two readings, summed over all experts
+#: and sets, are too small a sample to plan a map from.
 _MIN_USE_COUNT = 2_000
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class ExpertCounts:
-    """How often each expert was used at one rank since its start.
+    """Cumulative use counts of the experts, as read from one rank.
 
-    :param uses_by_set: by set, then by expert.
+    :param epoch: the epoch of the group in which the counts were read.
+    :param last_pass: the pass that had begun last at the time of the reading.
+    :param uses_by_set: uses since the rank's start, indexed by layer set,
+        then by expert.
     """
 
     epoch: orders.Epoch
@@ -29,10 +32,13 @@
 def uses_between(
     earlier: ExpertCounts | None, later: ExpertCounts
 ) -> tuple[tuple[int, ...], ...] | None:
-    """Return the uses between two readings of one rank.
+    """Return the uses between two readings of one rank, by set and expert.
 
-    None if they do not follow each other or tell too little. What lies
-    further back is of no use: demand jumps, it does not drift.
+    Older readings are not averaged in, since demand changes abruptly rather
+    than gradually.
+
+    :returns: None if there is no earlier reading, if the epochs differ, if a
+        count has decreased, or if there are too few uses to plan from.
     """
     if earlier is None or earlier.epoch != later.epoch:
         return None
@@ -51,15 +57,17 @@
 def counts_by_set(
     counts: Sequence[int], limits: expert_map.ExpertLimits
 ) -> list[list[int]]:
-    """Return counts set by set.
+    """Split a flat list of counts into one list for each layer set.
 
-    :raises ValueError: when they are not ``layer_set_count`` times
-        ``expert_count``.
+    :param counts: the counts of all experts of the first set, then those of
+        the second, and so on.
+    :raises ValueError: if there are not ``layer_set_count`` times
+        ``expert_count`` counts.
     """
     if len(counts) != limits.layer_set_count * limits.expert_count:
         raise ValueError(
-            f"{len(counts)} counts, not "
-            f"{limits.layer_set_count} x {limits.expert_count}"
+            f"expected {limits.layer_set_count} x {limits.expert_count} "
+            f"expert counts, got {len(counts)}"
         )
     size = limits.expert_count
     return [list(counts[at : at + size]) for at in range(0, len(counts), size)]
--- a/src/lugcross/experts/election.py
+++ b/src/lugcross/experts/election.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which process looks after expert maps: the one that runs longest.
+"""Election of the leader, which is the process that may switch expert maps.
 
-All processes see the same few facts of each other, so that they mostly
-agree without a call. Where they don't, because one was frozen or cut off,
-two may act at once for a while; :mod:`lugcross.experts.switch` is safe
-with any number of them.
+The candidate that started first is the leader. Each process computes this
+from what it knows of its peers, without a call to them. While a process is
+frozen or partitioned, processes may disagree and two may act as leader at
+once; :mod:`lugcross.experts.switch` is safe with any number of leaders.
 """
 
 from collections.abc import Iterable
@@ -15,11 +15,12 @@
 @final
 @dataclasses.dataclass(frozen=True, order=True)
 class Candidate:
-    """A process that could look after expert maps.
+    """A process that may be elected; the lowest in order is the leader.
 
-    :param started_at_ms: when it started, by its own time of day; processes
-        that started later leave the leadership to earlier ones.
-    :param incarnation: decides between two that started together.
+    :param started_at_ms: when the process started, by its own wall clock, in
+        milliseconds.
+    :param incarnation: identifies the process since its start; breaks ties
+        between processes that started in the same millisecond.
     """
 
     started_at_ms: int
@@ -27,5 +28,5 @@
 
 
 def elect_leader(candidates: Iterable[Candidate]) -> Candidate | None:
-    """Return the leader; none if there is no candidate."""
+    """Return the leader, or None if there are no candidates."""
     return min(candidates, default=None)
--- a/src/lugcross/experts/expert_map.py
+++ b/src/lugcross/experts/expert_map.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Expert maps of a group of ranks, and how long a pass takes under them.
+"""Expert maps of a rank group, and the pass time to expect under them.
 
-Plain Python on purpose: an entry process plans for groups of some tens of
-ranks within milliseconds, and numpy alone would double its memory.
+Does not use numpy, which would double the memory of an entry process; plain
+Python plans for groups of some tens of ranks within milliseconds.
 """
 
 from collections.abc import Sequence
@@ -10,23 +10,27 @@
 import operator
 from typing import final
 
-#: Experts that one rank holds, set by set.
+#: Experts that one rank holds, indexed by layer set.
 ExpertsBySet = tuple[tuple[int, ...], ...]
-#: How much each expert is used in each set of layers; any unit.
+#: How much each expert is used, indexed by layer set, then by expert; only
+#: the proportions matter.
 Demand = Sequence[Sequence[float]]
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ExpertLimits:
-    """What a service's engines allow, as its operator tells it.
-
-    :param layer_set_count: sets of layers that share one placement.
-    :param max_experts_per_rank: experts that a rank may hold in a set.
-    :param max_new_experts_per_map: experts of a set that may be new to a rank
-        in one map.
-    :param copy_s: time to copy one expert, seconds.
-    :param expert_time_ratio: part of a pass that is spent in experts.
+    """Limits and costs of a service's engines, as set by the operator.
+
+    :param layer_set_count: number of layer sets; all layers of a set have the
+        same placement of experts.
+    :param expert_count: number of experts in each layer set.
+    :param max_experts_per_rank: how many experts of a set a rank can hold.
+    :param max_new_experts_per_map: how many experts of a set one map can add
+        to a rank.
+    :param copy_s: time to copy one expert to a rank, in seconds.
+    :param expert_time_ratio: fraction of a pass that is spent in experts when
+        all ranks are equally loaded.
     """
 
     layer_set_count: int
@@ -40,23 +44,26 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class ExpertMap:
-    """Which experts each rank holds.
+    """An assignment of experts to the ranks of a group.
 
-    :param ranks: by rank, then by set.
+    :param ranks: the experts held, indexed by rank, then by layer set.
     """
 
     ranks: tuple[ExpertsBySet, ...]
 
     def copies_needed_at(self, rank: int, current_map: "ExpertMap") -> int:
-        """Return how many experts ``rank`` must copy, coming from another.
+        """Return how many experts ``rank`` must copy to get this map.
 
-        :param current_map: the map that is in use.
+        :param current_map: the map in use.
         """
         pairs = zip(self.ranks[rank], current_map.ranks[rank], strict=True)
         return sum(len(set(now) - set(then)) for now, then in pairs)
 
     def max_copies_per_rank(self, current_map: "ExpertMap") -> int:
-        """Return the most that any one rank must copy."""
+        """Return the largest number of experts that one rank must copy.
+
+        :param current_map: the map in use.
+        """
         return max(
             self.copies_needed_at(rank, current_map)
             for rank in range(self.rank_count)
@@ -64,12 +71,11 @@
 
     @property
     def rank_count(self) -> int:
-        """How many ranks there are."""
         return len(self.ranks)
 
 
 def round_robin_map(rank_count: int, limits: ExpertLimits) -> ExpertMap:
-    """Return the map that every new group starts with: dealt in turn."""
+    """Return the initial map of a group: expert ``i`` at rank ``i % n``."""
     return ExpertMap(
         tuple(
             tuple(
@@ -84,11 +90,13 @@
 def load_skew(
     demand: Demand, expert_map: ExpertMap, slowness: Sequence[float] = ()
 ) -> float:
-    """Return the load of the most loaded rank over the mean of all.
+    """Return the ratio of the highest rank load to the mean, 1 if even.
 
-    The mean over sets; a set that nothing is known of counts as even.
+    This is the average over the layer sets. A set without any demand counts
+    as even.
 
-    :param slowness: how many times longer each rank takes than usual.
+    :param slowness: factor by which each rank takes longer than usual, by
+        rank; all are 1 if empty.
     """
     total = 0.0
     for set_index, weights in enumerate(demand):
@@ -106,9 +114,11 @@
 def rank_loads(
     weights: Sequence[float], expert_map: ExpertMap, set_index: int
 ) -> list[float]:
-    """Return each rank's load in set ``set_index``.
+    """Return the load of each rank in layer set ``set_index``.
+
+    The load of an expert is split evenly among the ranks that hold it.
 
-    The tokens of an expert are split evenly among the ranks that hold it.
+    :param weights: demand for each expert of the set.
     """
     holders = [0] * len(weights)
     for rank in expert_map.ranks:
@@ -123,10 +133,10 @@
 def pass_time_saving(
     skew_before: float, skew_after: float, expert_time_ratio: float
 ) -> float:
-    """Return the part of a pass that another skew saves.
+    """Return the fraction of the pass time that a change of skew saves.
 
-    :param skew_before: skew now.
-    :param expert_time_ratio: part of an even pass that is spent in experts.
+    :param expert_time_ratio: fraction of a pass without skew that is spent in
+        experts.
     """
     return 1.0 - relative_pass_time(
         skew_after, expert_time_ratio
@@ -134,8 +144,9 @@
 
 
 def relative_pass_time(skew: float, expert_time_ratio: float) -> float:
-    """Return how long a pass takes, where 1 is a pass without any skew.
+    """Return the duration of a pass relative to one without skew.
 
-    :param expert_time_ratio: part of an even pass that is spent in experts.
+    :param expert_time_ratio: fraction of a pass without skew that is spent in
+        experts.
     """
     return (1.0 - expert_time_ratio) + expert_time_ratio * skew
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -1,19 +1,22 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The lease by which one process gives orders about expert maps.
-
-The lease is a record in the platform's store. Each claim has a number above
-that of the one before, and every order carries it: engines refuse orders
-with a lower number than they have seen, so that whatever a frozen or
-cut-off holder still has on its way is refused once its successor has given
-an order. That makes it safe
-
-- to take the lease over at any time; the time to live only keeps two
-  processes that don't hear each other from taking it in turns;
-- to keep it while the store is away: nobody can claim it meanwhile. A
-  process that does not hold it rests until the store answers.
-
-No clocks are compared: the time to live runs from when a process has seen
-a record, and any write in between defeats its claim.
+"""The lease that a process must hold to switch expert maps.
+
+The lease is a record in the platform's store. Each claim has a higher
+generation than the claim before it, and every order carries the generation
+as a fencing token: engines refuse an order whose generation is lower than
+one that they have already seen. Orders of a frozen or partitioned holder that
+are still in flight are therefore refused once its successor has given an
+order. This makes it safe
+
+- to take over the lease at any time. The time to live only prevents two
+  processes that don't hear each other from taking it over in turns;
+- to keep the lease while the store is unavailable, since no other process
+  can claim it then. A process without the lease waits until the store
+  answers again.
+
+Clocks of different processes are never compared. Each process measures the
+time to live by its own clock, from when it first read the record, and its
+claim is a conditional write that fails if there was any other write since.
 """
 
 import datetime
@@ -26,26 +29,28 @@
 from lugcross import clock as clock_lib
 from lugcross import positions
 
-#: Number of a claim; rises with each, from 1.
+#: Fencing token of a claim; starts at 1 and rises with each claim.
 Generation = NewType("Generation", int)
 
-#: Time between two renewals. A renewal also tells a holder that it has
-#: been superseded; two a second are a two-hundredth of the store's writes.
+#: Time between two renewals. A renewal that fails also tells a holder that it
+#: has been superseded.
 RENEWAL_INTERVAL = datetime.timedelta(milliseconds=500)
-#: Time for which a record must stand unchanged before it may be replaced:
-#: one renewal and a slow store's answer. A holder that was frozen between
-#: two orders may keep its group from making passes for that long.
+#: Time for which a process must see the record unchanged before it may claim
+#: the lease: one renewal interval plus the response time of a slow store.
+#: Not longer, since a holder that froze in the middle of a switch may stall
+#: its group for this long.
 TIME_TO_LIVE = datetime.timedelta(milliseconds=750)
-#: Rest after a call that got no answer; as long as the store takes to
-#: answer when it is slow.
+#: Wait after a call that the store did not answer, before this process
+#: retries; the response time of a slow store.
 RETRY_DELAY = datetime.timedelta(milliseconds=500)
-#: Bits of the numbers of one era of the store: at a claim each time to live
-#: they last for 145 days, and claims are a few a day.
+#: Low bits of a generation, which count the claims within one era of the
+#: store; the era is above them. They last for 145 days even if there is a
+#: claim in every time to live.
 _GENERATION_BIT_COUNT = 24
 
 
 class LeaseAction(enum.Enum):
-    """What to do at the store now."""
+    """The next call that a process makes to the store for its lease."""
 
     NONE = "none"
     READ = "read"
@@ -56,10 +61,11 @@
 
 @final
 class LeaseRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What the store holds of a lease.
+    """The record of a lease in the store.
 
-    :param holder: incarnation of the process that wrote it.
-    :param released: whether that process has given it up.
+    :param holder: incarnation of the process that wrote the record.
+    :param generation: fencing token of that process's claim.
+    :param released: whether that process has released the lease.
     """
 
     holder: str
@@ -69,13 +75,13 @@
 
 @final
 class Lease:
-    """One process's part in a lease; no I/O.
+    """The state of a lease as seen by one process; does no I/O.
 
-    Whoever drives it carries out each :meth:`next_action` and says what came
-    of it, by one of :meth:`note_read`, :meth:`note_written`,
+    The caller carries out each :meth:`next_action` at the store and reports
+    the result by one of :meth:`note_read`, :meth:`note_written`,
     :meth:`note_conflict` and :meth:`note_no_answer`.
 
-    :param incarnation: of this process.
+    :param incarnation: incarnation of this process.
     """
 
     def __init__(self, incarnation: str, clock: clock_lib.Clock) -> None:
@@ -86,24 +92,24 @@
         self._unchanged_since = clock.monotonic()
         self._renewed_at = clock.monotonic()
         self._retry_at = clock.monotonic()
-        #: Highest number that is known to be of no use any more.
+        #: This and all lower generations must not be used any more.
         self._highest_revoked = Generation(0)
         self._held_generation: Generation | None = None
-        #: Whether the store left the last call without an answer.
+        #: Whether the last call to the store got no answer.
         self.store_unavailable = False
 
     @property
     def held_generation(self) -> Generation | None:
-        """Number of this process's claim; none while it has no lease."""
+        """Generation of this process's claim; None if it has no lease."""
         return self._held_generation
 
     def next_action(
         self, *, wants_lease: bool, held_by_peer: bool
     ) -> LeaseAction:
-        """Return what to do at the store now.
+        """Return the call to make to the store now.
 
         :param wants_lease: whether this process should have the lease.
-        :param held_by_peer: whether a live peer says that it has it.
+        :param held_by_peer: whether a live peer says that it has the lease.
         """
         now = self._clock.monotonic()
         if now < self._retry_at:
@@ -111,13 +117,14 @@
         if self._held_generation is not None:
             return self._next_action_of_holder(now, wants_lease)
         if not wants_lease or held_by_peer:
-            # What was seen is too old to start the time to live from.
+            # The record must be read again before a claim, so that the time
+            # to live is not measured from an old reading.
             self._expected_end = None
             return LeaseAction.NONE
         if self._expected_end is None:
             return LeaseAction.READ
-        free = self._seen_record is None or self._seen_record.released
-        if free or now - self._unchanged_since >= TIME_TO_LIVE:
+        is_free = self._seen_record is None or self._seen_record.released
+        if is_free or now - self._unchanged_since >= TIME_TO_LIVE:
             return LeaseAction.CLAIM
         return LeaseAction.NONE
 
@@ -133,18 +140,23 @@
         return LeaseAction.NONE
 
     def record_for(self, action: LeaseAction) -> LeaseRecord:
-        """Return the record that a move writes."""
+        """Return the record to write for a claim, renewal or release."""
         if action is LeaseAction.CLAIM:
-            before = (
+            seen_generation = (
                 self._seen_record.generation
                 if self._seen_record
                 else Generation(0)
             )
-            # What was claimed since the copy that the store came back from is
-            # not known to it: each era has numbers above all earlier ones.
-            lowest = positions.era(self.expected_end) << _GENERATION_BIT_COUNT
-            number = Generation(max(before, self._highest_revoked, lowest) + 1)
-            return LeaseRecord(holder=self._incarnation, generation=number)
+            # A store that came back from an older copy does not know the
+            # claims made since that copy. Generations of each era are
+            # therefore above all those of earlier eras.
+            era_base = (
+                positions.era(self.expected_end) << _GENERATION_BIT_COUNT
+            )
+            generation = Generation(
+                max(seen_generation, self._highest_revoked, era_base) + 1
+            )
+            return LeaseRecord(holder=self._incarnation, generation=generation)
         assert self._held_generation is not None
         return LeaseRecord(
             holder=self._incarnation,
@@ -154,14 +166,18 @@
 
     @property
     def expected_end(self) -> positions.Position:
-        """Where the store's log must end for a write to count."""
+        """Condition of the next write: where the store's log must end."""
         assert self._expected_end is not None
         return self._expected_end
 
     def note_read(
         self, record: LeaseRecord | None, end: positions.Position
     ) -> None:
-        """Take over what the store holds."""
+        """Note what a read returned.
+
+        :param record: the newest record of the lease, if there is one.
+        :param end: where the store's log ended.
+        """
         self.store_unavailable = False
         now = self._clock.monotonic()
         if end != self._expected_end or self._seen_record != record:
@@ -169,22 +185,25 @@
         self._seen_record, self._expected_end = record, end
         if record is None:
             return
-        number = record.generation
+        generation = record.generation
         if (
             self._held_generation is not None
-            and number > self._held_generation
+            and generation > self._held_generation
         ):
             self._revoke(self._held_generation)
-        ours = record.holder == self._incarnation and not record.released
-        if ours and number > self._highest_revoked:
-            # A write of ours whose answer was lost took effect.
-            self._held_generation = number
+        is_own = record.holder == self._incarnation and not record.released
+        if is_own and generation > self._highest_revoked:
+            # A write of this process took effect though its answer was lost.
+            self._held_generation = generation
             self._renewed_at = now
 
     def note_written(
         self, record: LeaseRecord, end: positions.Position
     ) -> None:
-        """Note that the store has taken a record of ours."""
+        """Note that the store has accepted a record of this process.
+
+        :param end: where the store's log ends after the write.
+        """
         self.store_unavailable = False
         self._seen_record, self._expected_end = record, end
         self._unchanged_since = self._renewed_at = self._clock.monotonic()
@@ -194,18 +213,21 @@
             self._held_generation = record.generation
 
     def note_conflict(self) -> None:
-        """Note that another write came first."""
+        """Note that a write failed because another write came first."""
         self.store_unavailable = False
         self._expected_end = None
 
     def note_no_answer(self) -> None:
-        """Note that a call got no answer: a write may have counted."""
+        """Note that a call got no answer; a write may have taken effect."""
         self.store_unavailable = True
         self._expected_end = None
         self._retry_at = self._clock.monotonic() + RETRY_DELAY
 
     def note_newer_generation(self, generation: Generation) -> None:
-        """Note a higher number that a peer tells of."""
+        """Revoke this process's lease if a peer's generation is higher.
+
+        :param generation: the generation that a peer says it holds.
+        """
         if (
             self._held_generation is not None
             and generation > self._held_generation
@@ -213,11 +235,11 @@
             self._revoke(self._held_generation)
 
     def note_fenced(self, generation: Generation) -> None:
-        """Note that an engine has seen a higher number than ``generation``."""
+        """Note that an engine refused ``generation`` as superseded."""
         self._revoke(generation)
 
     def _revoke(self, generation: Generation) -> None:
-        """Never use a number again."""
+        """Never use ``generation`` or a lower one again."""
         self._highest_revoked = max(self._highest_revoked, generation)
         if (
             self._held_generation is not None
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a rank can be told about expert maps, and what it says to that."""
+"""Orders that ranks take about expert maps, and the reports that they give."""
 
 import dataclasses
 import enum
@@ -11,18 +11,23 @@
 
 #: Number of a rank within its group, from 0.
 Rank = NewType("Rank", int)
-#: Number of a pass; all ranks of a group make it together.
+#: Number of a pass. All ranks of a group make each pass together.
 PassNumber = NewType("PassNumber", int)
-#: Version of an expert map; rises at each rank, 0 is what it starts with.
+#: Version of an expert map. A rank starts with version 0, and its version only
+#: rises within an epoch.
 MapVersion = NewType("MapVersion", int)
-#: Life of a group; a new one starts from the first map.
+#: Number that rises each time a group forms anew. The group begins each epoch
+#: with the initial map.
 Epoch = NewType("Epoch", int)
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class Prepare:
-    """Copy what a map needs; takes the place of any map prepared before."""
+    """Order to copy the experts that a map needs.
+
+    The map replaces any that was prepared before.
+    """
 
     version: MapVersion
     map: expert_map.ExpertMap
@@ -31,7 +36,7 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class Arm:
-    """Take up the prepared map as one pass begins."""
+    """Order to start using the prepared map at the beginning of a pass."""
 
     version: MapVersion
     pass_number: PassNumber
@@ -40,7 +45,7 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class Disarm:
-    """Do not take up a map after all."""
+    """Order to cancel an :class:`Arm` order."""
 
     version: MapVersion
 
@@ -48,7 +53,10 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class Hold:
-    """Do not begin a pass until it is released; stands until then."""
+    """Order not to begin a pass until :class:`Release` is given.
+
+    A hold has no timeout.
+    """
 
     pass_number: PassNumber
 
@@ -56,7 +64,7 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class Release:
-    """Let a pass that is held begin."""
+    """Order to let a held pass begin."""
 
     pass_number: PassNumber
 
@@ -65,10 +73,11 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order.
+    """The result of an order, as far as its sender knows.
 
-    An ``UNKNOWN`` one may have been carried out, or may be seconds later.
-    One is ``FENCED`` where the rank has had orders of a later holder.
+    ``UNKNOWN``: no answer came. The rank may have carried out the order, or
+    may still do so seconds later. ``FENCED``: the rank refused the order
+    because it has seen a higher lease generation.
     """
 
     DONE = "done"
@@ -80,16 +89,19 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RankReport:
-    """State of one rank, some hundred milliseconds ago.
+    """The state that a rank reports; it may be some hundred ms old.
 
-    :param last_pass: pass that began last.
-    :param version_in_use: version of the map in use.
-    :param prepared_version: version that could be armed; none while it is
-        copied.
-    :param armed_order: version and pass at which it will be taken up.
-    :param held_pass: pass that this rank keeps from beginning.
-    :param slowness: how many times longer than usual it takes.
+    :param group: name of the group.
+    :param rank_count: number of ranks in the group.
     :param is_open: whether the group takes requests.
+    :param last_pass: the pass that began last.
+    :param version_in_use: version of the map in use.
+    :param prepared_version: version that is ready to be armed; None while the
+        rank is still copying.
+    :param armed_order: the order by which the rank is armed, if it is.
+    :param held_pass: the pass that this rank holds, if any.
+    :param slowness: factor by which the rank's part of a pass takes longer
+        than usual.
     """
 
     group: str
@@ -107,28 +119,33 @@
 
     @property
     def highest_version(self) -> MapVersion:
-        """Highest version that the rank tells of."""
+        """Highest of the versions in use, prepared and armed."""
         armed = self.armed_order.version if self.armed_order else MapVersion(0)
         return max(
             self.version_in_use, self.prepared_version or MapVersion(0), armed
         )
 
 
-#: Low bits of a version, which tell whose it is.
+#: Low bits of a version; they hold the number of the process that chose it.
 _PROCESS_NUMBER_BIT_COUNT = 16
-#: Processes hold passes of this many classes, by their number, so that one
-#: rarely holds, and so never releases, the pass that another holds.
+#: Modulus by which passes are divided into residue classes. A process holds
+#: only passes of one class, chosen by its number, so that two processes
+#: rarely hold, and therefore release, the same pass.
 _PASS_CLASS_COUNT = 4
-#: The same where leases are numbered: two holders in a row never hold the
-#: same pass, and what the one before them sends is refused.
+#: Modulus where orders carry a lease generation, which then selects the class.
+#: Two are enough: consecutive holders never hold the same pass, and engines
+#: refuse orders of any earlier holder.
 _PASS_CLASS_COUNT_WITH_LEASE = 2
 
 
 @final
 class SwitchNumberAllocator:
-    """Chooses versions and passes so that no other process chooses them.
+    """Allocates the versions and the passes to hold for map switches.
+
+    Different processes get different versions and, mostly, different passes.
 
-    :param process_number: drawn at random at each start of a process.
+    :param process_number: random number, drawn anew at each process start;
+        only its low 16 bits are used.
     """
 
     def __init__(self, process_number: int) -> None:
@@ -140,15 +157,16 @@
         self._pass_class = self._process_number
 
     def use_generation(self, generation: lease.Generation) -> None:
-        """Choose passes by the number of a lease from now on."""
+        """Choose passes by this lease generation from now on."""
         self._pass_class_count = _PASS_CLASS_COUNT_WITH_LEASE
         self._pass_class = generation
 
     def next_version(self, highest_version: MapVersion) -> MapVersion:
-        """Return a version above ``highest_version``, never chosen before.
+        """Return a new version above ``highest_version``.
 
-        A version stands for one map: what a report tells may be older than
-        what this process has chosen itself.
+        A version must never stand for two maps. It is therefore also above
+        all versions that this allocator has returned before, which
+        ``highest_version`` may not include if it comes from an old report.
         """
         high = (
             max(highest_version, self._last_version)
@@ -160,6 +178,6 @@
         return self._last_version
 
     def next_pass_to_hold(self, last_pass: PassNumber) -> PassNumber:
-        """Return the next pass past ``last_pass`` that this process holds."""
+        """Return the first pass after ``last_pass`` that may be held."""
         ahead = (self._pass_class - last_pass - 1) % self._pass_class_count
         return PassNumber(last_pass + 1 + ahead)
