--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The next expert map: the most loaded ranks are relieved, with few copies.
-
-Demand jumps to other experts every few seconds, and every expert that is new
-to a rank must be copied there. A plan is a list of single steps, each of which
-lightens the most loaded rank of a set: one of its experts gets a replica,
-moves, or changes places with another rank's, whichever leaves the ranks that
-it touches the least loaded for each copy. A rank that is slower than the
-others counts as loaded by as much more.
+"""Planning of the next expert map: even rank loads at the cost of few copies.
+
+Demand shifts to other experts every few seconds, and every expert that a map
+newly assigns to a rank must be copied there. The planner is greedy: each step
+relieves the most loaded rank of a layer set by replicating, moving or swapping
+one of its experts, whichever lowers the load of the affected ranks most per
+copy. The load of a slow rank is multiplied by its slowness.
 """
 
 from collections.abc import Generator
@@ -17,24 +16,24 @@
 from lugcross.experts import expert_map
 from lugcross.experts import set_placement
 
-#: Most that the most loaded rank of a set may do, in mean rank loads, for the
-#: set to be left as it is. Lower, and copies rise faster than the load falls:
-#: 63 ranks, 8 sets, 252 experts, to 1.5 with 106 copies, to 1.3 with 163,
-#: and what one reading tells of demand is no more exact than that.
+#: A set whose highest rank load is at most this multiple of the mean is not
+#: improved further: below it, copies rise faster than the load falls, and the
+#: difference is within the noise of one reading of demand.
 _ACCEPTABLE_LOAD_RATIO = 1.4
-#: Most by which a plan may stay above the best that was reached for a set,
-#: in mean rank loads, to be left with fewer copies.
+#: A set's highest load must fall by more than this, in mean rank loads, for
+#: the additional copies to be kept in the plan.
 _MIN_LOAD_DECREASE_RATIO = 0.03
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class MapPlan:
-    """A map that may follow the one in use.
+    """A proposed map, with its effect and cost.
 
-    :param skew_before: of the demand under the map in use.
-    :param skew_after: of the demand under ``next_map``.
-    :param max_copies_per_rank: most experts that one rank must copy.
+    :param skew_before: load skew under the map in use.
+    :param skew_after: load skew under ``next_map``.
+    :param max_copies_per_rank: the largest number of experts that one rank
+        must copy.
     """
 
     next_map: expert_map.ExpertMap
@@ -51,12 +50,13 @@
     max_copies_per_rank: int,
     slowness: Sequence[float] = (),
 ) -> MapPlan:
-    """Return the best map that costs each rank few copies.
+    """Plan the next map.
 
     :param current_map: the map in use.
-    :param max_copies_per_rank: experts that one rank may copy, over all sets.
-    :param slowness: how many times longer each rank takes than usual; all
-        as usual without it.
+    :param max_copies_per_rank: how many experts one rank may copy, over all
+        layer sets.
+    :param slowness: factor by which each rank takes longer than usual, by
+        rank; all are 1 if empty.
     """
     planning = plan_in_steps(
         demand,
@@ -81,10 +81,10 @@
     max_copies_per_rank: int,
     slowness: Sequence[float] = (),
 ) -> Generator[None, None, MapPlan]:
-    """Plan as :func:`plan_map` does, a fraction of a millisecond at a time.
+    """Plan as :func:`plan_map` does, but as a generator.
 
-    Whoever must not block its process for long does something else
-    between two steps.
+    Each step takes a fraction of a millisecond, so that the caller can run
+    other work between two steps. The generator returns the plan.
     """
     slowness_factors = tuple(slowness) or (1.0,) * current_map.rank_count
     copies_left = [max_copies_per_rank] * current_map.rank_count
@@ -96,8 +96,8 @@
         )
         placements.append((placement, _BestPlacement(placement)))
         yield
-    # Every set adds its most loaded rank to a pass: the worst goes first,
-    # so that it finds copies left.
+    # Each set adds the load of its most loaded rank to the pass time, so the
+    # set with the highest load uses the remaining copies first.
     improvable_placements = list(placements)
     while improvable_placements:
         worst = max(improvable_placements, key=_max_load)
@@ -137,11 +137,11 @@
 
 @final
 class _BestPlacement:
-    """The best of the placements that the steps of a set have passed.
+    """The best placement of a set among all that were reached so far.
 
-    Where several ranks are as loaded as each other, the first steps lower
-    nothing yet, and the last may come to nothing: what follows the best one
-    is not copied.
+    While several ranks have about the highest load, relieving one of them
+    does not lower the maximum. The last relocations of a plan may therefore
+    gain nothing; they are not included.
     """
 
     def __init__(self, placement: set_placement.SetPlacement) -> None:
@@ -150,8 +150,8 @@
         self._max_load = placement.max_load
 
     def update(self) -> None:
-        """Take a step that was just made into account."""
-        highest = self._placement.max_load
-        if highest < self._max_load - _MIN_LOAD_DECREASE_RATIO:
-            self._max_load = highest
+        """Record the current placement if it is better."""
+        max_load = self._placement.max_load
+        if max_load < self._max_load - _MIN_LOAD_DECREASE_RATIO:
+            self._max_load = max_load
             self.ranks = [frozenset(held) for held in self._placement.ranks]
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Placement of one set's experts while it is being improved."""
+"""Placement of one layer set's experts, which the planner improves stepwise.
+
+Loads are in units of the mean rank load: 1.0 is the load of every rank if
+the demand is spread evenly and no rank is slow.
+"""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -9,31 +13,35 @@
 
 from lugcross.experts import expert_map
 
-#: Least by which a step must lighten the most loaded rank for each copy, in
-#: mean rank loads: below it lies the noise of one reading.
+#: A relocation must lower the load by at least this much for each copy; a
+#: smaller gain is within the noise of one reading of demand.
 _MIN_GAIN_PER_COPY = 0.04
-#: Experts of the most loaded rank that are tried, heaviest first: what is
-#: lighter than these cannot be why it is the slowest.
+#: How many experts of the most loaded rank are considered, heaviest first.
 _CANDIDATE_EXPERT_COUNT = 2
-#: Ranks that are tried to take something over, least loaded first: what is
-#: more loaded than these is no better place, and 256 ranks take too long.
+#: How many ranks are considered as targets, least loaded first; trying all
+#: takes too long for groups of 256 ranks.
 _CANDIDATE_TARGET_COUNT = 5
-#: Steps of one set, at most, for each of its ranks: a set that takes more
-#: changes the same ranks in circles.
+#: Limit on the relocations in a set, as a multiple of the rank count; it ends
+#: cycles of relocations among the same ranks.
 _MAX_RELOCATIONS_PER_RANK = 3
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class Relocation:
-    """One expert of the most loaded rank gets another place.
-
-    :param gain: by how much less the ranks that it touches are loaded at
-        most, in mean rank loads, for each copy.
-    :param keeps_source: whether ``source`` keeps the expert as well.
-    :param swapped_expert: expert that ``source`` takes over from ``target``
-        for it.
-    :param evicted_expert: replica that ``target`` gives up to make room.
+    """A change that gives one expert of the most loaded rank to another rank.
+
+    The expert is replicated, moved or swapped for another.
+
+    :param gain: by how much the highest load among the affected ranks falls,
+        divided by the number of copies needed.
+    :param expert: the expert that ``target`` gets.
+    :param source: the most loaded rank.
+    :param keeps_source: whether ``source`` keeps the expert (a replication).
+    :param swapped_expert: the expert that moves from ``target`` to ``source``
+        in exchange, if it is a swap.
+    :param evicted_expert: the expert whose replica ``target`` drops to make
+        room, if it is full.
     """
 
     gain: float
@@ -47,11 +55,13 @@
 
 @final
 class SetPlacement:
-    """Which ranks hold which experts of a set, and how loaded they are.
+    """A mutable placement of one layer set's experts, with rank loads.
 
-    :param ranks: experts that each rank holds, by rank.
-    :param copies_left: copies left to each rank; shared by all sets.
-    :param slowness: how many times longer than usual each rank takes.
+    :param weights: demand for each expert, in any unit.
+    :param ranks: the experts that each rank holds, by rank.
+    :param copies_left: how many more experts each rank may copy; one list is
+        shared by the placements of all sets, and updated by each.
+    :param slowness: factor by which each rank takes longer than usual.
     """
 
     def __init__(
@@ -62,8 +72,8 @@
         copies_left: list[int],
         slowness: Sequence[float],
     ) -> None:
-        whole = sum(weights) or 1.0
-        self._weights = [one * len(ranks) / whole for one in weights]
+        total = sum(weights) or 1.0
+        self._weights = [weight * len(ranks) / total for weight in weights]
         self._limits = limits
         self._copies_left = copies_left
         self._slowness = slowness
@@ -73,60 +83,66 @@
         for rank, held in enumerate(self.ranks):
             for expert in held:
                 self._holders[expert].add(rank)
-        #: Part of each expert that one of its holders does.
+        #: Load that each expert puts on each of its holders.
         self._replica_loads = [
             weight / max(1, len(held))
             for weight, held in zip(self._weights, self._holders, strict=True)
         ]
         self._new_expert_counts = [0] * len(ranks)
         self._loads = [
-            sum(self._replica_loads[one] for one in held) * slowness[rank]
+            sum(self._replica_loads[expert] for expert in held)
+            * slowness[rank]
             for rank, held in enumerate(self.ranks)
         ]
         self._relocations_left_count = _MAX_RELOCATIONS_PER_RANK * len(ranks)
 
     @property
     def max_load(self) -> float:
-        """Load of the most loaded rank, in mean rank loads."""
+        """Load of the most loaded rank."""
         return max(self._loads)
 
     def best_relocation(self) -> Relocation | None:
-        """Return the step that lightens the most loaded rank most."""
+        """Return the relocation with the highest gain.
+
+        :returns: None if no relocation gains enough, or if the limit on
+            relocations is reached.
+        """
         if self._relocations_left_count <= 0:
             return None
         source = self._loads.index(max(self._loads))
-        heavy = heapq.nlargest(
+        heaviest_experts = heapq.nlargest(
             _CANDIDATE_EXPERT_COUNT,
             self.ranks[source],
             key=self._replica_loads.__getitem__,
         )
         targets = self._candidate_targets(source)
-        found: Relocation | None = None
-        for expert in heavy:
+        best: Relocation | None = None
+        for expert in heaviest_experts:
             holders = self._holders[expert]
             for rank in targets:
                 if rank in holders:
                     continue
                 for candidate in self._relocations_to(expert, source, rank):
-                    if found is None or candidate.gain > found.gain:
-                        found = candidate
-        if found is None or found.gain < _MIN_GAIN_PER_COPY:
+                    if best is None or candidate.gain > best.gain:
+                        best = candidate
+        if best is None or best.gain < _MIN_GAIN_PER_COPY:
             return None
-        return found
+        return best
 
     def _candidate_targets(self, source: int) -> list[int]:
-        """Return the least loaded ranks that may copy."""
-        free = [
+        """Return the least loaded ranks that may copy another expert."""
+        candidates = [
             (load, rank)
             for rank, load in enumerate(self._loads)
             if rank != source and self._may_copy(rank)
         ]
         return [
-            rank for _, rank in heapq.nsmallest(_CANDIDATE_TARGET_COUNT, free)
+            rank
+            for _, rank in heapq.nsmallest(_CANDIDATE_TARGET_COUNT, candidates)
         ]
 
     def apply(self, relocation: Relocation) -> None:
-        """Carry out a step."""
+        """Apply a relocation that :meth:`best_relocation` returned."""
         self._relocations_left_count -= 1
         if relocation.evicted_expert is not None:
             self._remove_replica(relocation.evicted_expert, relocation.target)
@@ -140,7 +156,11 @@
     def _relocations_to(
         self, expert: int, source: int, target: int
     ) -> Iterator[Relocation]:
-        """Yield what ``target`` could do for ``source``."""
+        """Yield the relocations of ``expert`` from ``source`` to ``target``.
+
+        A replication and a move if ``target`` has or can make room for the
+        expert, otherwise swaps.
+        """
         source_load = self._loads[source]
         load_before = self._replica_loads[expert]
         source_slowness, target_slowness = (
@@ -186,7 +206,7 @@
     def _swaps(
         self, expert: int, source: int, target: int
     ) -> Iterator[Relocation]:
-        """Yield changes of places with an expert of a full rank."""
+        """Yield the swaps of ``expert`` for an expert of a full ``target``."""
         if not self._may_copy(source):
             return
         source_load, target_load = self._loads[source], self._loads[target]
@@ -199,6 +219,7 @@
                 source_load - decrease * self._slowness[source],
                 target_load + decrease * self._slowness[target],
             )
+            # A swap needs two copies.
             yield Relocation(
                 (source_load - max_load_after) / 2,
                 expert,
@@ -209,7 +230,7 @@
             )
 
     def _add_replica(self, expert: int, rank: int) -> None:
-        """Give an expert to a rank; the other holders do less of it."""
+        """Add a replica and spread the expert's load over all its holders."""
         self._adjust_loads(expert, -1.0)
         self._holders[expert].add(rank)
         self.ranks[rank].add(expert)
@@ -217,7 +238,7 @@
         self._adjust_loads(expert, 1.0)
 
     def _remove_replica(self, expert: int, rank: int) -> None:
-        """Take an expert from a rank; the other holders do its part."""
+        """Remove a replica and spread its load over the other holders."""
         self._adjust_loads(expert, -1.0)
         self._holders[expert].discard(rank)
         self.ranks[rank].discard(expert)
@@ -225,13 +246,21 @@
         self._adjust_loads(expert, 1.0)
 
     def _adjust_copy_count(self, expert: int, rank: int, change: int) -> None:
-        """Count an expert that is new to a rank, or is so no more."""
+        """Update the copy counts of a rank that gains or loses an expert.
+
+        An expert that the rank held initially needs no copy.
+
+        :param change: 1 if the rank gains the expert, -1 if it loses it.
+        """
         if expert not in self._initial_ranks[rank]:
             self._new_expert_counts[rank] += change
             self._copies_left[rank] -= change
 
     def _adjust_loads(self, expert: int, sign: float) -> None:
-        """Add the parts of an expert to its holders, or take them away."""
+        """Add an expert's load to that of each holder, or subtract it.
+
+        :param sign: 1 to add, -1 to subtract.
+        """
         count = max(1, len(self._holders[expert]))
         self._replica_loads[expert] = self._weights[expert] / count
         share = self._replica_loads[expert] * sign
@@ -251,33 +280,34 @@
     def _choose_eviction(
         self, rank: int, expert: int
     ) -> tuple[int | None, float, float]:
-        """Return what a full rank would give up for ``expert``.
+        """Return the replica that a full rank would drop to get ``expert``.
 
-        :returns: that expert, the load it frees, and the highest load of
-            the ranks that take its part over; none while there is room.
+        :returns: the expert whose replica is dropped, its load on ``rank``,
+            and the highest load that results at its other holders. The first
+            is None if the rank has room, or nothing that it may drop.
         """
         if not self._is_full(rank):
             return None, 0.0, 0.0
-        spares = [
-            one
-            for one in self.ranks[rank]
-            if len(self._holders[one]) > 1
-            and one != expert
-            and one in self._initial_ranks[rank]
+        droppable = [
+            other
+            for other in self.ranks[rank]
+            if len(self._holders[other]) > 1
+            and other != expert
+            and other in self._initial_ranks[rank]
         ]
-        if not spares:
+        if not droppable:
             return None, 0.0, 0.0
-        lightest = min(spares, key=self._load_added_by_removal)
+        lightest = min(droppable, key=self._load_added_by_removal)
         added = self._load_added_by_removal(lightest)
         peak = max(
-            self._loads[other] + added * self._slowness[other]
-            for other in self._holders[lightest]
-            if other != rank
+            self._loads[holder] + added * self._slowness[holder]
+            for holder in self._holders[lightest]
+            if holder != rank
         )
         return lightest, self._replica_loads[lightest], peak
 
     def _load_added_by_removal(self, expert: int) -> float:
-        """Return what each other holder gets more if one gives it up."""
+        """Return the load added to each other holder if one drops it."""
         count = len(self._holders[expert])
         weight = self._weights[expert]
         return weight / (count - 1) - weight / count
