--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -1,25 +1,31 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Takes all ranks of a group to another expert map at the same pass.
+"""State machine that switches all ranks of a group to a map at the same pass.
 
-A pass must never begin with two maps. Orders may get no answer and be
-carried out many seconds later, and another process may be switching the
-same group, because this one was frozen or cut off for a while. What makes
-it safe:
+It works like a two-phase commit: the ranks prepare the new map by copying
+experts, rank 0 holds a pass S that is soon due, all ranks are armed to start
+using the map at S, and S is released. If a rank cannot be armed, the
+switch is rolled back, by preparing the old map under a higher version.
+
+Invariant: no pass begins with different maps at different ranks. This must
+hold although an order that got no answer may be carried out many seconds
+later, and although another process may be switching the same group, because
+one of them was frozen or partitioned. The following rules ensure it:
 
 - Ranks are armed for pass S only while one rank holds S, so that S cannot
-  begin half armed.
+  begin while only some ranks are armed.
 - S is released only when every rank has confirmed that it is armed for S
-  with this version, or when every rank has accepted a higher version, so
-  that this one can never be armed there again, also not by a late order.
-- A group that makes no passes is left alone: a pass that was released
-  there has not begun yet, and could be held and released once more.
-- A version is armed for one pass only: armed again, a rank would take it
-  up at the later order's pass.
-- No rank is disarmed before one rank has accepted a higher version. That
-  rank decides: once it has, nobody can arm all ranks any more; as long as
-  it is armed, it refuses the higher version.
-
-The same object finishes what a process that died has left behind.
+  with this version, or when every rank has accepted a higher version. In the
+  latter case no rank can be armed with this version again, even by a late
+  order.
+- A group that makes no passes is not switched. A pass that was released
+  there may not have begun yet, and could be held and released a second time.
+- A version is armed for one pass only. A rank that is armed again with the
+  same version would switch at the pass of the later order.
+- No rank is disarmed before one rank, the deciding rank, has accepted a higher
+  version. It refuses a higher version while it is armed; once it has accepted
+  one, no process can arm all ranks with this version any more.
+
+:meth:`MapSwitch.resume` finishes a switch that another process has abandoned.
 """
 
 import collections
@@ -29,19 +35,24 @@
 from lugcross.experts import expert_map
 from lugcross.experts import orders
 
-#: Tries of one rank's order to prepare after which the switch is left. No
-#: harm is done yet; where orders go unanswered so often, arming all ranks
-#: would hold up the group for long.
+#: Prepare orders of one rank without an answer after which the switch is
+#: cancelled. Nothing is held yet; with so many unanswered orders, arming all
+#: ranks would stall the group for long.
 _MAX_UNANSWERED_PREPARE_COUNT = 3
-#: Tries to hold a pass. Each refusal means that the pass had begun.
+#: Hold orders that were refused, since the pass had begun, or got no answer,
+#: after which the switch is cancelled.
 _MAX_FAILED_HOLD_COUNT = 6
-#: Refusals of one rank to be armed after which it is asked to decide
-#: against the switch; copying may last a little longer than reckoned.
+#: Refusals of one rank to be armed after which the rollback starts. More than
+#: one, since copying may take a little longer than estimated.
 _MAX_ARM_REFUSAL_COUNT = 4
 
 
 class SwitchPhase(enum.Enum):
-    """What is being done."""
+    """The current step of a switch.
+
+    ``START_ROLLBACK`` asks the deciding rank to accept a higher version; when
+    it has, ``ROLL_BACK`` asks all others.
+    """
 
     PREPARE = "prepare"
     COPY = "copy"
@@ -54,7 +65,12 @@
 
 
 class SwitchOutcome(enum.Enum):
-    """What came of it."""
+    """The result of a switch.
+
+    ``SWITCHED``: all ranks were armed. ``ROLLED_BACK``: all ranks accepted the
+    old map under a higher version. ``CANCELLED``: neither; the switch was
+    given up, left to another process, or ended by a new epoch.
+    """
 
     SWITCHED = "switched"
     CANCELLED = "left"
@@ -63,15 +79,19 @@
 
 @final
 class MapSwitch:
-    """One change of one group's map; no I/O.
-
-    Whoever drives it sends all of :meth:`pending_orders`, hands each verdict
-    to :meth:`apply_result` and begins again, until :attr:`phase` is ``OVER``.
-
-    :param version: version of the new map, above all the ranks had.
-    :param pass_at_planning: pass that had begun when the switch was planned.
-    :param new_map: the new map; none where a left one is only finished.
-    :param old_map: the map in use, given to ranks when the new is voided.
+    """One switch of one group to another map; does no I/O.
+
+    The caller sends all :meth:`pending_orders`, passes each result to
+    :meth:`apply_result` and repeats this until :attr:`phase` is ``OVER``. In
+    phase ``COPY`` and while :attr:`hold_refused`, no orders are pending: the
+    caller calls :meth:`note_copied` or :meth:`hold_later_pass` to proceed.
+
+    :param version: version of the new map; higher than any that the ranks
+        have had.
+    :param new_map: the new map; None if an abandoned switch is resumed.
+    :param old_map: the map in use, which a rollback prepares again.
+    :param pass_at_planning: the last pass that had begun when the switch was
+        planned.
     """
 
     def __init__(
@@ -118,13 +138,13 @@
         old_map: expert_map.ExpertMap,
         allocator: orders.SwitchNumberAllocator,
     ) -> "MapSwitch":
-        """Return one that finishes what another process has left.
+        """Return a switch that finishes one abandoned by another process.
 
-        :param highest_version: highest version that any rank tells of.
-        :param armed_version: version that a rank is armed with for
-            ``held_pass``. None is voided: to arm a version that another
-            pass may have been named for could change that pass at some
-            ranks only.
+        :param highest_version: the highest version that any rank reports.
+        :param armed_version: the version that a rank is armed with for
+            ``held_pass``. If None, the switch is rolled back: ranks may have
+            been armed with the version for another pass, and arming the
+            version again could change the pass at some ranks only.
         :param held_pass: the pass that is held.
         """
         switch = cls(
@@ -147,7 +167,10 @@
 
     @property
     def may_hold_pass(self) -> bool:
-        """Whether a pass may be held, so that it must be brought to an end."""
+        """Whether a pass may be held, so that the switch must not be dropped.
+
+        An order to hold a pass counts from when it becomes pending.
+        """
         return (
             bool(self._possibly_held_passes)
             and self.phase is not SwitchPhase.OVER
@@ -155,7 +178,7 @@
 
     @property
     def outcome(self) -> SwitchOutcome:
-        """What came of it, once it is over."""
+        """The result; final once :attr:`phase` is ``OVER``."""
         return self._outcome
 
     @property
@@ -165,11 +188,11 @@
 
     @property
     def target_pass(self) -> orders.PassNumber:
-        """The pass at which the ranks take up the new map."""
+        """The pass at which the ranks switch to the new map."""
         return self._target_pass
 
     def pending_orders(self) -> list[tuple[orders.Rank, orders.Order]]:
-        """Return what to send now, to whom."""
+        """Return the orders to send now, each with the rank that gets it."""
         if self.phase is SwitchPhase.PREPARE:
             assert self._new_map is not None
             order = orders.Prepare(self._version, self._new_map)
@@ -188,8 +211,8 @@
             ]
         if self.phase is SwitchPhase.RELEASE:
             return [
-                (orders.Rank(0), orders.Release(step))
-                for step in sorted(self._possibly_held_passes)
+                (orders.Rank(0), orders.Release(held_pass))
+                for held_pass in sorted(self._possibly_held_passes)
             ]
         return []
 
@@ -199,13 +222,13 @@
         order: orders.Order,
         result: orders.OrderResult,
     ) -> None:
-        """Take over what became of an order that :meth:`pending_orders` named.
+        """Process the result of one of the :meth:`pending_orders`.
 
-        Orders of one round are answered in any order; what an earlier
-        answer has made needless is left out.
+        Results may come in any sequence. The result of an order that is no
+        longer pending, because of an earlier result, is ignored.
         """
         if result is orders.OrderResult.FENCED:
-            # A later holder is at work; it finishes what this one left.
+            # A later lease holder is active and finishes this switch.
             self._finish(SwitchOutcome.CANCELLED)
             return
         if (rank, order) not in self.pending_orders():
@@ -226,12 +249,14 @@
     def note_copied(
         self, current_pass: orders.PassNumber, *, passes_ahead: int = 0
     ) -> None:
-        """Go on once the ranks have probably copied what they need.
+        """Proceed from ``COPY``, as the ranks have probably copied by now.
 
-        :param current_pass: pass that began last, as a report tells.
-        :param passes_ahead: passes that may begin from that report until all
-            ranks are armed; more of them delay the map, fewer hold up the
-            group.
+        Cancels the switch if no pass has begun since it was planned.
+
+        :param current_pass: the last pass begun, from a recent report.
+        :param passes_ahead: estimate of how many passes begin between that
+            report and the arming of all ranks. Too high a value delays the
+            switch; too low a value stalls the group.
         """
         if self.phase is not SwitchPhase.COPY:
             return
@@ -242,10 +267,10 @@
         self._choose_pass(current_pass, passes_ahead)
 
     def hold_later_pass(self, current_pass: orders.PassNumber) -> None:
-        """Hold a later pass where the one that was named had begun.
+        """Choose a later pass to hold, if the chosen one had begun.
 
-        :param current_pass: pass that began last, as a report tells. That the
-            named one has begun is newer, so that the next one is near.
+        :param current_pass: the last pass begun, from a recent report. The
+            refusal of the hold may show that a later pass has begun.
         """
         if self.hold_refused:
             self._choose_pass(
@@ -254,14 +279,17 @@
 
     @property
     def hold_refused(self) -> bool:
-        """Whether a later pass must be named before going on."""
+        """Whether :meth:`hold_later_pass` must be called to proceed."""
         return (
             self.phase is SwitchPhase.HOLD
             and self._target_pass not in self._possibly_held_passes
         )
 
     def cancel(self) -> None:
-        """Give up before anything is armed; a hold may stand or come."""
+        """Cancel the switch, if no rank has been asked to arm yet.
+
+        A pass that may be held, now or by a late order, is released first.
+        """
         if self.phase in (SwitchPhase.PREPARE, SwitchPhase.COPY):
             self._finish(SwitchOutcome.CANCELLED)
         elif self.phase is SwitchPhase.HOLD:
@@ -273,13 +301,13 @@
             )
 
     def note_epoch_ended(self) -> None:
-        """End: the group has a new life, and knows none of this."""
+        """End the switch, as the group has a new epoch and no orders of it."""
         self._finish(SwitchOutcome.CANCELLED)
 
     def _choose_pass(
         self, current_pass: orders.PassNumber, passes_ahead: int
     ) -> None:
-        """Choose the pass; from now on it may be held."""
+        """Choose the target pass, which may be held from now on."""
         self._target_pass = self._allocator.next_pass_to_hold(
             orders.PassNumber(current_pass + passes_ahead)
         )
@@ -342,7 +370,7 @@
             self._enter_phase(SwitchPhase.ROLL_BACK)
             self._pending_ranks.discard(self._deciding_rank)
         elif result is orders.OrderResult.REFUSED:
-            # It is armed by now, or has had a higher version.
+            # The rank has been armed meanwhile, or has had a higher version.
             self._raise_rollback_version()
             if self._may_arm:
                 self._enter_phase(SwitchPhase.ARM)
@@ -350,9 +378,9 @@
                 self._count_rollback_refusal(self._deciding_rank)
 
     def _count_rollback_refusal(self, rank: orders.Rank) -> None:
-        """Leave it after a few refusals: the rank is armed with something.
+        """Cancel after a few refusals, as the rank is armed with a version.
 
-        Newer reports tell with what, and it is found again.
+        Newer reports show which, and the switch is then resumed with it.
         """
         self._refusal_counts[rank] += 1
         if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
@@ -375,7 +403,8 @@
         elif result is orders.OrderResult.DONE:
             self._pending_ranks.discard(rank)
         elif result is orders.OrderResult.REFUSED:
-            # A late order has armed it anew, or it had a higher version.
+            # A late order has armed the rank again, or the rank has had a
+            # higher version.
             self._disarmed_ranks.discard(rank)
             self._raise_rollback_version()
             if not self._may_arm:
@@ -391,7 +420,7 @@
         if result is orders.OrderResult.UNKNOWN:
             return
         assert isinstance(order, orders.Release)
-        # Refused means that the group has a new life by now.
+        # A refusal means that the group has a new epoch by now.
         self._possibly_held_passes.discard(order.pass_number)
         if not self._possibly_held_passes:
             self.phase = SwitchPhase.OVER
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -1,14 +1,15 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How long a group is left alone whose first change of map breaks it.
+"""Backoff for groups that break whenever their map is switched.
 
-Load pattern: an order, or a map, ends a rank that takes it. The group stands
-still, forms anew some seconds later with its first map, and the
-leader plans the same change again: the group would break every few seconds for
-as long as demand stays as it is.
+If an order or a map crashes the rank that gets it, the group stalls and forms
+anew some seconds later, with its initial map. The leader would then plan the
+same switch again, and the group would break every few seconds until demand
+changes.
 
-Groups break for other reasons too, also beside a change. Twice in a row just
-after the first change of a life is taken for the change's doing; then the
-group keeps its first map for a while, twice as long each further time.
+A group may also break during a switch for another reason. The switch is taken
+for the cause only if the group breaks just after the first switch of an epoch,
+in two such epochs in a row. The group then keeps its initial map for a while,
+which doubles with each further break.
 """
 
 import datetime
@@ -16,45 +17,50 @@
 
 from lugcross import clock as clock_lib
 
-#: From the last order of a change until a group that broke of it is seen
-#: broken, at most: some passes, the standstill until ranks say that the group
-#: is broken (1.5 s), and a look (0.5 s).
+#: A group that breaks within this time of the end of a switch counts as broken
+#: by it. Covers some passes, the time until ranks report the stalled group as
+#: broken (1.5 s), and the interval between two reports (0.5 s).
 BREAK_WINDOW = datetime.timedelta(seconds=2.5)
-#: Lives in a row that ended so, from which on the group is left alone.
+#: Consecutive breaks by a switch after which the backoff starts.
 BREAK_COUNT_FOR_BACKOFF = 2
-#: First rest: the time in which four jumps of demand pass on the users' days,
-#: so that one rest in vain costs little; doubled each time.
+#: Duration of the first backoff; doubled with each further break. Short, so
+#: that a group that broke for another reason loses little.
 INITIAL_BACKOFF = datetime.timedelta(seconds=15)
-#: Longest rest.
 MAX_BACKOFF = datetime.timedelta(minutes=10)
 
 
 @final
 class SwitchBackoff:
-    """What the lives of one group have shown of changes of its map."""
+    """Decides whether a group may be switched, from its recent breaks."""
 
     def __init__(self) -> None:
         self._switch_started = False
-        #: When the first change of this life was over.
+        #: When the first switch of this epoch ended.
         self._switch_ended_at: clock_lib.Instant | None = None
         self._break_count = 0
         self._active_until = datetime.timedelta()
 
     def note_switch_started(self) -> None:
-        """Note that a change of map begins; the first of a life counts."""
+        """Note that a switch starts."""
         self._switch_started = True
 
     def note_switch_ended(self, now: clock_lib.Instant) -> None:
-        """Note that all orders of a change have been given."""
+        """Note that a switch has ended, so that no more orders follow.
+
+        Only the first switch of an epoch counts.
+        """
         if self._switch_started and self._switch_ended_at is None:
             self._switch_ended_at = now
 
     def note_group_broken(self, now: clock_lib.Instant) -> bool:
-        """Note that the group has broken; tell whether it is left alone."""
+        """Note that the group has broken, which ends its epoch.
+
+        :returns: whether a backoff starts.
+        """
         switch_started, self._switch_started = self._switch_started, False
         switch_ended_at, self._switch_ended_at = self._switch_ended_at, None
         if not switch_started:
-            # Changed by nobody in that life, so that it tells nothing.
+            # Without a switch, the break says nothing about switches.
             return False
         if (
             switch_ended_at is not None
@@ -72,5 +78,5 @@
         return True
 
     def is_active(self, now: clock_lib.Instant) -> bool:
-        """Tell whether the group keeps its map for now."""
+        """Tell whether the group must not be switched for now."""
         return now < self._active_until
