--- a/src/lugcross/edge/checked_request.py
+++ b/src/lugcross/edge/checked_request.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One request, checked and ready to be sent."""
+"""Requests that have been checked and may be sent to a backend server."""
 
 import dataclasses
 import functools
@@ -16,10 +16,13 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CheckedRequest:
-    """One request, checked and ready to be sent.
+    """A request of a caller that may be sent to a backend server.
 
-    :param deadline: when it must have its final answer.
-    :param desired_version: version of the desired state that it goes by.
+    :param workspace: the workspace of the caller's API key; None if the route
+        needs no key.
+    :param deadline: when the caller must have the final response.
+    :param desired_version: version of the desired state that the request was
+        checked against.
     """
 
     req: http1.Request
@@ -32,17 +35,17 @@
 
     @property
     def workspace_name(self) -> ids.WorkspaceName | None:
-        """Name of the workspace, if keys are used."""
+        """Name of the workspace; None if the route needs no API key."""
         return self.workspace.name if self.workspace else None
 
     @property
     def logged_fingerprint(self) -> str | None:
-        """The fingerprint for a log line, if anything has needed it."""
+        """The fingerprint in hex, for log lines; None if not computed yet."""
         return self.fingerprint.hex() if "fingerprint" in vars(self) else None
 
     @functools.cached_property
     def fingerprint(self) -> crash_suspects.Fingerprint:
-        """What all tries of this request have in common."""
+        """Hash that is the same for this request and the caller's retries."""
         return crash_suspects.RequestIdentity(
             service=self.service,
             workspace=self.workspace_name or "",
--- a/src/lugcross/edge/eligible_servers.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The backend servers that new requests of a service may go to."""
+"""Backend servers that new requests of a service may be sent to."""
 
 from collections.abc import Collection
 from collections.abc import Sequence
@@ -10,24 +10,25 @@
 from lugcross import desired
 from lugcross import ids
 
-#: Part of a service's servers that may be left alone because they are slow:
-#: past it the others would be fuller by more than the slow ones cost.
+#: Largest fraction of a service's servers that is excluded as slow. If more
+#: are slow, excluding them overloads the others more than it saves.
 _MAX_SLOW_RATIO = 0.2
-#: Servers of this failure domain, and of all others, that one choice looks
-#: at. The least busy of sixteen is idle or nearly so wherever one in eight
-#: is (for 88 in 100 choices), and processes whose news of each other are
-#: old do not all take the same one.
+#: How many servers of the own failure domain, and of all others, are compared
+#: for one request. If one in eight servers is idle, 88 % of the samples have
+#: an idle one. Processes whose load data is old don't all choose the same
+#: server.
 _SAMPLE_COUNT = 16
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EligibleServers:
-    """Servers that may be used now.
+    """The backend servers of a service that may get new requests.
 
-    :param same_domain: those of this process's failure domain.
-    :param other_domains: all others.
-    :param slots: slots of all of them.
+    :param same_domain: servers in this process's failure domain.
+    :param other_domains: all other servers.
+    :param keys: keys of all servers.
+    :param slots: total slots of all servers.
     """
 
     same_domain: tuple[desired.Backend, ...]
@@ -40,11 +41,11 @@
 
     @property
     def all(self) -> tuple[desired.Backend, ...]:
-        """All of them."""
+        """All servers, those of the own failure domain first."""
         return self.same_domain + self.other_domains
 
     def sample(self, rng: random.Random) -> list[desired.Backend]:
-        """Return the servers that one choice looks at."""
+        """Return random servers of each part, to choose from for one request."""
         return [
             *_random_slice(self.same_domain, rng),
             *_random_slice(self.other_domains, rng),
@@ -54,14 +55,16 @@
 def split_by_domain(
     servers: Sequence[desired.Backend], *, own_domain: ids.DomainName
 ) -> EligibleServers:
-    """Return servers split by whether they are in ``own_domain``."""
+    """Split servers by whether they are in ``own_domain``."""
     return EligibleServers(
-        same_domain=tuple(one for one in servers if one.domain == own_domain),
+        same_domain=tuple(
+            server for server in servers if server.domain == own_domain
+        ),
         other_domains=tuple(
-            one for one in servers if one.domain != own_domain
+            server for server in servers if server.domain != own_domain
         ),
-        keys=frozenset(one.key for one in servers),
-        slots=sum(one.slots for one in servers),
+        keys=frozenset(server.key for server in servers),
+        slots=sum(server.slots for server in servers),
     )
 
 
@@ -69,13 +72,14 @@
     servers: Sequence[desired.Backend],
     slow: Collection[desired.BackendKey],
 ) -> list[desired.Backend]:
-    """Return the servers that new requests go to while some are slow.
+    """Return the servers without slow ones, or all if too many are slow.
+
+    A rank's part of a pass grows with the tokens of its own requests, and the
+    whole group waits for the slowest rank.
 
-    A rank's own part of a pass grows with what it is given to read and write,
-    and the whole group waits for it. Where many are slow, or all that are
-    left, they are needed all the same.
+    :param slow: keys of the slow servers.
     """
-    others = [one for one in servers if one.key not in slow]
+    others = [server for server in servers if server.key not in slow]
     if len(servers) - len(others) > len(servers) * _MAX_SLOW_RATIO:
         return list(servers)
     return others
@@ -84,7 +88,7 @@
 def _random_slice(
     servers: tuple[desired.Backend, ...], rng: random.Random
 ) -> Sequence[desired.Backend]:
-    """Return a run of servers from a place drawn at random."""
+    """Return up to ``_SAMPLE_COUNT`` adjacent servers from a random start."""
     if len(servers) <= _SAMPLE_COUNT:
         return servers
     start = rng.randrange(len(servers))
--- a/src/lugcross/edge/engine_transport.py
+++ b/src/lugcross/edge/engine_transport.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Short calls to engines over the connections that requests use too."""
+"""HTTP calls to engines over the pooled connections that requests use."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,22 +10,23 @@
 from lugcross import http1
 from lugcross import platform
 
-#: Longest wait for a report, in seconds: many round trips; one that takes
-#: longer is asked for again.
+#: Timeout of a request for a report; many round trips.
 REPORT_TIMEOUT_S = 0.25
-#: Longest wait for the answer to an order, in seconds. Ranks answer within
-#: some milliseconds, and a group may stand still until an order that got no
-#: answer is given again.
+#: Timeout of an order. Short, since a group may stall until this process
+#: repeats an order that got no answer; ranks answer within some milliseconds.
 ORDER_TIMEOUT_S = 0.1
 
 
 @final
 class EngineTransport:
-    """Sends one request at a time over a pooled connection.
+    """Sends single HTTP requests to engines over pooled connections.
 
-    :param timeout_s: longest wait, in seconds.
-    :param on_response_head: takes over what a server says of itself.
-    :param may_send: tells whether a server may be sent anything now.
+    :param timeout_s: longest time to send a request and read the whole
+        response, in seconds; the wait for a connection is not included.
+    :param on_response_head: called with the head of each response, in which a
+        backend server reports its state.
+    :param may_send: tells whether a backend server may be sent a request now;
+        false while it is in backoff.
     """
 
     def __init__(
@@ -46,16 +47,18 @@
     async def exchange(
         self, backend: desired.Backend, method: str, target: str, body: bytes
     ) -> tuple[int, bytes]:
-        """Return status and body of the answer.
+        """Send a request; return status and body of the response.
 
-        :raises http1.NoConnectionError: when nothing was sent.
-        :raises http1.ConnectionBrokenError: when it may have been read.
+        :raises http1.NoConnectionError: if nothing was sent.
+        :raises http1.ConnectionBrokenError: if the backend server may have
+            read the request, but no whole response came.
         """
         conn = await self._pool.acquire(backend)
         if not self._may_send(backend.key):
             self._pool.release(backend, conn, None)
             raise http1.NoConnectionError(
-                f"{backend.key} has asked for rest", remedy="ask later"
+                f"backend server {backend.key} is in backoff",
+                remedy="this process retries after the backoff",
             )
         headers = [(b"Host", backend.address.encode())]
         if body:
@@ -69,7 +72,9 @@
         except TimeoutError as exc:
             conn.close()
             raise http1.ConnectionBrokenError(
-                f"no answer within {self._timeout_s} s", remedy="ask again"
+                f"backend server {backend.key} did not respond within "
+                f"{self._timeout_s} s",
+                remedy="this process retries",
             ) from exc
         except BaseException:
             conn.close()
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whether this process looks after expert maps, and under which number.
+"""Leadership for expert maps: whether this process may switch them.
 
-Peers' news say who should. Where engines check numbers, a lease in the
-store must be held as well before any order is given.
+The leader is elected from what processes know of each other. If engines check
+fencing tokens, the leader must also hold a lease in the store before it gives
+any order.
 """
 
 import asyncio
@@ -17,34 +18,33 @@
 from lugcross import platform
 from lugcross import record_codec
 
-#: Name of the leadership in the topic of leases. One for all groups: they
-#: share what is seen of demand, and the process that reads it.
+#: Key of the lease in the topic of leases. One lease covers all groups, since
+#: one process reads the demand that their maps are planned from.
 _LEASE_KEY = "maps"
-#: Time between two looks whether something is to be done, in seconds.
 _ROUND_INTERVAL_S = 0.1
 
 
 class Candidacy(Protocol):
-    """What is known of the processes that could be the leader."""
+    """This process's standing among those that may become leader."""
 
     def is_eligible(self) -> bool:
-        """Tell whether this process may be the leader at all."""
+        """Tell whether this process may become leader at all."""
 
     def is_first_candidate(self) -> bool:
-        """Tell whether it comes first among those that may."""
+        """Tell whether this process comes first among the eligible ones."""
 
     def lease_held_by_peer(self) -> bool:
-        """Tell whether a live peer says that it has the lease."""
+        """Tell whether a live peer says that it holds the lease."""
 
 
 @final
 class MapLeadership:
-    """This process's part in the leadership.
+    """Acquires, renews and releases the leadership for this process.
 
-    :param needs_fencing: whether orders must carry a number now.
-    :param on_lease_change: called when the lease was got or lost.
-    :param has_work_in_progress: whether something is under way that must end
-        first.
+    :param needs_fencing: tells whether orders must carry a generation now.
+    :param on_lease_change: called after the lease was acquired or lost.
+    :param has_work_in_progress: tells whether a switch is in progress, which
+        must end before the lease is released; may be set later.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self.has_work_in_progress: Callable[[], bool] = lambda: False
 
     def is_leader(self) -> bool:
-        """Tell whether this process looks after expert maps now."""
+        """Tell whether this process may plan and start switches now."""
         if not self._needs_fencing():
             return (
                 self._candidacy.is_eligible()
@@ -76,11 +76,18 @@
         )
 
     def generation(self) -> experts.Generation | None:
-        """Return the number for orders; none where none is needed."""
+        """Return the generation that orders must carry.
+
+        :returns: None if engines check none, or if this process has no lease.
+        """
         return self._lease.held_generation if self._needs_fencing() else None
 
     def may_send_orders(self, generation: experts.Generation | None) -> bool:
-        """Tell whether orders under ``generation`` may still be given."""
+        """Tell whether orders may still be sent with ``generation``.
+
+        :param generation: what :meth:`generation` returned when the switch
+            began.
+        """
         if not self._needs_fencing():
             return True
         return (
@@ -89,7 +96,7 @@
         )
 
     def note_fenced(self, generation: experts.Generation) -> None:
-        """Note that an engine knows a higher number: stop at once."""
+        """Drop the lease, as an engine refused ``generation``."""
         logging.warning("lease superseded", extra={"generation": generation})
         self._lease.note_fenced(generation)
 
@@ -98,11 +105,11 @@
         return not self._lease.store_unavailable
 
     def note_newer_generation(self, generation: experts.Generation) -> None:
-        """Take over the number that a peer says it holds."""
+        """Drop the lease if a peer says that it holds a higher generation."""
         self._lease.note_newer_generation(generation)
 
     async def run(self) -> None:
-        """Look after the lease until cancelled."""
+        """Acquire, renew and release the lease until cancelled."""
         while True:
             await asyncio.sleep(_ROUND_INTERVAL_S)
             if not self._needs_fencing():
@@ -110,12 +117,12 @@
             try:
                 await self.round()
             except Exception:
-                # A fault in here must not end the renewals, nor keep the
-                # lease from being claimed once it is free.
-                logging.exception("looking after the lease failed")
+                # An error in one round must not end the renewals, nor keep
+                # this process from claiming the lease later.
+                logging.exception("lease round failed")
 
     async def round(self) -> None:
-        """Do at the store what is to be done now."""
+        """Make the call to the store that the lease needs now, if any."""
         held = self._lease.held_generation
         action = self._lease.next_action(
             wants_lease=self._wants_lease(),
@@ -133,19 +140,20 @@
         except errors.PlatformError as exc:
             self._lease.note_no_answer()
             logging.warning(
-                "lease not settled",
+                "lease call failed",
                 extra={"move": action.value, "why": str(exc)},
             )
         if self._lease.held_generation != held:
             logging.info(
-                "lease",
+                "lease generation changed",
                 extra={"generation": self._lease.held_generation, "was": held},
             )
             self._on_lease_change()
 
     def _wants_lease(self) -> bool:
         if not self._candidacy.is_eligible():
-            # What is under way ends under the number it was begun with.
+            # A switch in progress must end with the generation that it began
+            # with.
             return (
                 self._lease.held_generation is not None
                 and self.has_work_in_progress()
@@ -174,5 +182,5 @@
     try:
         return record_codec.decode(found.value, experts.LeaseRecord)
     except errors.ChangeError as exc:
-        logging.error("lease is malformed", extra={"why": str(exc)})
+        logging.error("lease record is malformed", extra={"why": str(exc)})
         return None
--- a/src/lugcross/edge/pass_times.py
+++ b/src/lugcross/edge/pass_times.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a pass of one group of ranks takes, from the pauses of its streams.
+"""Pass times of a rank group, measured by the pauses of its streams.
 
-Each pass gives each stream of the group one event, so that a pause between
-two events is as long as a pass. That costs nothing to see, and shows within
-one pass that demand has jumped to other experts: the rank that holds them
-becomes the slowest by far.
+Each pass produces one event on each stream of the group, so the pause between
+two events of a stream is as long as a pass. This needs no calls to the engines
+and shows within one pass that demand has jumped to other experts, since the
+ranks that hold these then slow down every pass.
 """
 
 import datetime
@@ -12,24 +12,23 @@
 
 from lugcross import clock as clock_lib
 
-#: Weight of one pass against the usual before; a dozen passes make up most
-#: of it, which is a second at most.
+#: Weight of a new pass in the moving average of pass times.
 _SMOOTHING_WEIGHT = 0.15
-#: Times the usual that one pass must take to be a jump. A jump makes passes
-#: 1.5 to 2.5 times as long; prompts that are read in a pass make it up to a
-#: third longer (pauses logged over a day of jumps).
+#: A pass that takes more than this multiple of the typical time is a jump.
+#: Jumps of demand make passes 1.5 to 2.5 times as long; reading prompts
+#: makes a pass up to a third longer.
 _JUMP_FACTOR = 1.4
-#: Pauses that end this part of their length after another belong to the
-#: same pass.
+#: A pause belongs to the same pass as the one before it if it ends less than
+#: this fraction of its own length later.
 _SAME_PASS_RATIO = 0.5
-#: Passes past this many times the usual come of a fault: a group that
-#: stands still tells nothing of demand.
+#: A pass that takes more than this multiple of the typical time is a stall of
+#: the group, which is caused by a fault rather than by demand.
 _STALL_FACTOR = 6.0
 
 
 @final
 class PassDetector:
-    """Tells the first pause of each pass from those of other streams."""
+    """Detects new passes, so that only one pause is counted for each pass."""
 
     def __init__(self) -> None:
         self._last_pass_at: clock_lib.Instant | None = None
@@ -37,7 +36,10 @@
     def is_new_pass(
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
-        """Take a pause that ends now; tell whether its pass is new."""
+        """Record a pause of any stream that ends now.
+
+        :returns: whether it is the first one that was recorded of its pass.
+        """
         if (
             self._last_pass_at is not None
             and now - self._last_pass_at < pause * _SAME_PASS_RATIO
@@ -49,7 +51,7 @@
 
 @final
 class PassTimes:
-    """Pass times of one group."""
+    """Moving average of one group's pass times, with detection of jumps."""
 
     def __init__(self) -> None:
         self._typical: datetime.timedelta | None = None
@@ -57,15 +59,17 @@
 
     @property
     def typical(self) -> datetime.timedelta | None:
-        """What a pass takes as a rule; none before any was seen."""
+        """Moving average of the pass time; None before the first pass."""
         return self._typical
 
     def note_pause(
         self, pause: datetime.timedelta, now: clock_lib.Instant
     ) -> bool:
-        """Take a pause of any stream; tell whether passes have jumped.
+        """Record a pause of any stream that ends now.
 
-        A jump is told once: from then on its passes are the usual.
+        :returns: whether passes have just become longer by a jump. Later
+            passes of the same length are not reported again, since the typical
+            pass time is set to that of the jump.
         """
         if not self._detector.is_new_pass(pause, now):
             return False
--- a/src/lugcross/edge/rank_slowness.py
+++ b/src/lugcross/edge/rank_slowness.py
@@ -1,11 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which ranks of a group are slow, and when all are asked for it.
+"""Slow ranks of a group, and when to query all ranks for their slowness.
 
-All ranks of a group make each pass together: one that is four times slower
-makes all passes as slow as its own part of them is. Ranks tell in their
-reports how slow they are, so that nothing need be guessed from pauses; but a
-question to each rank of a large group is priced, so that they are asked where
-passes have become longer, and now and then.
+All ranks of a group make each pass together, so one slow rank slows down every
+pass. Ranks report their own slowness. As each query has a price, all ranks of
+a group are queried only after its passes have become longer, and periodically
+at a low rate.
 """
 
 from collections.abc import Mapping
@@ -15,22 +14,28 @@
 from lugcross import clock as clock_lib
 from lugcross import experts
 
-#: Times the usual from which on a rank counts as slow: below it, moving
-#: experts away costs more than the rank.
+#: Ranks with at least this slowness count as slow; below it, moving experts
+#: away costs more than it saves.
 _MIN_SLOW_FACTOR = 1.25
-#: Part by which a belief must change for maps to be planned anew.
+#: Relative change of a rank's slowness from which on the map must be planned
+#: again.
 _SIGNIFICANT_CHANGE_RATIO = 0.25
-#: Time between two rounds of questions where no rank is known to be slow: a
-#: rank that turns slow makes passes jump, which is seen at once; this finds
-#: what did not.
+#: Time between two queries of all ranks while none is known to be slow. A rank
+#: that becomes slow usually makes pass times jump, which triggers a query at
+#: once; this interval finds ranks that did not.
 _QUERY_INTERVAL = datetime.timedelta(seconds=4)
-#: The same while one is: it should get its part back soon after.
+#: The same while a rank is known to be slow, so that it gets its experts back
+#: soon after it has recovered.
 _QUERY_INTERVAL_WHILE_SLOW = datetime.timedelta(seconds=1)
 
 
 @final
 class RankSlowness:
-    """How slow the ranks of one group are, as they told last."""
+    """The last reported slowness of each rank of one group.
+
+    The slowness is the factor by which a rank's part of a pass takes longer
+    than usual; it is 1 for ranks that are not slow.
+    """
 
     def __init__(self) -> None:
         self._due_at = datetime.timedelta()
@@ -39,30 +44,33 @@
     def note_jump(
         self, now: clock_lib.Instant, report_lag: datetime.timedelta
     ) -> None:
-        """Note that passes have become longer.
+        """Schedule a query, as passes have become longer.
 
-        :param report_lag: age of what ranks tell: before it is over, they
-            tell how they were before.
+        :param report_lag: age of the data that ranks report. The query waits
+            this long, so that the reports are not from before the jump.
         """
         self._due_at = now + report_lag
 
     def query_is_due(self, now: clock_lib.Instant) -> bool:
-        """Tell whether all ranks should be asked now."""
+        """Tell whether all ranks should be queried now."""
         return now >= self._due_at
 
     def update(
         self, factors: Mapping[experts.Rank, float], now: clock_lib.Instant
     ) -> bool:
-        """Take over what ranks tell; tell whether it changes anything.
+        """Store the slowness that ranks reported.
 
-        One that does not answer keeps what is believed of it.
+        :param factors: slowness by rank. Ranks that did not answer are left
+            out, and keep their last value.
+        :returns: whether a rank's slowness changed enough for the map to be
+            planned again.
         """
         before = dict(self._factors)
-        for rank, times in factors.items():
-            if times < _MIN_SLOW_FACTOR:
+        for rank, factor in factors.items():
+            if factor < _MIN_SLOW_FACTOR:
                 self._factors.pop(rank, None)
             else:
-                self._factors[rank] = times
+                self._factors[rank] = factor
         self._due_at = now + (
             _QUERY_INTERVAL_WHILE_SLOW if self._factors else _QUERY_INTERVAL
         )
@@ -74,11 +82,11 @@
         )
 
     def slow_ranks(self) -> list[experts.Rank]:
-        """Return the ranks that are slow."""
+        """Return the ranks that count as slow, in order."""
         return sorted(self._factors)
 
     def factors(self, rank_count: int) -> tuple[float, ...]:
-        """Return how slow each rank is; nothing where all are as usual."""
+        """Return the slowness of each rank; empty if no rank is slow."""
         if not self._factors:
             return ()
         return tuple(
--- a/src/lugcross/edge/store_readers.py
+++ b/src/lugcross/edge/store_readers.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which processes ask the store for news, and which hear it from them.
+"""Selection of the processes that read the store; the others sync from peers.
 
-Every call is priced, and each change wakes every read that waits. A few
-readers in each failure domain are enough: peers there tell each other how
-new their knowledge is, and whoever is behind asks one that is ahead.
+Each call to the store has a price, and each change in the store ends every
+long poll on it. A few readers in each failure domain are therefore enough.
+Processes tell their peers how recent their state is, and a process that is
+behind asks a peer that is ahead.
 """
 
 from collections.abc import Collection
@@ -12,21 +13,24 @@
 import heapq
 from typing import final
 
-#: Processes of a failure domain that ask the store where the fleet has few
-#: domains: one that hangs unseen for a second must not keep its domain from
-#: news, and there may be no other to hear them from.
+#: Readers in each failure domain of a fleet with few domains. More than one,
+#: since a reader may hang for a second before its peers notice, and there may
+#: be no other domain to sync from.
 READERS_PER_DOMAIN_COUNT = 2
-#: Domains with which one process of each is enough: each change wakes every
-#: read that waits, and any of the others tells a domain whose reader hangs.
+#: With at least this many domains, one reader in each is enough: if it hangs,
+#: its domain syncs from the readers of the others.
 _MANY_DOMAINS_COUNT = 3
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class ReaderCandidate:
-    """A process that could ask the store.
+    """A process that could read the store.
 
-    :param store_answers: whether the store answered its last call.
+    :param incarnation: identifies the process since its start; those with the
+        lowest are selected.
+    :param store_answers: whether the store answered the process's last call.
+    :param domain: failure domain of the process.
     """
 
     incarnation: str
@@ -37,12 +41,12 @@
 def reads_store(
     candidate: ReaderCandidate, peers: Collection[ReaderCandidate]
 ) -> bool:
-    """Tell whether a process asks the store itself.
+    """Tell whether a process reads the store itself.
 
-    One whose calls fail goes on trying, so that it is seen when the store
-    is back; others take its place meanwhile.
+    A process whose calls fail continues to read, so that it notices when the
+    store is back; others are selected in its place meanwhile.
 
-    :param peers: live processes of all failure domains.
+    :param peers: the other live processes of all failure domains.
     """
     return not candidate.store_answers or candidate in _selected_readers(
         [candidate, *peers]
@@ -52,9 +56,12 @@
 def reader_index(
     candidate: ReaderCandidate, peers: Collection[ReaderCandidate]
 ) -> int:
-    """Return how many of those that ask go before a process.
+    """Return how many selected readers come before a process.
 
-    The first one asks every few seconds; reads of the others may wait long.
+    The first reader polls the store every few seconds; the long polls of the
+    others may last longer.
+
+    :param peers: the other live processes of all failure domains.
     """
     before = [
         one
@@ -67,23 +74,23 @@
 def _selected_readers(
     candidates: Iterable[ReaderCandidate],
 ) -> list[ReaderCandidate]:
-    """Return who asks, of those that the store answers."""
+    """Return the readers; only processes that the store answers are chosen."""
     by_domain: dict[str, list[ReaderCandidate]] = {}
-    for one in candidates:
-        here = by_domain.setdefault(one.domain, [])
-        if one.store_answers:
-            here.append(one)
+    for candidate in candidates:
+        in_domain = by_domain.setdefault(candidate.domain, [])
+        if candidate.store_answers:
+            in_domain.append(candidate)
     count = (
         1
         if len(by_domain) >= _MANY_DOMAINS_COUNT
         else READERS_PER_DOMAIN_COUNT
     )
     return [
-        one
-        for here in by_domain.values()
-        for one in heapq.nsmallest(count, here, key=_incarnation)
+        reader
+        for in_domain in by_domain.values()
+        for reader in heapq.nsmallest(count, in_domain, key=_incarnation)
     ]
 
 
-def _incarnation(one: ReaderCandidate) -> str:
-    return one.incarnation
+def _incarnation(candidate: ReaderCandidate) -> str:
+    return candidate.incarnation
--- a/src/lugcross/observe/request_timeline.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -25,7 +25,7 @@
         "expert map switched",
         "group broken",
         "group opened",
-        "lease",
+        "lease generation changed",
         "lease superseded",
         "passes have jumped",
         "settings kept out",
