--- a/src/lugcross/edge/eligible_servers.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -45,7 +45,7 @@
         return self.same_domain + self.other_domains
 
     def sample(self, rng: random.Random) -> list[desired.Backend]:
-        """Return random servers of each part, to choose from for one request."""
+        """Return random servers from which to choose for one request."""
         return [
             *_random_slice(self.same_domain, rng),
             *_random_slice(self.other_domains, rng),
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -21,6 +21,7 @@
 #: Key of the lease in the topic of leases. One lease covers all groups, since
 #: one process reads the demand that their maps are planned from.
 _LEASE_KEY = "maps"
+#: Time between two checks whether the lease needs a call to the store.
 _ROUND_INTERVAL_S = 0.1
 
 
--- a/src/lugcross/experts/switch_backoff.py
+++ b/src/lugcross/experts/switch_backoff.py
@@ -26,6 +26,7 @@
 #: Duration of the first backoff; doubled with each further break. Short, so
 #: that a group that broke for another reason loses little.
 INITIAL_BACKOFF = datetime.timedelta(seconds=15)
+#: Longest backoff, so that a group is tried again after its fault is mended.
 MAX_BACKOFF = datetime.timedelta(minutes=10)
 
 
