--- a/testing/experts/test_lease.py
+++ b/testing/experts/test_lease.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One lease has one holder, whatever becomes of calls to the store."""
+"""Tests of the lease: no two holders share a generation, whatever calls fail.
+
+Calls to the store may be lost, delayed, or carried out without an answer.
+"""
 
 from collections.abc import Callable
 import dataclasses
@@ -17,17 +20,19 @@
 MS = datetime.timedelta(milliseconds=1)
 
 
-class Store:
-    """One key of a log with conditional writes."""
+class FakeStore:
+    """The lease's key in a log with conditional appends."""
 
     def __init__(self) -> None:
         self.end = 0
         self.newest: experts.LeaseRecord | None = None
-        #: Every record that was kept, in order.
+        #: All records that were appended, in order.
         self.written_records: list[experts.LeaseRecord] = []
 
-    def put(self, record: experts.LeaseRecord, end: int) -> bool:
-        if end != self.end:
+    def append_if_end(
+        self, record: experts.LeaseRecord, expected_end: int
+    ) -> bool:
+        if expected_end != self.end:
             return False
         self.end += 1
         self.newest = record
@@ -37,10 +42,10 @@
 
 @dataclasses.dataclass
 class LeaseProcess:
-    """A process that drives its lease against a store."""
+    """A process that drives its own lease against the store."""
 
     name: str
-    store: Store
+    store: FakeStore
     clock: clock_lib.ManualClock
     wants_lease: bool = True
     held_by_peer: bool = False
@@ -54,19 +59,22 @@
         )
 
     def step(self) -> experts.LeaseAction:
-        """Do what is to be done now; the store answers at once."""
+        """Make the call that is due now, if any; the store answers at once.
+
+        :returns: the action that was due.
+        """
         action = self.next_action()
         if action is LeaseAction.READ:
             self.lease.note_read(self.store.newest, ids.Offset(self.store.end))
         elif action is not LeaseAction.NONE:
             record = self.lease.record_for(action)
-            if self.store.put(record, self.lease.expected_end):
+            if self.store.append_if_end(record, self.lease.expected_end):
                 self.lease.note_written(record, ids.Offset(self.store.end))
             else:
                 self.lease.note_conflict()
         return action
 
-    def settle(self) -> None:
+    def step_until_idle(self) -> None:
         while self.step() is not LeaseAction.NONE:
             pass
 
@@ -77,24 +85,24 @@
 
 
 @pytest.fixture
-def store() -> Store:
-    return Store()
+def store() -> FakeStore:
+    return FakeStore()
 
 
 @pytest.fixture
 def new_process(
-    store: Store, clock: clock_lib.ManualClock
+    store: FakeStore, clock: clock_lib.ManualClock
 ) -> Callable[[str], LeaseProcess]:
     return lambda name: LeaseProcess(name, store, clock)
 
 
-def test_lease_that_nobody_has_is_claimed_at_once(new_process) -> None:
+def test_lease_without_a_record_is_claimed_at_once(new_process) -> None:
     process = new_process("a")
-    process.settle()
+    process.step_until_idle()
     assert process.lease.held_generation == 1
 
 
-def test_process_that_should_not_have_it_calls_nobody(new_process) -> None:
+def test_process_that_must_not_claim_makes_no_calls(new_process) -> None:
     process = new_process("a")
     process.wants_lease = False
     assert process.step() is LeaseAction.NONE
@@ -102,55 +110,55 @@
     assert process.step() is LeaseAction.NONE
 
 
-def test_lease_that_is_renewed_is_left_to_its_holder(
-    new_process, clock
-) -> None:
+def test_renewed_lease_is_not_claimed_by_others(new_process, clock) -> None:
     holder, other = new_process("a"), new_process("b")
-    holder.settle()
+    holder.step_until_idle()
     for _ in range(60):
         clock.advance(100 * MS)
-        holder.settle()
-        other.settle()
+        holder.step_until_idle()
+        other.step_until_idle()
     assert other.lease.held_generation is None
     assert holder.lease.held_generation == 1
 
 
-def test_lease_of_a_dead_holder_passes_on_after_its_time(
+def test_lease_of_a_dead_holder_is_claimed_after_the_time_to_live(
     new_process, clock
 ) -> None:
     holder, other = new_process("a"), new_process("b")
-    holder.settle()
-    other.settle()
+    holder.step_until_idle()
+    other.step_until_idle()
     assert other.lease.held_generation is None
     clock.advance(lease_lib.TIME_TO_LIVE)
-    other.settle()
+    other.step_until_idle()
     assert other.lease.held_generation == 2
 
 
-def test_time_to_live_runs_from_the_first_look(new_process, clock) -> None:
+def test_time_to_live_runs_from_the_first_read(new_process, clock) -> None:
     holder, other = new_process("a"), new_process("b")
-    holder.settle()
+    holder.step_until_idle()
     clock.advance(10 * lease_lib.TIME_TO_LIVE)
-    other.settle()
+    other.step_until_idle()
     assert other.lease.held_generation is None
 
 
-def test_released_lease_passes_on_at_once(new_process) -> None:
+def test_released_lease_is_claimed_at_once(new_process) -> None:
     holder, other = new_process("a"), new_process("b")
-    holder.settle()
+    holder.step_until_idle()
     holder.wants_lease = False
     assert holder.step() is LeaseAction.RELEASE
     assert holder.lease.held_generation is None
-    other.settle()
+    other.step_until_idle()
     assert other.lease.held_generation == 2
 
 
-def test_frozen_holder_learns_at_its_renewal(new_process, clock) -> None:
+def test_frozen_holder_loses_the_lease_at_its_next_renewal(
+    new_process, clock
+) -> None:
     holder, other = new_process("a"), new_process("b")
-    holder.settle()
-    other.settle()
+    holder.step_until_idle()
+    other.step_until_idle()
     clock.advance(lease_lib.TIME_TO_LIVE)
-    other.settle()
+    other.step_until_idle()
     assert holder.lease.held_generation == 1
     assert holder.step() is LeaseAction.RENEW
     holder.step()
@@ -158,9 +166,11 @@
     assert other.lease.held_generation == 2
 
 
-def test_lease_is_kept_while_the_store_is_away(new_process, clock) -> None:
+def test_holder_keeps_the_lease_while_the_store_is_unavailable(
+    new_process, clock
+) -> None:
     holder = new_process("a")
-    holder.settle()
+    holder.step_until_idle()
     for _ in range(20):
         clock.advance(lease_lib.TIME_TO_LIVE)
         if holder.next_action() is not LeaseAction.NONE:
@@ -168,7 +178,7 @@
     assert holder.lease.held_generation == 1
 
 
-def test_store_that_does_not_answer_is_left_alone_for_a_while(
+def test_unanswered_call_is_retried_after_the_retry_delay(
     new_process, clock
 ) -> None:
     process = new_process("a")
@@ -179,21 +189,23 @@
     assert process.next_action() is LeaseAction.READ
 
 
-def test_claim_whose_answer_was_lost_counts(new_process, store, clock) -> None:
+def test_claim_takes_effect_though_its_answer_was_lost(
+    new_process, store, clock
+) -> None:
     process = new_process("a")
     process.step()
     assert process.next_action() is LeaseAction.CLAIM
-    assert store.put(
+    assert store.append_if_end(
         process.lease.record_for(LeaseAction.CLAIM), process.lease.expected_end
     )
     process.lease.note_no_answer()
     clock.advance(lease_lib.RETRY_DELAY)
-    process.settle()
+    process.step_until_idle()
     assert process.lease.held_generation == 1
     assert len(store.written_records) == 1
 
 
-def test_claim_that_comes_late_after_anothers_is_void(
+def test_claim_that_reaches_the_store_after_another_fails(
     new_process, store, clock
 ) -> None:
     late, other = new_process("a"), new_process("b")
@@ -203,36 +215,36 @@
         late.lease.expected_end,
     )
     late.lease.note_no_answer()
-    other.settle()
-    assert not store.put(record, end)
+    other.step_until_idle()
+    assert not store.append_if_end(record, end)
     clock.advance(lease_lib.RETRY_DELAY)
-    late.settle()
+    late.step_until_idle()
     assert late.lease.held_generation is None
     assert other.lease.held_generation == 1
 
 
-def test_number_that_an_engine_refused_is_never_used_again(
+def test_generation_that_an_engine_refused_is_never_used_again(
     new_process, clock
 ) -> None:
     process = new_process("a")
-    process.settle()
+    process.step_until_idle()
     process.lease.note_fenced(experts.Generation(1))
     assert process.lease.held_generation is None
     process.step()
     assert process.lease.held_generation is None
     clock.advance(lease_lib.TIME_TO_LIVE)
-    process.settle()
+    process.step_until_idle()
     assert process.lease.held_generation == 2
 
 
-def test_number_rises_above_a_refused_one_though_the_record_is_lost(
+def test_next_generation_is_above_a_refused_one_though_the_record_is_lost(
     new_process, store, clock
 ) -> None:
     process = new_process("a")
-    process.settle()
+    process.step_until_idle()
     process.lease.note_fenced(experts.Generation(1))
     store.newest = None
-    process.settle()
+    process.step_until_idle()
     assert process.lease.held_generation == 2
 
 
@@ -240,7 +252,7 @@
     new_process, store, clock
 ) -> None:
     process = new_process("a")
-    process.settle()
+    process.step_until_idle()
     clock.advance(lease_lib.RENEWAL_INTERVAL)
     assert process.next_action() is LeaseAction.RENEW
     process.lease.note_no_answer()
@@ -249,22 +261,27 @@
 
 
 @pytest.mark.parametrize(
-    ("number", "held"), [(1, 1), (2, None)], ids=["own", "higher"]
+    ("peer_generation", "held_generation"),
+    [(1, 1), (2, None)],
+    ids=["own", "higher"],
 )
-def test_peers_higher_number_ends_the_lease(
-    new_process, number: int, held: int | None
+def test_higher_generation_of_a_peer_ends_the_lease(
+    new_process, peer_generation: int, held_generation: int | None
 ) -> None:
     process = new_process("a")
-    process.settle()
-    process.lease.note_newer_generation(experts.Generation(number))
-    assert process.lease.held_generation == held
+    process.step_until_idle()
+    process.lease.note_newer_generation(experts.Generation(peer_generation))
+    assert process.lease.held_generation == held_generation
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_two_processes_ever_hold_one_number(seed: int) -> None:
-    """Answers are lost, writes come late, processes rest and start anew."""
+def test_no_two_processes_ever_hold_the_same_generation(seed: int) -> None:
+    """Random walk of three processes that share a lease.
+
+    Answers are lost, writes reach the store late, and processes restart.
+    """
     rng = random.Random(seed)
-    clock, store = clock_lib.ManualClock(), Store()
+    clock, store = clock_lib.ManualClock(), FakeStore()
     processes = [LeaseProcess(f"n{num}.0", store, clock) for num in range(3)]
     late_writes: list[tuple[experts.LeaseRecord, int]] = []
     holders: dict[int, str] = {}
@@ -272,7 +289,8 @@
     for _ in range(3000):
         clock.advance(rng.choice((10, 100, 400)) * MS)
         if late_writes and rng.random() < 0.1:
-            store.put(*late_writes.pop(rng.randrange(len(late_writes))))
+            late_write = late_writes.pop(rng.randrange(len(late_writes)))
+            store.append_if_end(*late_write)
         num = rng.randrange(len(processes))
         process = processes[num]
         if rng.random() < 0.01:
@@ -293,17 +311,17 @@
                 process.lease.expected_end,
             )
             if rng.random() < 0.5:
-                store.put(record, end)
+                store.append_if_end(record, end)
             else:
                 late_writes.append((record, end))
             process.lease.note_no_answer()
         elif not lost:
             process.step()
         if process.lease.held_generation is not None:
-            first = holders.setdefault(
+            first_holder = holders.setdefault(
                 process.lease.held_generation, process.name
             )
-            assert first == process.name
-    numbers = [one.generation for one in store.written_records]
-    assert numbers == sorted(numbers)
+            assert first_holder == process.name
+    generations = [record.generation for record in store.written_records]
+    assert generations == sorted(generations)
     assert len(holders) > 20
