--- a/testing/support/rank_simulator.py
+++ b/testing/support/rank_simulator.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Ranks of a group as published: maps, orders and passes, without I/O.
+"""Simulation of a rank group: maps, orders and passes, without I/O.
 
-What the pages leave open is as it was measured: a map that is being
-copied has already taken the place of the one prepared before it, and a
-rank that is armed again takes the later order's pass.
+Follows the published behaviour of engines. Where that is not specified, it
+follows what was observed: a map that is still being copied has already
+replaced the map prepared before it, and a rank that is armed again uses the
+pass of the later order.
 """
 
 import dataclasses
@@ -12,12 +13,17 @@
 
 
 class MixedMapsError(AssertionError):
-    """A pass began while two ranks differed in their maps."""
+    """A pass began with different maps at different ranks."""
 
 
 @dataclasses.dataclass
 class SimulatedRank:
-    """One rank."""
+    """The state of one rank.
+
+    :param highest_version: the highest version that was ever prepared.
+    :param has_copied: whether the prepared map is ready to be armed.
+    :param min_generation: orders with a lower lease generation are refused.
+    """
 
     version_and_map: tuple[int, experts.ExpertMap]
     highest_version: int = 0
@@ -27,18 +33,23 @@
     held_pass: int | None = None
     min_generation: int = 0
 
-    def execute(self, order: experts.Order, step: int) -> experts.OrderResult:
-        """Carry out an order; ``step`` is the pass that began last."""
-        done = self._execute(order, step)
+    def execute(
+        self, order: experts.Order, last_pass: int
+    ) -> experts.OrderResult:
+        """Carry out an order.
+
+        :param last_pass: the pass that began last.
+        """
+        done = self._execute(order, last_pass)
         return (
             experts.OrderResult.DONE if done else experts.OrderResult.REFUSED
         )
 
-    def _execute(self, order: experts.Order, step: int) -> bool:
+    def _execute(self, order: experts.Order, last_pass: int) -> bool:
         if isinstance(order, experts.Prepare):
             return self._prepare(order)
         if isinstance(order, experts.Arm):
-            return self._arm(order, step)
+            return self._arm(order, last_pass)
         if isinstance(order, experts.Disarm):
             if order.version == self.version_and_map[0]:
                 return False
@@ -46,7 +57,7 @@
                 self.armed_order = None
             return True
         if isinstance(order, experts.Hold):
-            if order.pass_number <= step or self.held_pass not in (
+            if order.pass_number <= last_pass or self.held_pass not in (
                 None,
                 order.pass_number,
             ):
@@ -72,9 +83,9 @@
         self.has_copied = order.map == self.version_and_map[1]
         return True
 
-    def _arm(self, order: experts.Arm, step: int) -> bool:
-        ready = self.prepared_order is not None and self.has_copied
-        if not ready or order.pass_number <= step:
+    def _arm(self, order: experts.Arm, last_pass: int) -> bool:
+        is_ready = self.prepared_order is not None and self.has_copied
+        if not is_ready or order.pass_number <= last_pass:
             return False
         assert self.prepared_order is not None
         if self.prepared_order.version != order.version:
@@ -82,9 +93,9 @@
         self.armed_order = order
         return True
 
-    def begin_pass(self, step: int) -> None:
-        """Take up an armed map as pass ``step`` begins."""
-        if self.armed_order and self.armed_order.pass_number == step:
+    def begin_pass(self, pass_number: int) -> None:
+        """Switch to the prepared map if it is armed for this pass."""
+        if self.armed_order and self.armed_order.pass_number == pass_number:
             assert self.prepared_order is not None
             self.version_and_map = (
                 self.prepared_order.version,
@@ -94,22 +105,25 @@
 
 
 class SimulatedGroup:
-    """All ranks of a group; passes begin at all of them together."""
+    """A group of simulated ranks, which begin each pass together."""
 
-    def __init__(self, size: int, first: experts.ExpertMap) -> None:
-        self._initial_map = first
-        self.size = size
+    def __init__(
+        self, rank_count: int, initial_map: experts.ExpertMap
+    ) -> None:
+        self._initial_map = initial_map
+        self.rank_count = rank_count
         self.epoch = 0
         self.last_pass = 0
         self.ranks: list[SimulatedRank] = []
         self.start_new_epoch()
 
     def start_new_epoch(self) -> None:
-        """Begin a new life, with the first map and nothing else."""
+        """Form anew: all ranks lose their state and get the initial map."""
         self.epoch += 1
         self.last_pass = 0
         self.ranks = [
-            SimulatedRank((0, self._initial_map)) for _ in range(self.size)
+            SimulatedRank((0, self._initial_map))
+            for _ in range(self.rank_count)
         ]
 
     def execute(
@@ -119,25 +133,30 @@
         epoch: int,
         generation: int | None = None,
     ) -> experts.OrderResult:
-        """Carry out an order at one rank."""
-        one = self.ranks[rank]
+        """Carry out an order at one rank.
+
+        :param epoch: epoch that the order was given for.
+        :param generation: lease generation of the order, if it carries one.
+        """
+        target = self.ranks[rank]
         if generation is not None:
-            if generation < one.min_generation:
+            if generation < target.min_generation:
                 return experts.OrderResult.FENCED
-            one.min_generation = generation
+            target.min_generation = generation
         if epoch != self.epoch:
             return experts.OrderResult.REFUSED
-        return one.execute(order, self.last_pass)
+        return target.execute(order, self.last_pass)
 
     @property
     def next_pass_is_held(self) -> bool:
-        """Whether a rank keeps the next pass from beginning."""
+        """Whether any rank holds the next pass."""
         return any(rank.held_pass == self.last_pass + 1 for rank in self.ranks)
 
     def begin_pass(self) -> bool:
-        """Begin a pass, unless it is held.
+        """Begin the next pass, unless it is held.
 
-        :raises MixedMapsError: when the ranks differ in their maps.
+        :returns: whether the pass has begun.
+        :raises MixedMapsError: if the ranks differ in their maps.
         """
         if self.next_pass_is_held:
             return False
@@ -154,25 +173,25 @@
         return True
 
     def report(self, rank: int) -> experts.RankReport:
-        """Return what a rank tells."""
-        one = self.ranks[rank]
-        ready = one.prepared_order is not None and one.has_copied
+        """Return the report of a rank."""
+        source = self.ranks[rank]
+        is_ready = source.prepared_order is not None and source.has_copied
         return experts.RankReport(
             group="g",
-            rank_count=self.size,
+            rank_count=self.rank_count,
             rank=experts.Rank(rank),
             epoch=experts.Epoch(self.epoch),
             is_open=True,
             request_count=0,
             last_pass=experts.PassNumber(self.last_pass),
-            version_in_use=experts.MapVersion(one.version_and_map[0]),
+            version_in_use=experts.MapVersion(source.version_and_map[0]),
             prepared_version=(
-                experts.MapVersion(one.prepared_order.version)
-                if ready and one.prepared_order
+                experts.MapVersion(source.prepared_order.version)
+                if is_ready and source.prepared_order
                 else None
             ),
-            armed_order=one.armed_order,
+            armed_order=source.armed_order,
             held_pass=None
-            if one.held_pass is None
-            else experts.PassNumber(one.held_pass),
+            if source.held_pass is None
+            else experts.PassNumber(source.held_pass),
         )
