--- a/testing/edge/test_map_leadership.py
+++ b/testing/edge/test_map_leadership.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The leadership of expert maps: who has it, and under which number."""
+"""Tests of the leadership for expert maps, with and without a lease."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -16,26 +16,26 @@
 LONG_TIMEOUT = datetime.timedelta(seconds=30)
 
 
-class Candidacy:
-    """What a test says of the processes that could be the leader."""
+class FakeCandidacy:
+    """A candidacy whose answers the test sets."""
 
     def __init__(self) -> None:
-        self.is_fit = True
+        self.eligible = True
         self.is_first = True
-        self.elsewhere = False
+        self.held_by_peer = False
 
     def is_eligible(self) -> bool:
-        return self.is_fit
+        return self.eligible
 
     def is_first_candidate(self) -> bool:
         return self.is_first
 
     def lease_held_by_peer(self) -> bool:
-        return self.elsewhere
+        return self.held_by_peer
 
 
 class Rig:
-    """Processes before one store, with time moved by hand."""
+    """Processes that share a store, with a manual clock."""
 
     def __init__(self, store: standin.StoreStandin, address: str) -> None:
         self.store = store
@@ -44,24 +44,24 @@
         self.notification_count = 0
         self.client = platform.StoreClient(address, timeout=LONG_TIMEOUT)
 
-    def _changed(self) -> None:
+    def _count_notification(self) -> None:
         self.notification_count += 1
 
-    def process(
+    def new_process(
         self, name: str
-    ) -> tuple[map_leadership.MapLeadership, Candidacy]:
-        candidacy = Candidacy()
+    ) -> tuple[map_leadership.MapLeadership, FakeCandidacy]:
+        candidacy = FakeCandidacy()
         leadership = map_leadership.MapLeadership(
             experts.Lease(name, self.clock),
             self.client,
             candidacy,
             needs_fencing=lambda: self.fenced,
-            on_lease_change=self._changed,
+            on_lease_change=self._count_notification,
         )
         return leadership, candidacy
 
 
-def run(act: Callable[[Rig], Awaitable[None]]) -> None:
+def run_with_store(act: Callable[[Rig], Awaitable[None]]) -> None:
     async def main() -> None:
         store = standin.StoreStandin()
         rig = Rig(store, await store.start("127.0.0.1"))
@@ -74,30 +74,30 @@
     asyncio.run(main())
 
 
-async def rounds(
+async def run_rounds(
     leadership: map_leadership.MapLeadership, count: int = 3
 ) -> None:
     for _ in range(count):
         await leadership.round()
 
 
-def test_process_leads_only_with_the_lease():
+def test_process_is_leader_only_with_the_lease():
     async def act(rig: Rig) -> None:
-        leadership, _ = rig.process("a")
+        leadership, _ = rig.new_process("a")
         assert not leadership.is_leader()
         assert not leadership.may_send_orders(None)
-        await rounds(leadership)
+        await run_rounds(leadership)
         assert leadership.is_leader()
         assert leadership.generation() == 1
         assert leadership.may_send_orders(experts.Generation(1))
 
-    run(act)
+    run_with_store(act)
 
 
-def test_without_fences_the_first_leads_and_calls_nobody():
+def test_without_fencing_the_first_candidate_leads_and_makes_no_calls():
     async def act(rig: Rig) -> None:
         rig.fenced = False
-        leadership, candidacy = rig.process("a")
+        leadership, candidacy = rig.new_process("a")
         assert leadership.is_leader()
         assert leadership.generation() is None
         assert leadership.may_send_orders(None)
@@ -105,133 +105,133 @@
         assert not leadership.is_leader()
         assert not rig.store.called_paths
 
-    run(act)
+    run_with_store(act)
 
 
-def test_holder_keeps_the_lease_though_it_is_no_longer_first():
+def test_holder_keeps_the_lease_when_it_is_no_longer_first():
     async def act(rig: Rig) -> None:
-        leadership, candidacy = rig.process("a")
-        await rounds(leadership)
+        leadership, candidacy = rig.new_process("a")
+        await run_rounds(leadership)
         candidacy.is_first = False
-        await rounds(leadership)
+        await run_rounds(leadership)
         assert leadership.is_leader()
 
-    run(act)
+    run_with_store(act)
 
 
-def test_process_that_leaves_passes_the_lease_on_at_once():
+def test_ineligible_holder_releases_the_lease_at_once():
     async def act(rig: Rig) -> None:
-        old, leaving = rig.process("a")
-        new, _ = rig.process("b")
-        await rounds(old)
-        leaving.is_fit = False
+        old, old_candidacy = rig.new_process("a")
+        new, _ = rig.new_process("b")
+        await run_rounds(old)
+        old_candidacy.eligible = False
         assert not old.is_leader()
-        await rounds(old)
-        await rounds(new)
+        await run_rounds(old)
+        await run_rounds(new)
         assert new.generation() == 2
         assert old.generation() is None
-        # Peers hear of each claim and of the release.
+        # Two claims and a release.
         assert rig.notification_count == 3
 
-    run(act)
+    run_with_store(act)
 
 
 def test_lease_is_released_only_once_a_switch_has_ended():
     async def act(rig: Rig) -> None:
-        leadership, candidacy = rig.process("a")
-        await rounds(leadership)
-        busy = True
-        leadership.has_work_in_progress = lambda: busy
-        candidacy.is_fit = False
-        await rounds(leadership)
+        leadership, candidacy = rig.new_process("a")
+        await run_rounds(leadership)
+        switch_in_progress = True
+        leadership.has_work_in_progress = lambda: switch_in_progress
+        candidacy.eligible = False
+        await run_rounds(leadership)
         assert leadership.may_send_orders(experts.Generation(1))
-        busy = False
-        await rounds(leadership)
+        switch_in_progress = False
+        await run_rounds(leadership)
         assert leadership.generation() is None
 
-    run(act)
+    run_with_store(act)
 
 
-def test_refused_process_gives_no_order_until_it_has_a_new_number():
+def test_fenced_process_sends_no_orders_until_it_has_a_new_generation():
     async def act(rig: Rig) -> None:
-        leadership, _ = rig.process("a")
-        await rounds(leadership)
+        leadership, _ = rig.new_process("a")
+        await run_rounds(leadership)
         leadership.note_fenced(experts.Generation(1))
         assert not leadership.is_leader()
         assert not leadership.may_send_orders(experts.Generation(1))
-        await rounds(leadership)
+        await run_rounds(leadership)
         rig.clock.advance(lease_lib.TIME_TO_LIVE)
-        await rounds(leadership)
+        await run_rounds(leadership)
         assert leadership.generation() == 2
 
-    run(act)
+    run_with_store(act)
 
 
-def test_holder_keeps_the_leadership_while_the_store_is_busy():
+def test_holder_keeps_the_leadership_while_the_store_is_unavailable():
     async def act(rig: Rig) -> None:
-        leadership, _ = rig.process("a")
-        await rounds(leadership)
+        leadership, _ = rig.new_process("a")
+        await run_rounds(leadership)
         rig.store.unavailable = True
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
-            await rounds(leadership)
+            await run_rounds(leadership)
         assert leadership.is_leader()
 
-    run(act)
+    run_with_store(act)
 
 
-def test_process_without_the_lease_rests_while_the_store_is_busy():
+def test_process_cannot_become_leader_while_the_store_is_unavailable():
     async def act(rig: Rig) -> None:
         rig.store.unavailable = True
-        leadership, _ = rig.process("a")
+        leadership, _ = rig.new_process("a")
         for _ in range(5):
             rig.clock.advance(lease_lib.TIME_TO_LIVE)
-            await rounds(leadership)
+            await run_rounds(leadership)
         assert not leadership.is_leader()
 
-    run(act)
+    run_with_store(act)
 
 
-def test_malformed_record_is_replaced():
+def test_malformed_lease_record_is_replaced():
     async def act(rig: Rig) -> None:
         rig.store.append(platform.LEASES_TOPIC, "maps", b"\xff no record")
-        leadership, _ = rig.process("a")
-        await rounds(leadership)
+        leadership, _ = rig.new_process("a")
+        await run_rounds(leadership)
         assert leadership.is_leader()
 
-    run(act)
+    run_with_store(act)
 
 
-def test_fault_in_one_round_does_not_stop_the_loop(monkeypatch):
+def test_error_in_one_round_does_not_stop_the_loop(monkeypatch):
     monkeypatch.setattr(map_leadership, "_ROUND_INTERVAL_S", 0.0)
 
     async def act(rig: Rig) -> None:
-        leadership, candidacy = rig.process("a")
-        faults = []
+        leadership, candidacy = rig.new_process("a")
+        failures = []
 
         def fail() -> bool:
-            faults.append(None)
-            raise KeyError("a fault of our own")
+            failures.append(None)
+            raise KeyError("simulated error")
 
         candidacy.is_eligible = fail
         loop_task = asyncio.create_task(leadership.run())
-        while len(faults) < 3 and not loop_task.done():
+        while len(failures) < 3 and not loop_task.done():
             await asyncio.sleep(0)
         assert not loop_task.done()
         loop_task.cancel()
 
-    run(act)
+    run_with_store(act)
 
 
-def test_process_that_the_store_turns_away_says_that_it_cannot_claim():
+def test_store_answers_tells_whether_the_last_call_succeeded():
     async def act(rig: Rig) -> None:
-        leadership, _ = rig.process("a")
+        leadership, _ = rig.new_process("a")
         rig.store.unavailable = True
-        await rounds(leadership)
+        await run_rounds(leadership)
         assert not leadership.store_answers()
         rig.store.unavailable = False
         rig.clock.advance(lease_lib.RETRY_DELAY)
-        await rounds(leadership)
+        await run_rounds(leadership)
         assert leadership.store_answers()
 
-    run(act)
+    run_with_store(act)
--- a/testing/edge/test_rank_slowness.py
+++ b/testing/edge/test_rank_slowness.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Slow ranks are asked for when passes jump, and believed as long as told."""
+"""Tests of rank slowness: when ranks are queried, and what is kept."""
 
 import datetime
 
@@ -14,7 +14,7 @@
     return datetime.timedelta(seconds=seconds)
 
 
-def test_all_ranks_are_asked_once_reports_tell_of_longer_passes():
+def test_query_is_due_one_report_lag_after_a_jump():
     slowness = rank_slowness_lib.RankSlowness()
     assert slowness.query_is_due(_instant(0))
     slowness.update({SLOW_RANK: 1.0}, _instant(0))
@@ -24,18 +24,18 @@
     assert slowness.query_is_due(_instant(1.2))
 
 
-def test_rank_is_slow_until_it_tells_that_it_is_not():
+def test_rank_stays_slow_until_it_reports_otherwise():
     slowness = rank_slowness_lib.RankSlowness()
     assert slowness.update({SLOW_RANK: 4.0}, _instant(0))
     assert slowness.factors(3) == (1.0, 4.0, 1.0)
     assert slowness.query_is_due(_instant(1))
-    assert not slowness.update({}, _instant(1)), "its silence changes nothing"
+    assert not slowness.update({}, _instant(1)), "no report, no change"
     assert slowness.factors(3) == (1.0, 4.0, 1.0)
     assert slowness.update({SLOW_RANK: 1.0}, _instant(2))
     assert slowness.factors(3) == ()
 
 
-def test_small_changes_are_no_reason_to_plan_anew():
+def test_small_changes_do_not_require_a_new_plan():
     slowness = rank_slowness_lib.RankSlowness()
     assert not slowness.update({SLOW_RANK: 1.1}, _instant(0))
     assert slowness.factors(3) == ()
--- a/testing/edge/test_store_readers.py
+++ b/testing/edge/test_store_readers.py
@@ -1,14 +1,15 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A few processes of each failure domain ask the store for all of it."""
+"""Tests of the selection of store readers in each failure domain."""
 
 import pytest
 
 from lugcross.edge import store_readers
 
 
-def _candidates_of_domain(
+def _candidates_of_one_domain(
     count: int, *failing: int
 ) -> list[store_readers.ReaderCandidate]:
+    """Return candidates; the store does not answer those in ``failing``."""
     return [
         store_readers.ReaderCandidate(f"i{num:02}", num not in failing, "d1")
         for num in range(count)
@@ -16,13 +17,13 @@
 
 
 def _reading_incarnations(
-    domain: list[store_readers.ReaderCandidate],
+    candidates: list[store_readers.ReaderCandidate],
 ) -> list[str]:
     return [
         candidate.incarnation
-        for candidate in domain
+        for candidate in candidates
         if store_readers.reads_store(
-            candidate, [one for one in domain if one is not candidate]
+            candidate, [peer for peer in candidates if peer is not candidate]
         )
     ]
 
@@ -32,23 +33,31 @@
     [(1, ["i00"]), (2, ["i00", "i01"]), (11, ["i00", "i01"])],
     ids=["alone", "pair", "many"],
 )
-def test_two_processes_ask(count: int, reading: list[str]) -> None:
-    assert _reading_incarnations(_candidates_of_domain(count)) == reading
+def test_two_processes_of_a_single_domain_read(
+    count: int, reading: list[str]
+) -> None:
+    assert _reading_incarnations(_candidates_of_one_domain(count)) == reading
 
 
-def test_others_take_the_place_of_those_that_get_no_answer() -> None:
-    reading = _reading_incarnations(_candidates_of_domain(5, 0, 1))
+def test_others_are_selected_in_place_of_failing_readers() -> None:
+    reading = _reading_incarnations(_candidates_of_one_domain(5, 0, 1))
     assert reading == ["i00", "i01", "i02", "i03"]
 
 
-def test_all_ask_where_nobody_gets_an_answer() -> None:
+def test_all_processes_read_if_the_store_answers_none() -> None:
     assert (
-        len(_reading_incarnations(_candidates_of_domain(4, 0, 1, 2, 3))) == 4
+        len(_reading_incarnations(_candidates_of_one_domain(4, 0, 1, 2, 3)))
+        == 4
     )
 
 
-def _candidates_in(*domains: int) -> list[store_readers.ReaderCandidate]:
-    """Return processes that the store answers, in several domains."""
+def _candidates_in_domains(
+    *domains: int,
+) -> list[store_readers.ReaderCandidate]:
+    """Return candidates that the store answers.
+
+    :param domains: number of candidates in each failure domain.
+    """
     return [
         store_readers.ReaderCandidate(
             f"i{num:02}-d{domain}", True, f"d{domain}"
@@ -66,27 +75,31 @@
     ],
     ids=["two-domains", "three-domains"],
 )
-def test_one_process_of_each_of_many_domains_asks(
+def test_number_of_readers_depends_on_the_number_of_domains(
     domains: tuple[int, ...], reading: list[str]
 ) -> None:
-    assert _reading_incarnations(_candidates_in(*domains)) == reading
+    assert _reading_incarnations(_candidates_in_domains(*domains)) == reading
 
 
-def test_those_that_ask_are_ranked_over_all_domains() -> None:
-    candidates = _candidates_in(2, 2, 2)
-    ranks = {
-        one.incarnation: store_readers.reader_index(
-            one, [o for o in candidates if o is not one]
+def test_readers_are_numbered_over_all_domains() -> None:
+    candidates = _candidates_in_domains(2, 2, 2)
+    indexes = {
+        candidate.incarnation: store_readers.reader_index(
+            candidate, [peer for peer in candidates if peer is not candidate]
         )
-        for one in candidates
-        if one.incarnation in _reading_incarnations(candidates)
+        for candidate in candidates
+        if candidate.incarnation in _reading_incarnations(candidates)
     }
-    assert ranks == {"i00-d0": 0, "i00-d1": 1, "i00-d2": 2}
+    assert indexes == {"i00-d0": 0, "i00-d1": 1, "i00-d2": 2}
 
 
-def test_first_that_asks_is_another_once_it_gets_no_answer() -> None:
-    candidates = _candidates_in(2, 2, 2)
+def test_next_reader_becomes_the_first_if_the_first_one_fails() -> None:
+    candidates = _candidates_in_domains(2, 2, 2)
     candidates[0] = store_readers.ReaderCandidate("i00-d0", False, "d0")
-    others = [one for one in candidates if one.incarnation != "i00-d1"]
-    candidate = next(one for one in candidates if one.incarnation == "i00-d1")
-    assert store_readers.reader_index(candidate, others) == 0
+    peers = [peer for peer in candidates if peer.incarnation != "i00-d1"]
+    candidate = next(
+        candidate
+        for candidate in candidates
+        if candidate.incarnation == "i00-d1"
+    )
+    assert store_readers.reader_index(candidate, peers) == 0
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""All ranks change maps at one pass, whatever becomes of the orders."""
+"""Tests of map switches: all ranks switch at the same pass.
+
+Orders may be lost, delayed or carried out without an answer, and processes
+may die or switch the same group concurrently.
+"""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -20,12 +24,12 @@
     for num in range(3)
 ]
 PROCESS_COUNT = 2
-#: Classes of passes that numbers stand for. Passes of one class may be
-#: held by two processes at once, and then one releases the other's (see
-#: docs/design/0006-expert-maps.md); so whoever is at work here has a class
-#: of its own, and a process that starts anew has not that of the last one.
+#: Number of pass classes among which the process number selects. Two processes
+#: of the same class may hold the same pass, and one may then release the
+#: other's hold (see docs/design/0006-expert-maps.md). Therefore each process
+#: here has a class of its own, and gets another one when it restarts.
 PASS_CLASS_COUNT = 4
-#: Walks of one seed, and events in each.
+#: Random walks for each seed, and events in each walk.
 WALK_COUNT = 60
 EVENTS_PER_WALK_COUNT = 500
 
@@ -34,12 +38,13 @@
 
 @dataclasses.dataclass
 class SwitchingProcess:
-    """A process that believes that it leads.
+    """A process that considers itself the leader.
 
-    :param unanswered_count: orders of the round whose answers it still waits
-        for.
-    :param generation: number of its lease, where ranks check it; it may
-        have been superseded without its knowing.
+    :param life: how often the process has restarted.
+    :param epoch: the group's epoch when the switch began.
+    :param unanswered_count: orders whose results the process still waits for.
+    :param generation: generation of its lease, if ranks check it; the process
+        may have been superseded without noticing.
     """
 
     index: int
@@ -53,7 +58,12 @@
 
 @dataclasses.dataclass
 class InFlightOrder:
-    """An order on its way; nobody waits for its answer once it is late."""
+    """An order that has been sent but has not reached its rank.
+
+    :param sender: the process that waits for the result; None once it has
+        timed out.
+    :param life: index and life of the process that sent the order.
+    """
 
     rank: experts.Rank
     order: experts.Order
@@ -65,21 +75,24 @@
 
 
 def _allocator_number(index: int, life: int) -> int:
-    """Return a number never used before, of a class not used lately."""
+    """Return an unused process number whose class was not used recently."""
     return life * PROCESS_COUNT + index
 
 
 class Fleet:
-    """Several processes switch one group; orders are late, lost, doubled.
+    """Several processes that switch the same group, without coordination.
+
+    Each process may begin a switch, die, or resume the switch of another
+    at any time, based on reports of any age. Orders may be lost, delayed or
+    repeated. Each public method is an event of a random walk; ``pick`` selects
+    the process, order or rank that the event affects.
 
-    Nothing here keeps the processes apart: each may begin, stop, die and
-    finish another's work at any moment, and believes reports of any age.
-    Each method is one event; ``pick`` chooses among those that it is about.
+    :param fenced: whether ranks check the lease generation of orders.
     """
 
     def __init__(self, *, fenced: bool = False) -> None:
         self.fenced = fenced
-        self.claims = 0
+        self.claim_count = 0
         self.group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
         self.processes = [
             SwitchingProcess(
@@ -94,16 +107,18 @@
         return self.processes[pick % PROCESS_COUNT]
 
     def claim(self, pick: int) -> None:
-        """Take the lease, whoever has it; that one is not told."""
+        """Claim the lease; its former holder does not notice."""
         process = self._process(pick)
         if self.fenced and process.switch is None:
-            self.claims += 1
-            process.generation = self.claims
-            process.allocator.use_generation(experts.Generation(self.claims))
+            self.claim_count += 1
+            process.generation = self.claim_count
+            process.allocator.use_generation(
+                experts.Generation(self.claim_count)
+            )
 
     def _may_begin(self, process: SwitchingProcess) -> bool:
-        rests = self.fenced and process.generation is None
-        return process.switch is None and not rests
+        lacks_lease = self.fenced and process.generation is None
+        return process.switch is None and not lacks_lease
 
     def start(self, pick: int) -> None:
         process = self._process(pick)
@@ -112,12 +127,14 @@
             or self.last_reports[0].held_pass is not None
         ):
             return
-        newest = max(report.highest_version for report in self.last_reports)
+        highest_version = max(
+            report.highest_version for report in self.last_reports
+        )
         self._start_switch(
             process,
             experts.MapSwitch(
                 rank_count=RANK_COUNT,
-                version=process.allocator.next_version(newest),
+                version=process.allocator.next_version(highest_version),
                 new_map=MAPS[pick % len(MAPS)],
                 old_map=self.group.ranks[0].version_and_map[1],
                 allocator=process.allocator,
@@ -127,22 +144,25 @@
 
     def resume_switch(self, pick: int) -> None:
         process = self._process(pick)
-        held = self.last_reports[0].held_pass
-        if not self._may_begin(process) or held is None:
+        held_pass = self.last_reports[0].held_pass
+        if not self._may_begin(process) or held_pass is None:
             return
-        armed = [
-            one.armed_order.version
-            for one in self.last_reports
-            if one.armed_order and one.armed_order.pass_number == held
+        armed_versions = [
+            report.armed_order.version
+            for report in self.last_reports
+            if report.armed_order
+            and report.armed_order.pass_number == held_pass
         ]
-        newest = max(one.highest_version for one in self.last_reports)
+        highest_version = max(
+            report.highest_version for report in self.last_reports
+        )
         self._start_switch(
             process,
             experts.MapSwitch.resume(
                 rank_count=RANK_COUNT,
-                highest_version=newest,
-                armed_version=max(armed, default=None),
-                held_pass=held,
+                highest_version=highest_version,
+                armed_version=max(armed_versions, default=None),
+                held_pass=held_pass,
                 old_map=self.group.ranks[0].version_and_map[1],
                 allocator=process.allocator,
             ),
@@ -169,9 +189,9 @@
             switch.note_copied(report.last_pass)
             switch.hold_later_pass(report.last_pass)
         else:
-            todo = switch.pending_orders()
+            pending = switch.pending_orders()
             life = process.index, process.life
-            process.unanswered_count = len(todo)
+            process.unanswered_count = len(pending)
             self.in_flight += [
                 InFlightOrder(
                     rank,
@@ -182,55 +202,55 @@
                     life,
                     process.generation,
                 )
-                for rank, order in todo
+                for rank, order in pending
             ]
 
     def arrive(self, pick: int) -> None:
-        self._arrive(pick, heard=True)
+        self._arrive(pick, answer_lost=False)
 
-    def arrive_unheard(self, pick: int) -> None:
-        self._arrive(pick, heard=False)
+    def arrive_with_answer_lost(self, pick: int) -> None:
+        self._arrive(pick, answer_lost=True)
 
-    def _arrive(self, pick: int, *, heard: bool) -> None:
+    def _arrive(self, pick: int, *, answer_lost: bool) -> None:
         if not self.in_flight:
             return
-        one = self.in_flight.pop(pick % len(self.in_flight))
+        sent = self.in_flight.pop(pick % len(self.in_flight))
         result = self.group.execute(
-            one.rank, one.order, one.epoch, one.generation
+            sent.rank, sent.order, sent.epoch, sent.generation
         )
         self._deliver_result(
-            one, result if heard else experts.OrderResult.UNKNOWN
+            sent, experts.OrderResult.UNKNOWN if answer_lost else result
         )
 
     def time_out(self, pick: int) -> None:
-        """Its sender waits no more; the order itself comes later."""
-        waiting = [one for one in self.in_flight if one.sender is not None]
+        """Let a sender stop waiting; the order itself arrives later."""
+        waiting = [sent for sent in self.in_flight if sent.sender is not None]
         if waiting:
-            one = waiting[pick % len(waiting)]
-            self._deliver_result(one, experts.OrderResult.UNKNOWN)
-            one.sender = None
+            sent = waiting[pick % len(waiting)]
+            self._deliver_result(sent, experts.OrderResult.UNKNOWN)
+            sent.sender = None
 
     def _deliver_result(
-        self, one: InFlightOrder, result: experts.OrderResult
+        self, sent: InFlightOrder, result: experts.OrderResult
     ) -> None:
-        process = one.sender
-        if process is None or process.switch is not one.switch:
+        process = sent.sender
+        if process is None or process.switch is not sent.switch:
             return
         assert process.switch is not None
         process.unanswered_count -= 1
-        process.switch.apply_result(one.rank, one.order, result)
+        process.switch.apply_result(sent.rank, sent.order, result)
         if result is experts.OrderResult.FENCED:
             assert process.switch.phase is experts.SwitchPhase.OVER
             process.generation = None
 
-    def die(self, pick: int) -> None:
+    def restart_process(self, pick: int) -> None:
         process = self._process(pick)
         process.switch = None
-        # What the life before the last one sent has arrived by now.
+        # Orders of the life before this one are no longer in flight.
         self.in_flight = [
-            one
-            for one in self.in_flight
-            if one.life != (process.index, process.life - 1)
+            sent
+            for sent in self.in_flight
+            if sent.life != (process.index, process.life - 1)
         ]
         process.life += 1
         process.generation = None
@@ -238,7 +258,7 @@
             _allocator_number(process.index, process.life)
         )
 
-    def copy(self, pick: int) -> None:
+    def finish_copying(self, pick: int) -> None:
         self.group.ranks[pick % RANK_COUNT].has_copied = True
 
     def read_reports(self, pick: int) -> None:
@@ -247,7 +267,7 @@
             self.group.report(rank) for rank in range(RANK_COUNT)
         ]
 
-    def pass_begins(self, pick: int) -> None:
+    def begin_pass(self, pick: int) -> None:
         del pick
         self.group.begin_pass()
 
@@ -256,35 +276,35 @@
         self.group.start_new_epoch()
 
 
-#: Events, each as often as it stands to the others in a walk.
-WEIGHTS = {
+#: Relative frequency of each event in a random walk.
+EVENT_WEIGHTS = {
     Fleet.start: 3.0,
     Fleet.resume_switch: 1.0,
     Fleet.send: 8.0,
     Fleet.arrive: 20.0,
-    Fleet.arrive_unheard: 2.0,
+    Fleet.arrive_with_answer_lost: 2.0,
     Fleet.time_out: 2.0,
-    Fleet.die: 0.2,
-    Fleet.copy: 6.0,
+    Fleet.restart_process: 0.2,
+    Fleet.finish_copying: 6.0,
     Fleet.read_reports: 4.0,
-    Fleet.pass_begins: 4.0,
+    Fleet.begin_pass: 4.0,
     Fleet.start_new_epoch: 0.05,
     Fleet.claim: 0.2,
 }
-FENCES = pytest.mark.parametrize(
+with_and_without_fencing = pytest.mark.parametrize(
     "fenced", [False, True], ids=["unchecked", "fenced"]
 )
 
 
-@FENCES
+@with_and_without_fencing
 @hypothesis.settings(max_examples=60)
 @hypothesis.given(
     events=st.lists(
-        st.tuples(st.sampled_from(list(WEIGHTS)), st.integers(0, 59)),
+        st.tuples(st.sampled_from(list(EVENT_WEIGHTS)), st.integers(0, 59)),
         max_size=400,
     )
 )
-def test_no_pass_begins_with_two_maps(
+def test_no_pass_begins_with_different_maps(
     events: list[Event], fenced: bool
 ) -> None:
     fleet = Fleet(fenced=fenced)
@@ -292,35 +312,36 @@
         event(fleet, pick)
 
 
-@FENCES
+@with_and_without_fencing
 @pytest.mark.parametrize("seed", range(12))
-def test_no_pass_begins_with_two_maps_in_long_walks(
+def test_no_pass_begins_with_different_maps_in_long_walks(
     seed: int, fenced: bool
 ) -> None:
-    """Chosen as traffic goes rather than evenly: these get far.
+    """Random walks with realistic event frequencies, which complete switches.
 
-    Each guard of the switch was removed in turn, and this test failed.
+    Each safety rule of the switch was removed in turn, to verify that the test
+    then fails.
     """
     rng = random.Random(seed)
-    events = list(WEIGHTS)
-    weights = list(WEIGHTS.values())
-    switched = 0
+    events = list(EVENT_WEIGHTS)
+    weights = list(EVENT_WEIGHTS.values())
+    switched_count = 0
     for _ in range(WALK_COUNT):
         fleet = Fleet(fenced=fenced)
         for event in rng.choices(events, weights, k=EVENTS_PER_WALK_COUNT):
             event(fleet, rng.randrange(60))
-        switched += fleet.group.ranks[0].version_and_map[0] > 0
-    # Walks in which nothing is ever switched would prove nothing.
-    assert switched > WALK_COUNT // 10
+        switched_count += fleet.group.ranks[0].version_and_map[0] > 0
+    # Walks without any completed switch would not test the invariant.
+    assert switched_count > WALK_COUNT // 10
 
 
-#: Makes what a sender hears of an order from what became of it.
+#: Returns the result that the sender sees, given the actual result.
 ResultFilter = Callable[
     [experts.Order, experts.OrderResult], experts.OrderResult
 ]
 
 
-def all_results(
+def keep_result(
     order: experts.Order, result: experts.OrderResult
 ) -> experts.OrderResult:
     del order
@@ -332,13 +353,13 @@
     switch: experts.MapSwitch,
     *,
     copied: Sequence[int] = range(RANK_COUNT),
-    most: int | None = None,
-    result_filter: ResultFilter = all_results,
+    max_orders: int | None = None,
+    result_filter: ResultFilter = keep_result,
 ) -> int:
     """Carry out one round of a switch.
 
-    :param copied: ranks whose copying ends by itself.
-    :param most: orders that are sent at most.
+    :param copied: ranks that finish copying.
+    :param max_orders: the largest number of orders to send.
     :returns: how many orders were sent.
     """
     if switch.phase is experts.SwitchPhase.COPY or switch.hold_refused:
@@ -348,21 +369,21 @@
         switch.note_copied(experts.PassNumber(group.last_pass))
         switch.hold_later_pass(experts.PassNumber(group.last_pass))
         return 0
-    todo = switch.pending_orders()[:most]
-    for rank, order in todo:
+    pending = switch.pending_orders()[:max_orders]
+    for rank, order in pending:
         result = group.execute(rank, order, group.epoch)
         switch.apply_result(rank, order, result_filter(order, result))
-    return len(todo)
+    return len(pending)
 
 
-def drive(
+def run_to_end(
     group: rank_simulator.SimulatedGroup,
     switch: experts.MapSwitch,
     *,
     copied: Sequence[int] = range(RANK_COUNT),
-    result_filter: ResultFilter = all_results,
+    result_filter: ResultFilter = keep_result,
 ) -> None:
-    """Carry out a switch to its end."""
+    """Carry out a switch until it is over."""
     for _ in range(200):
         if switch.phase is experts.SwitchPhase.OVER:
             return
@@ -370,7 +391,7 @@
     raise AssertionError(f"still in {switch.phase}")
 
 
-def assert_runs_on(group: rank_simulator.SimulatedGroup) -> None:
+def assert_passes_continue(group: rank_simulator.SimulatedGroup) -> None:
     for _ in range(5):
         assert group.begin_pass()
 
@@ -385,103 +406,112 @@
     )
 
 
-@pytest.mark.parametrize("deaf", [0, 2, 3], ids=["heard", "half", "third"])
-def test_ranks_take_up_the_map_whatever_answers_are_lost(deaf: int) -> None:
+@pytest.mark.parametrize(
+    "lost_every", [0, 2, 3], ids=["none", "half", "third"]
+)
+def test_ranks_switch_though_answers_are_lost(lost_every: int) -> None:
     answers = itertools.count(1)
 
     def result_filter(
         order: experts.Order, result: experts.OrderResult
     ) -> experts.OrderResult:
         del order
-        lost = deaf and next(answers) % deaf == 0
+        lost = lost_every and next(answers) % lost_every == 0
         return experts.OrderResult.UNKNOWN if lost else result
 
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    drive(group, switch, result_filter=result_filter)
+    run_to_end(group, switch, result_filter=result_filter)
     assert switch.outcome is experts.SwitchOutcome.SWITCHED
-    assert_runs_on(group)
+    assert_passes_continue(group)
     assert [rank.version_and_map for rank in group.ranks] == [
         (5, MAPS[1])
     ] * RANK_COUNT
 
 
-def test_group_runs_on_where_one_rank_cannot_be_armed() -> None:
+def test_switch_is_rolled_back_if_one_rank_cannot_be_armed() -> None:
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    drive(group, switch, copied=range(RANK_COUNT - 1))
+    run_to_end(group, switch, copied=range(RANK_COUNT - 1))
     assert switch.outcome is experts.SwitchOutcome.ROLLED_BACK
-    assert_runs_on(group)
+    assert_passes_continue(group)
     assert [rank.version_and_map[1] for rank in group.ranks] == [
         MAPS[0]
     ] * RANK_COUNT
 
 
-@pytest.mark.parametrize("sent", range(0, 14))
-def test_successor_ends_a_hold_wherever_the_holder_died(sent: int) -> None:
+@pytest.mark.parametrize("sent_count", range(0, 14))
+def test_successor_releases_the_hold_of_a_dead_holder(sent_count: int) -> None:
+    """The holder dies after it has sent ``sent_count`` orders."""
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
-    left = sent
+    left = sent_count
     while left > 0 and switch.phase is not experts.SwitchPhase.OVER:
-        left -= advance(group, switch, most=left)
+        left -= advance(group, switch, max_orders=left)
     report = group.report(0)
     if report.held_pass is not None:
-        armed = [one.armed_order for one in group.ranks if one.armed_order]
-        newest = max(
+        armed_versions = [
+            rank.armed_order.version
+            for rank in group.ranks
+            if rank.armed_order
+        ]
+        highest_version = max(
             group.report(rank).highest_version for rank in range(RANK_COUNT)
         )
-        found = experts.MapSwitch.resume(
+        resumed = experts.MapSwitch.resume(
             rank_count=RANK_COUNT,
-            highest_version=newest,
-            armed_version=max((one.version for one in armed), default=None),
+            highest_version=highest_version,
+            armed_version=max(armed_versions, default=None),
             held_pass=report.held_pass,
             old_map=MAPS[0],
             allocator=experts.SwitchNumberAllocator(2),
         )
-        drive(group, found)
-    assert_runs_on(group)
+        run_to_end(group, resumed)
+    assert_passes_continue(group)
 
 
-def test_holder_that_wakes_after_a_successor_changes_nothing() -> None:
+def test_late_orders_of_a_frozen_holder_change_nothing() -> None:
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
-    slow = new_switch()
-    while slow.phase is not experts.SwitchPhase.ARM:
-        advance(group, slow)
-    late = slow.pending_orders()
-    found = experts.MapSwitch.resume(
+    frozen = new_switch()
+    while frozen.phase is not experts.SwitchPhase.ARM:
+        advance(group, frozen)
+    late_orders = frozen.pending_orders()
+    resumed = experts.MapSwitch.resume(
         rank_count=RANK_COUNT,
-        highest_version=slow.version,
-        armed_version=slow.version,
-        held_pass=slow.target_pass,
+        highest_version=frozen.version,
+        armed_version=frozen.version,
+        held_pass=frozen.target_pass,
         old_map=MAPS[0],
         allocator=experts.SwitchNumberAllocator(2),
     )
-    drive(group, found)
-    for rank, order in late:
+    run_to_end(group, resumed)
+    for rank, order in late_orders:
         group.execute(rank, order, group.epoch)
-    assert_runs_on(group)
+    assert_passes_continue(group)
 
 
 def test_pass_is_released_though_the_first_release_gets_no_answer() -> None:
-    lost: list[experts.Order] = []
+    lost_releases: list[experts.Order] = []
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     while switch.phase is not experts.SwitchPhase.OVER:
-        todo = switch.pending_orders()
-        releases = [one for _, one in todo if isinstance(one, experts.Release)]
-        if releases and len(lost) < 3:
-            # Lost on its way: the rank never hears of it.
-            lost += releases
-            for rank, order in todo:
+        pending = switch.pending_orders()
+        releases = [
+            order for _, order in pending if isinstance(order, experts.Release)
+        ]
+        if releases and len(lost_releases) < 3:
+            # The release is lost before it reaches the rank.
+            lost_releases += releases
+            for rank, order in pending:
                 switch.apply_result(rank, order, experts.OrderResult.UNKNOWN)
             continue
         advance(group, switch)
-    assert len(lost) == 3
+    assert len(lost_releases) == 3
     assert not group.next_pass_is_held
     assert group.begin_pass()
 
 
-def test_group_that_makes_no_passes_is_left_alone() -> None:
+def test_group_that_makes_no_passes_is_not_switched() -> None:
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
     switch = new_switch()
     for rank, order in switch.pending_orders():
@@ -493,7 +523,7 @@
     assert switch.outcome is experts.SwitchOutcome.CANCELLED
 
 
-def test_version_is_never_chosen_twice() -> None:
+def test_version_is_never_allocated_twice() -> None:
     allocator = experts.SwitchNumberAllocator(7)
     first = allocator.next_version(experts.MapVersion(0))
     assert allocator.next_version(experts.MapVersion(0)) > first
@@ -508,38 +538,45 @@
     assert group.begin_pass()
 
 
-@pytest.mark.parametrize("after", range(6))
-def test_processes_of_unlike_classes_never_hold_one_pass(after: int) -> None:
-    steps = [
-        experts.SwitchNumberAllocator(number).next_pass_to_hold(
-            experts.PassNumber(after)
+@pytest.mark.parametrize("last_pass", range(6))
+def test_processes_of_different_classes_never_hold_the_same_pass(
+    last_pass: int,
+) -> None:
+    passes = [
+        experts.SwitchNumberAllocator(process_number).next_pass_to_hold(
+            experts.PassNumber(last_pass)
         )
-        for number in range(PASS_CLASS_COUNT)
+        for process_number in range(PASS_CLASS_COUNT)
     ]
-    assert len(set(steps)) == PASS_CLASS_COUNT
-    assert min(steps) > after
+    assert len(set(passes)) == PASS_CLASS_COUNT
+    assert min(passes) > last_pass
 
 
-@pytest.mark.parametrize("after", range(6))
-def test_holders_in_a_row_never_hold_one_pass(after: int) -> None:
-    steps = []
+@pytest.mark.parametrize("last_pass", range(6))
+def test_consecutive_lease_holders_never_hold_the_same_pass(
+    last_pass: int,
+) -> None:
+    passes = []
     for generation in (7, 8):
         allocator = experts.SwitchNumberAllocator(3)
         allocator.use_generation(experts.Generation(generation))
-        steps.append(allocator.next_pass_to_hold(experts.PassNumber(after)))
-    assert len(set(steps)) == 2
-    assert min(steps) == after + 1
+        passes.append(
+            allocator.next_pass_to_hold(experts.PassNumber(last_pass))
+        )
+    assert len(set(passes)) == 2
+    assert min(passes) == last_pass + 1
 
 
-def test_superseded_holder_gives_no_further_order() -> None:
+def test_superseded_holder_sends_no_further_orders() -> None:
     group = rank_simulator.SimulatedGroup(RANK_COUNT, MAPS[0])
-    slow = new_switch()
-    while slow.phase is not experts.SwitchPhase.ARM:
-        advance(group, slow)
+    switch = new_switch()
+    while switch.phase is not experts.SwitchPhase.ARM:
+        advance(group, switch)
     for rank in range(RANK_COUNT):
         group.ranks[rank].min_generation = 2
-    (rank, order), *_ = slow.pending_orders()
-    slow.apply_result(rank, order, group.execute(rank, order, group.epoch, 1))
-    assert slow.phase is experts.SwitchPhase.OVER
-    assert not slow.pending_orders()
+    (rank, order), *_ = switch.pending_orders()
+    result = group.execute(rank, order, group.epoch, 1)
+    switch.apply_result(rank, order, result)
+    assert switch.phase is experts.SwitchPhase.OVER
+    assert not switch.pending_orders()
     assert not group.ranks[rank].armed_order
