--- a/src/lugcross/edge/engine_transport.py
+++ b/src/lugcross/edge/engine_transport.py
@@ -67,8 +67,8 @@
         try:
             async with asyncio.timeout(self._timeout_s):
                 conn.send(method.encode(), target.encode(), headers, body)
-                answer = await conn.read_head()
-                got = await conn.read_body()
+                response = await conn.read_head()
+                response_body = await conn.read_body()
         except TimeoutError as exc:
             conn.close()
             raise http1.ConnectionBrokenError(
@@ -80,8 +80,8 @@
             conn.close()
             raise
         head = platform.parse_backend_response_head(
-            answer.status, answer.headers
+            response.status, response.headers
         )
         self._pool.release(backend, conn, head.keep_alive)
         self._on_response_head(backend, head)
-        return answer.status, got
+        return response.status, response_body
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -124,7 +124,7 @@
 
     async def round(self) -> None:
         """Make the call to the store that the lease needs now, if any."""
-        held = self._lease.held_generation
+        old_generation = self._lease.held_generation
         action = self._lease.next_action(
             wants_lease=self._wants_lease(),
             held_by_peer=self._candidacy.lease_held_by_peer(),
@@ -144,10 +144,13 @@
                 "lease call failed",
                 extra={"move": action.value, "why": str(exc)},
             )
-        if self._lease.held_generation != held:
+        if self._lease.held_generation != old_generation:
             logging.info(
                 "lease generation changed",
-                extra={"generation": self._lease.held_generation, "was": held},
+                extra={
+                    "generation": self._lease.held_generation,
+                    "was": old_generation,
+                },
             )
             self._on_lease_change()
 
@@ -166,7 +169,7 @@
 
     async def _read(self) -> None:
         tail = await self._store.read_newest(platform.LEASES_TOPIC)
-        found = [one for one in tail.records if one.key == _LEASE_KEY]
+        found = [record for record in tail.records if record.key == _LEASE_KEY]
         self._lease.note_read(_decode(found[0]) if found else None, tail.end)
 
     async def _write(self, record: experts.LeaseRecord) -> None:
--- a/src/lugcross/edge/store_readers.py
+++ b/src/lugcross/edge/store_readers.py
@@ -63,12 +63,12 @@
 
     :param peers: the other live processes of all failure domains.
     """
-    before = [
-        one
-        for one in _selected_readers([candidate, *peers])
-        if one.incarnation < candidate.incarnation
+    earlier_readers = [
+        reader
+        for reader in _selected_readers([candidate, *peers])
+        if reader.incarnation < candidate.incarnation
     ]
-    return len(before)
+    return len(earlier_readers)
 
 
 def _selected_readers(
--- a/src/lugcross/experts/demand.py
+++ b/src/lugcross/experts/demand.py
@@ -47,7 +47,7 @@
         tuple(new - old for new, old in zip(*pair, strict=True))
         for pair in pairs
     )
-    if any(one < 0 for row in uses for one in row):
+    if any(count < 0 for row in uses for count in row):
         return None
     if sum(map(sum, uses)) < _MIN_USE_COUNT:
         return None
--- a/src/lugcross/experts/expert_map.py
+++ b/src/lugcross/experts/expert_map.py
@@ -57,7 +57,7 @@
         :param current_map: the map in use.
         """
         pairs = zip(self.ranks[rank], current_map.ranks[rank], strict=True)
-        return sum(len(set(now) - set(then)) for now, then in pairs)
+        return sum(len(set(new) - set(current)) for new, current in pairs)
 
     def max_copies_per_rank(self, current_map: "ExpertMap") -> int:
         """Return the largest number of experts that one rank must copy.
@@ -100,14 +100,14 @@
     """
     total = 0.0
     for set_index, weights in enumerate(demand):
-        whole = sum(weights)
-        if whole <= 0:
+        total_weight = sum(weights)
+        if total_weight <= 0:
             total += 1.0
             continue
         loads = rank_loads(weights, expert_map, set_index)
         if slowness:
             loads = list(map(operator.mul, loads, slowness))
-        total += max(loads) * expert_map.rank_count / whole
+        total += max(loads) * expert_map.rank_count / total_weight
     return total / max(1, len(demand))
 
 
@@ -120,13 +120,16 @@
 
     :param weights: demand for each expert of the set.
     """
-    holders = [0] * len(weights)
-    for rank in expert_map.ranks:
-        for expert in rank[set_index]:
-            holders[expert] += 1
+    holder_counts = [0] * len(weights)
+    for held in expert_map.ranks:
+        for expert in held[set_index]:
+            holder_counts[expert] += 1
     return [
-        sum(weights[expert] / holders[expert] for expert in rank[set_index])
-        for rank in expert_map.ranks
+        sum(
+            weights[expert] / holder_counts[expert]
+            for expert in held[set_index]
+        )
+        for held in expert_map.ranks
     ]
 
 
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -126,7 +126,7 @@
         )
 
 
-#: Low bits of a version; they hold the number of the process that chose it.
+#: Low bits of a version, which hold the number of the allocating process.
 _PROCESS_NUMBER_BIT_COUNT = 16
 #: Modulus by which passes are divided into residue classes. A process holds
 #: only passes of one class, chosen by its number, so that two processes
@@ -142,7 +142,8 @@
 class SwitchNumberAllocator:
     """Allocates the versions and the passes to hold for map switches.
 
-    Different processes get different versions and, mostly, different passes.
+    Processes with different numbers get different versions and, mostly,
+    different passes.
 
     :param process_number: random number, drawn anew at each process start;
         only its low 16 bits are used.
--- a/src/lugcross/experts/planner.py
+++ b/src/lugcross/experts/planner.py
@@ -69,8 +69,8 @@
         try:
             next(planning)
         except StopIteration as exc:
-            found: MapPlan = exc.value
-            return found
+            plan: MapPlan = exc.value
+            return plan
 
 
 def plan_in_steps(
@@ -113,19 +113,19 @@
             placement.apply(relocation)
             best.update()
         yield
-    after = expert_map.ExpertMap(
+    next_map = expert_map.ExpertMap(
         tuple(
             tuple(tuple(sorted(best.ranks[rank])) for _, best in placements)
             for rank in range(current_map.rank_count)
         )
     )
     return MapPlan(
-        next_map=after,
+        next_map=next_map,
         skew_before=expert_map.load_skew(
             demand, current_map, slowness_factors
         ),
-        skew_after=expert_map.load_skew(demand, after, slowness_factors),
-        max_copies_per_rank=after.max_copies_per_rank(current_map),
+        skew_after=expert_map.load_skew(demand, next_map, slowness_factors),
+        max_copies_per_rank=next_map.max_copies_per_rank(current_map),
     )
 
 
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -120,6 +120,7 @@
             collections.Counter()
         )
         self._deciding_rank = orders.Rank(0)
+        #: Whether ranks may be armed with the version; see :meth:`resume`.
         self._may_arm = True
         self._disarmed_ranks: set[orders.Rank] = set()
         self._target_pass = orders.PassNumber(0)
@@ -279,7 +280,10 @@
 
     @property
     def hold_refused(self) -> bool:
-        """Whether :meth:`hold_later_pass` must be called to proceed."""
+        """Whether the target pass had begun before it could be held.
+
+        :meth:`hold_later_pass` must then be called to proceed.
+        """
         return (
             self.phase is SwitchPhase.HOLD
             and self._target_pass not in self._possibly_held_passes
