--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Expert maps of running groups: see demand, plan, switch all ranks."""
+"""Expert maps of rank groups: measuring demand, planning, switching.
+
+An expert map says which experts each rank of a group holds. Nothing in this
+package does I/O.
+"""
 
 from lugcross.experts.demand import counts_by_set
 from lugcross.experts.demand import ExpertCounts
@@ -24,7 +28,6 @@
 from lugcross.experts.orders import Epoch
 from lugcross.experts.orders import Hold
 from lugcross.experts.orders import MapVersion
-from lugcross.experts.orders import NumberAllocator
 from lugcross.experts.orders import Order
 from lugcross.experts.orders import OrderResult
 from lugcross.experts.orders import PassNumber
@@ -32,6 +35,7 @@
 from lugcross.experts.orders import Rank
 from lugcross.experts.orders import RankReport
 from lugcross.experts.orders import Release
+from lugcross.experts.orders import SwitchNumberAllocator
 from lugcross.experts.planner import MapPlan
 from lugcross.experts.planner import plan_in_steps
 from lugcross.experts.planner import plan_map
@@ -58,7 +62,6 @@
     "MapPlan",
     "MapSwitch",
     "MapVersion",
-    "NumberAllocator",
     "Order",
     "OrderResult",
     "PassNumber",
@@ -67,6 +70,7 @@
     "RankReport",
     "Release",
     "SwitchBackoff",
+    "SwitchNumberAllocator",
     "SwitchOutcome",
     "SwitchPhase",
     "counts_by_set",
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -1,25 +1,31 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Takes all ranks of a group to another expert map at the same pass.
+"""State machine that switches all ranks of a group to a map at the same pass.
 
-A pass must never begin with two maps. Orders may get no answer and be
-carried out many seconds later, and another process may be switching the
-same group, because this one was frozen or cut off for a while. What makes
-it safe:
+It works like a two-phase commit: the ranks prepare the new map by copying
+experts, rank 0 holds a pass S that is soon due, all ranks are armed to start
+using the map at S, and S is released. If a rank cannot be armed, the
+switch is rolled back, by preparing the old map under a higher version.
+
+Invariant: no pass begins with different maps at different ranks. This must
+hold although an order that got no answer may be carried out many seconds
+later, and although another process may be switching the same group, because
+one of them was frozen or partitioned. The following rules ensure it:
 
 - Ranks are armed for pass S only while one rank holds S, so that S cannot
-  begin half armed.
+  begin while only some ranks are armed.
 - S is released only when every rank has confirmed that it is armed for S
-  with this version, or when every rank has accepted a higher version, so
-  that this one can never be armed there again, also not by a late order.
-- A group that makes no passes is left alone: a pass that was released
-  there has not begun yet, and could be held and released once more.
-- A version is armed for one pass only: armed again, a rank would take it
-  up at the later order's pass.
-- No rank is disarmed before one rank has accepted a higher version. That
-  rank decides: once it has, nobody can arm all ranks any more; as long as
-  it is armed, it refuses the higher version.
-
-The same object finishes what a process that died has left behind.
+  with this version, or when every rank has accepted a higher version. In the
+  latter case no rank can be armed with this version again, even by a late
+  order.
+- A group that makes no passes is not switched. A pass that was released
+  there may not have begun yet, and could be held and released a second time.
+- A version is armed for one pass only. A rank that is armed again with the
+  same version would switch at the pass of the later order.
+- No rank is disarmed before one rank, the deciding rank, has accepted a higher
+  version. It refuses a higher version while it is armed; once it has accepted
+  one, no process can arm all ranks with this version any more.
+
+:meth:`MapSwitch.resume` finishes a switch that another process has abandoned.
 """
 
 import collections
@@ -29,49 +35,63 @@
 from lugcross.experts import expert_map
 from lugcross.experts import orders
 
-#: Tries of one rank's order to prepare after which the switch is left. No
-#: harm is done yet; where orders go unanswered so often, arming all ranks
-#: would hold up the group for long.
-_MAX_PREPARE_COUNT = 3
-#: Tries to hold a pass. Each refusal means that the pass had begun.
-_MAX_HOLD_COUNT = 6
-#: Refusals of one rank to be armed after which it is asked to decide
-#: against the switch; copying may last a little longer than reckoned.
+#: Prepare orders of one rank without an answer after which the switch is
+#: cancelled. Nothing is held yet; with so many unanswered orders, arming all
+#: ranks would stall the group for long.
+_MAX_UNANSWERED_PREPARE_COUNT = 3
+#: Hold orders that were refused, since the pass had begun, or got no answer,
+#: after which the switch is cancelled.
+_MAX_FAILED_HOLD_COUNT = 6
+#: Refusals of one rank to be armed after which the rollback starts. More than
+#: one, since copying may take a little longer than estimated.
 _MAX_ARM_REFUSAL_COUNT = 4
 
 
 class SwitchPhase(enum.Enum):
-    """What is being done."""
+    """The current step of a switch.
+
+    ``START_ROLLBACK`` asks the deciding rank to accept a higher version; when
+    it has, ``ROLL_BACK`` asks all others.
+    """
 
     PREPARE = "prepare"
     COPY = "copy"
     HOLD = "hold"
     ARM = "arm"
-    DECIDE = "decide"
-    VOID = "void"
+    START_ROLLBACK = "decide"
+    ROLL_BACK = "void"
     RELEASE = "release"
     OVER = "over"
 
 
 class SwitchOutcome(enum.Enum):
-    """What came of it."""
+    """The result of a switch.
+
+    ``SWITCHED``: all ranks were armed. ``ROLLED_BACK``: all ranks accepted the
+    old map under a higher version. ``CANCELLED``: neither; the switch was
+    given up, left to another process, or ended by a new epoch.
+    """
 
     SWITCHED = "switched"
     CANCELLED = "left"
-    VOIDED = "voided"
+    ROLLED_BACK = "voided"
 
 
 @final
 class MapSwitch:
-    """One change of one group's map; no I/O.
-
-    Whoever drives it sends all of :meth:`pending_orders`, hands each verdict
-    to :meth:`apply_result` and begins again, until :attr:`phase` is ``OVER``.
-
-    :param version: version of the new map, above all the ranks had.
-    :param pass_at_planning: pass that had begun when the switch was planned.
-    :param new_map: the new map; none where a left one is only finished.
-    :param old_map: the map in use, given to ranks when the new is voided.
+    """One switch of one group to another map; does no I/O.
+
+    The caller sends all :meth:`pending_orders`, passes each result to
+    :meth:`apply_result` and repeats this until :attr:`phase` is ``OVER``. In
+    phase ``COPY`` and while :attr:`hold_refused`, no orders are pending: the
+    caller calls :meth:`note_copied` or :meth:`hold_later_pass` to proceed.
+
+    :param version: version of the new map; higher than any that the ranks
+        have had.
+    :param new_map: the new map; None if an abandoned switch is resumed.
+    :param old_map: the map in use, which a rollback prepares again.
+    :param pass_at_planning: the last pass that had begun when the switch was
+        planned.
     """
 
     def __init__(
@@ -81,7 +101,7 @@
         version: orders.MapVersion,
         new_map: expert_map.ExpertMap | None,
         old_map: expert_map.ExpertMap,
-        allocator: orders.NumberAllocator,
+        allocator: orders.SwitchNumberAllocator,
         pass_at_planning: orders.PassNumber = orders.PassNumber(0),
     ) -> None:
         self._pass_at_planning = pass_at_planning
@@ -90,9 +110,9 @@
         self._new_map = new_map
         self._old_map = old_map
         self._allocator = allocator
-        self._void_version = allocator.next_version(version)
-        self._ranks_left = self._all_ranks()
-        self._hold_count = 0
+        self._rollback_version = allocator.next_version(version)
+        self._pending_ranks = self._all_ranks()
+        self._failed_hold_count = 0
         self._refusal_counts: collections.Counter[orders.Rank] = (
             collections.Counter()
         )
@@ -100,10 +120,11 @@
             collections.Counter()
         )
         self._deciding_rank = orders.Rank(0)
+        #: Whether ranks may be armed with the version; see :meth:`resume`.
         self._may_arm = True
         self._disarmed_ranks: set[orders.Rank] = set()
         self._target_pass = orders.PassNumber(0)
-        self._held_passes: set[orders.PassNumber] = set()
+        self._possibly_held_passes: set[orders.PassNumber] = set()
         self._outcome = SwitchOutcome.CANCELLED
         self.phase = SwitchPhase.PREPARE
 
@@ -116,15 +137,15 @@
         armed_version: orders.MapVersion | None,
         held_pass: orders.PassNumber,
         old_map: expert_map.ExpertMap,
-        allocator: orders.NumberAllocator,
+        allocator: orders.SwitchNumberAllocator,
     ) -> "MapSwitch":
-        """Return one that finishes what another process has left.
+        """Return a switch that finishes one abandoned by another process.
 
-        :param highest_version: highest version that any rank tells of.
-        :param armed_version: version that a rank is armed with for
-            ``held_pass``. None is voided: to arm a version that another
-            pass may have been named for could change that pass at some
-            ranks only.
+        :param highest_version: the highest version that any rank reports.
+        :param armed_version: the version that a rank is armed with for
+            ``held_pass``. If None, the switch is rolled back: ranks may have
+            been armed with the version for another pass, and arming the
+            version again could change the pass at some ranks only.
         :param held_pass: the pass that is held.
         """
         switch = cls(
@@ -136,23 +157,29 @@
             old_map=old_map,
             allocator=allocator,
         )
-        switch._void_version = allocator.next_version(highest_version)
+        switch._rollback_version = allocator.next_version(highest_version)
         switch._may_arm = armed_version is not None
         switch._target_pass = held_pass
-        switch._held_passes = {held_pass}
+        switch._possibly_held_passes = {held_pass}
         switch._enter_phase(
-            SwitchPhase.ARM if switch._may_arm else SwitchPhase.DECIDE
+            SwitchPhase.ARM if switch._may_arm else SwitchPhase.START_ROLLBACK
         )
         return switch
 
     @property
     def may_hold_pass(self) -> bool:
-        """Whether a pass may be held, so that it must be brought to an end."""
-        return bool(self._held_passes) and self.phase is not SwitchPhase.OVER
+        """Whether a pass may be held, so that the switch must not be dropped.
+
+        An order to hold a pass counts from when it becomes pending.
+        """
+        return (
+            bool(self._possibly_held_passes)
+            and self.phase is not SwitchPhase.OVER
+        )
 
     @property
     def outcome(self) -> SwitchOutcome:
-        """What came of it, once it is over."""
+        """The result; final once :attr:`phase` is ``OVER``."""
         return self._outcome
 
     @property
@@ -162,31 +189,31 @@
 
     @property
     def target_pass(self) -> orders.PassNumber:
-        """The pass at which the ranks take up the new map."""
+        """The pass at which the ranks switch to the new map."""
         return self._target_pass
 
     def pending_orders(self) -> list[tuple[orders.Rank, orders.Order]]:
-        """Return what to send now, to whom."""
+        """Return the orders to send now, each with the rank that gets it."""
         if self.phase is SwitchPhase.PREPARE:
             assert self._new_map is not None
             order = orders.Prepare(self._version, self._new_map)
-            return [(rank, order) for rank in sorted(self._ranks_left)]
+            return [(rank, order) for rank in sorted(self._pending_ranks)]
         if self.phase is SwitchPhase.HOLD:
             return [(orders.Rank(0), orders.Hold(self.target_pass))]
         if self.phase is SwitchPhase.ARM:
             arm = orders.Arm(self._version, self.target_pass)
-            return [(rank, arm) for rank in sorted(self._ranks_left)]
-        if self.phase is SwitchPhase.DECIDE:
-            return [(self._deciding_rank, self._void_prepare())]
-        if self.phase is SwitchPhase.VOID:
+            return [(rank, arm) for rank in sorted(self._pending_ranks)]
+        if self.phase is SwitchPhase.START_ROLLBACK:
+            return [(self._deciding_rank, self._rollback_prepare())]
+        if self.phase is SwitchPhase.ROLL_BACK:
             return [
-                (rank, self._void_order(rank))
-                for rank in sorted(self._ranks_left)
+                (rank, self._rollback_order(rank))
+                for rank in sorted(self._pending_ranks)
             ]
         if self.phase is SwitchPhase.RELEASE:
             return [
-                (orders.Rank(0), orders.Release(step))
-                for step in sorted(self._held_passes)
+                (orders.Rank(0), orders.Release(held_pass))
+                for held_pass in sorted(self._possibly_held_passes)
             ]
         return []
 
@@ -196,13 +223,13 @@
         order: orders.Order,
         result: orders.OrderResult,
     ) -> None:
-        """Take over what became of an order that :meth:`pending_orders` named.
+        """Process the result of one of the :meth:`pending_orders`.
 
-        Orders of one round are answered in any order; what an earlier
-        answer has made needless is left out.
+        Results may come in any sequence. The result of an order that is no
+        longer pending, because of an earlier result, is ignored.
         """
         if result is orders.OrderResult.FENCED:
-            # A later holder is at work; it finishes what this one left.
+            # A later lease holder is active and finishes this switch.
             self._finish(SwitchOutcome.CANCELLED)
             return
         if (rank, order) not in self.pending_orders():
@@ -213,22 +240,24 @@
             self._handle_hold(result)
         elif self.phase is SwitchPhase.ARM:
             self._handle_arm(rank, result)
-        elif self.phase is SwitchPhase.DECIDE:
-            self._handle_decide(result)
-        elif self.phase is SwitchPhase.VOID:
-            self._handle_void(rank, order, result)
+        elif self.phase is SwitchPhase.START_ROLLBACK:
+            self._handle_start_rollback(result)
+        elif self.phase is SwitchPhase.ROLL_BACK:
+            self._handle_roll_back(rank, order, result)
         elif self.phase is SwitchPhase.RELEASE:
             self._handle_release(order, result)
 
     def note_copied(
         self, current_pass: orders.PassNumber, *, passes_ahead: int = 0
     ) -> None:
-        """Go on once the ranks have probably copied what they need.
+        """Proceed from ``COPY``, as the ranks have probably copied by now.
 
-        :param current_pass: pass that began last, as a report tells.
-        :param passes_ahead: passes that may begin from that report until all
-            ranks are armed; more of them delay the map, fewer hold up the
-            group.
+        Cancels the switch if no pass has begun since it was planned.
+
+        :param current_pass: the last pass begun, from a recent report.
+        :param passes_ahead: estimate of how many passes begin between that
+            report and the arming of all ranks. Too high a value delays the
+            switch; too low a value stalls the group.
         """
         if self.phase is not SwitchPhase.COPY:
             return
@@ -239,10 +268,10 @@
         self._choose_pass(current_pass, passes_ahead)
 
     def hold_later_pass(self, current_pass: orders.PassNumber) -> None:
-        """Hold a later pass where the one that was named had begun.
+        """Choose a later pass to hold, if the chosen one had begun.
 
-        :param current_pass: pass that began last, as a report tells. That the
-            named one has begun is newer, so that the next one is near.
+        :param current_pass: the last pass begun, from a recent report. The
+            refusal of the hold may show that a later pass has begun.
         """
         if self.hold_refused:
             self._choose_pass(
@@ -251,42 +280,50 @@
 
     @property
     def hold_refused(self) -> bool:
-        """Whether a later pass must be named before going on."""
+        """Whether the target pass had begun before it could be held.
+
+        :meth:`hold_later_pass` must then be called to proceed.
+        """
         return (
             self.phase is SwitchPhase.HOLD
-            and self._target_pass not in self._held_passes
+            and self._target_pass not in self._possibly_held_passes
         )
 
     def cancel(self) -> None:
-        """Give up before anything is armed; a hold may stand or come."""
+        """Cancel the switch, if no rank has been asked to arm yet.
+
+        A pass that may be held, now or by a late order, is released first.
+        """
         if self.phase in (SwitchPhase.PREPARE, SwitchPhase.COPY):
             self._finish(SwitchOutcome.CANCELLED)
         elif self.phase is SwitchPhase.HOLD:
             self._outcome = SwitchOutcome.CANCELLED
             self._enter_phase(
-                SwitchPhase.RELEASE if self._held_passes else SwitchPhase.OVER
+                SwitchPhase.RELEASE
+                if self._possibly_held_passes
+                else SwitchPhase.OVER
             )
 
     def note_epoch_ended(self) -> None:
-        """End: the group has a new life, and knows none of this."""
+        """End the switch, as the group has a new epoch and no orders of it."""
         self._finish(SwitchOutcome.CANCELLED)
 
     def _choose_pass(
         self, current_pass: orders.PassNumber, passes_ahead: int
     ) -> None:
-        """Choose the pass; from now on it may be held."""
-        self._target_pass = self._allocator.next_pass(
+        """Choose the target pass, which may be held from now on."""
+        self._target_pass = self._allocator.next_pass_to_hold(
             orders.PassNumber(current_pass + passes_ahead)
         )
-        self._held_passes.add(self._target_pass)
+        self._possibly_held_passes.add(self._target_pass)
 
     def _all_ranks(self) -> set[orders.Rank]:
         return {orders.Rank(rank) for rank in range(self._rank_count)}
 
     def _enter_phase(self, phase: SwitchPhase) -> None:
         self.phase = phase
-        self._ranks_left = self._all_ranks()
-        self._hold_count = 0
+        self._pending_ranks = self._all_ranks()
+        self._failed_hold_count = 0
         self._refusal_counts.clear()
 
     def _finish(self, outcome: SwitchOutcome) -> None:
@@ -299,66 +336,66 @@
         if result is orders.OrderResult.REFUSED:
             self._finish(SwitchOutcome.CANCELLED)
         elif result is orders.OrderResult.DONE:
-            self._ranks_left.discard(rank)
-            if not self._ranks_left:
+            self._pending_ranks.discard(rank)
+            if not self._pending_ranks:
                 self._enter_phase(SwitchPhase.COPY)
         else:
             self._unanswered_counts[rank] += 1
-            if self._unanswered_counts[rank] >= _MAX_PREPARE_COUNT:
+            if self._unanswered_counts[rank] >= _MAX_UNANSWERED_PREPARE_COUNT:
                 self._finish(SwitchOutcome.CANCELLED)
 
     def _handle_hold(self, result: orders.OrderResult) -> None:
         if result is orders.OrderResult.DONE:
             self._enter_phase(SwitchPhase.ARM)
             return
-        self._hold_count += 1
+        self._failed_hold_count += 1
         if result is orders.OrderResult.REFUSED:
-            self._held_passes.discard(self._target_pass)
-        if self._hold_count >= _MAX_HOLD_COUNT:
+            self._possibly_held_passes.discard(self._target_pass)
+        if self._failed_hold_count >= _MAX_FAILED_HOLD_COUNT:
             self.cancel()
 
     def _handle_arm(
         self, rank: orders.Rank, result: orders.OrderResult
     ) -> None:
         if result is orders.OrderResult.DONE:
-            self._ranks_left.discard(rank)
-            if not self._ranks_left:
+            self._pending_ranks.discard(rank)
+            if not self._pending_ranks:
                 self._outcome = SwitchOutcome.SWITCHED
                 self._enter_phase(SwitchPhase.RELEASE)
         elif result is orders.OrderResult.REFUSED:
             self._refusal_counts[rank] += 1
             if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
                 self._deciding_rank = rank
-                self._enter_phase(SwitchPhase.DECIDE)
+                self._enter_phase(SwitchPhase.START_ROLLBACK)
 
-    def _handle_decide(self, result: orders.OrderResult) -> None:
+    def _handle_start_rollback(self, result: orders.OrderResult) -> None:
         if result is orders.OrderResult.DONE:
             self._disarmed_ranks = set()
-            self._enter_phase(SwitchPhase.VOID)
-            self._ranks_left.discard(self._deciding_rank)
+            self._enter_phase(SwitchPhase.ROLL_BACK)
+            self._pending_ranks.discard(self._deciding_rank)
         elif result is orders.OrderResult.REFUSED:
-            # It is armed by now, or has had a higher version.
-            self._raise_void_version()
+            # The rank has been armed meanwhile, or has had a higher version.
+            self._raise_rollback_version()
             if self._may_arm:
                 self._enter_phase(SwitchPhase.ARM)
             else:
-                self._count_void_refusal(self._deciding_rank)
+                self._count_rollback_refusal(self._deciding_rank)
 
-    def _count_void_refusal(self, rank: orders.Rank) -> None:
-        """Leave it after a few refusals: the rank is armed with something.
+    def _count_rollback_refusal(self, rank: orders.Rank) -> None:
+        """Cancel after a few refusals, as the rank is armed with a version.
 
-        Newer reports tell with what, and it is found again.
+        Newer reports show which, and the switch is then resumed with it.
         """
         self._refusal_counts[rank] += 1
         if self._refusal_counts[rank] >= _MAX_ARM_REFUSAL_COUNT:
             self._finish(SwitchOutcome.CANCELLED)
 
-    def _void_order(self, rank: orders.Rank) -> orders.Order:
+    def _rollback_order(self, rank: orders.Rank) -> orders.Order:
         if rank in self._disarmed_ranks or not self._may_arm:
-            return self._void_prepare()
+            return self._rollback_prepare()
         return orders.Disarm(self._version)
 
-    def _handle_void(
+    def _handle_roll_back(
         self,
         rank: orders.Rank,
         order: orders.Order,
@@ -368,16 +405,17 @@
             if result is orders.OrderResult.DONE:
                 self._disarmed_ranks.add(rank)
         elif result is orders.OrderResult.DONE:
-            self._ranks_left.discard(rank)
+            self._pending_ranks.discard(rank)
         elif result is orders.OrderResult.REFUSED:
-            # A late order has armed it anew, or it had a higher version.
+            # A late order has armed the rank again, or the rank has had a
+            # higher version.
             self._disarmed_ranks.discard(rank)
-            self._raise_void_version()
+            self._raise_rollback_version()
             if not self._may_arm:
-                self._count_void_refusal(rank)
+                self._count_rollback_refusal(rank)
                 return
-        if not self._ranks_left:
-            self._outcome = SwitchOutcome.VOIDED
+        if not self._pending_ranks:
+            self._outcome = SwitchOutcome.ROLLED_BACK
             self._enter_phase(SwitchPhase.RELEASE)
 
     def _handle_release(
@@ -386,13 +424,15 @@
         if result is orders.OrderResult.UNKNOWN:
             return
         assert isinstance(order, orders.Release)
-        # Refused means that the group has a new life by now.
-        self._held_passes.discard(order.pass_number)
-        if not self._held_passes:
+        # A refusal means that the group has a new epoch by now.
+        self._possibly_held_passes.discard(order.pass_number)
+        if not self._possibly_held_passes:
             self.phase = SwitchPhase.OVER
 
-    def _void_prepare(self) -> orders.Prepare:
-        return orders.Prepare(self._void_version, self._old_map)
+    def _rollback_prepare(self) -> orders.Prepare:
+        return orders.Prepare(self._rollback_version, self._old_map)
 
-    def _raise_void_version(self) -> None:
-        self._void_version = self._allocator.next_version(self._void_version)
+    def _raise_rollback_version(self) -> None:
+        self._rollback_version = self._allocator.next_version(
+            self._rollback_version
+        )
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -125,13 +125,13 @@
     def generation(self) -> experts.Generation | None:
         return self.current_generation
 
-    def may_order(self, generation: experts.Generation | None) -> bool:
+    def may_send_orders(self, generation: experts.Generation | None) -> bool:
         return (
             generation == self.current_generation
             and generation not in self.refused_generations
         )
 
-    def note_refused(self, generation: experts.Generation) -> None:
+    def note_fenced(self, generation: experts.Generation) -> None:
         self.refused_generations.append(generation)
         self.leads = False
 
@@ -156,7 +156,7 @@
             clock=self.clock,
             sleep=self._sleep,
             leadership=self.leadership,
-            allocator=experts.NumberAllocator(1),
+            allocator=experts.SwitchNumberAllocator(1),
             on_group_state_change=self._count_notification,
             node="n1",
             cfg=cfg,
@@ -409,7 +409,7 @@
     group = rank_groups.RankGroup("g", SERVICE, LIMITS, RANK_COUNT)
     ranks = rank_simulator.SimulatedGroup(RANK_COUNT, INITIAL_MAP)
     old = ranks.report(1)
-    ranks.form_anew()
+    ranks.start_new_epoch()
     group.apply_report(ranks.report(0), SECOND)
     group.apply_report(dataclasses.replace(old, is_open=False), SECOND)
     assert group.is_open
@@ -483,7 +483,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(4)
         for _ in range(epochs):
-            rig.engines.group.form_anew()
+            rig.engines.group.start_new_epoch()
             assert rig.engines.group.ranks[0].version_and_map == (
                 0,
                 INITIAL_MAP,
@@ -508,7 +508,7 @@
         async def order(backend, order, epoch, generation):
             if isinstance(order, experts.Prepare) and engines.is_open:
                 engines.is_open = False
-                engines.group.form_anew()
+                engines.group.start_new_epoch()
                 return experts.OrderResult.UNKNOWN
             return await obey(backend, order, epoch, generation)
 
@@ -704,7 +704,7 @@
     async def act(rig: Rig) -> None:
         await rig.rounds(6)
         jumping_demand = JumpingDemand(rig)
-        rig.engines.group.form_anew()
+        rig.engines.group.start_new_epoch()
         rig.engines.uses = [0] * LIMITS.expert_count
         before = jumping_demand.reads
         for _ in range(12):
