--- a/bench/news.py
+++ b/bench/news.py
@@ -57,9 +57,11 @@
             domain=f"d{num % domains}",
             state_port=8229,
             leaving=False,
-            version=12,
+            desired_version=12,
             backends_end=500,
-            running={f"i-{rng.getrandbits(40):x}": 1 for _ in range(RUNNING)},
+            running_requests={
+                f"i-{rng.getrandbits(40):x}": 1 for _ in range(RUNNING)
+            },
             known_addresses=[],
             started_ms=1_780_208_640_546,
             reads_store=True,
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -17,8 +17,8 @@
 MAX_AGE_MS = 60_000
 _AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_AGE_MS)]
 #: The same of what speaks against a request; older has lapsed.
-MAX_EVIDENCE_AGE_MS = int(crash_suspects.SUSPICION_TTL.total_seconds() * 1000)
-_EvidenceAgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_EVIDENCE_AGE_MS)]
+MAX_CRASH_AGE_MS = int(crash_suspects.SUSPICION_TTL.total_seconds() * 1000)
+_CrashAgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_CRASH_AGE_MS)]
 _FingerprintBytes = Annotated[
     bytes,
     msgspec.Meta(
@@ -32,33 +32,33 @@
 
 
 @final
-class ServerEnd(msgspec.Struct, frozen=True, array_like=True):
+class ServerCrash(msgspec.Struct, frozen=True, array_like=True):
     """A server that ended while it ran a request.
 
-    :param ago_ms: how long ago.
-    :param ran_ms: how long the request had run there.
+    :param age_ms: how long ago.
+    :param ran_for_ms: how long the request had run there.
     """
 
     server: _Name
     software: _Name
-    ago_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_EVIDENCE_AGE_MS)]
-    ran_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_EVIDENCE_AGE_MS)]
+    age_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_CRASH_AGE_MS)]
+    ran_for_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_CRASH_AGE_MS)]
 
 
 @final
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
     """What speaks for and against one request.
 
-    :param cleared_ms: how long ago it ran to its end; less than 0 if it has
-        not.
+    :param cleared_age_ms: how long ago it ran to completion; negative if it
+        has not.
     """
 
     request: _FingerprintBytes
-    ends: Annotated[
-        list[ServerEnd],
+    crashes: Annotated[
+        list[ServerCrash],
         msgspec.Meta(max_length=crash_suspects.MAX_CRASHES_KEPT),
     ]
-    cleared_ms: _EvidenceAgeMs = -1
+    cleared_age_ms: _CrashAgeMs = -1
 
 
 @final
@@ -67,14 +67,14 @@
 
     :param incarnation: drawn anew at each start.
     :param state_port: where the sender answers questions.
-    :param version: version of its desired state; 0 if it has none.
+    :param desired_version: version of its desired state; 0 if it has none.
     :param backends_end: how far it has read the list of backend servers.
-    :param running: its requests in progress, by backend server.
+    :param running_requests: its requests in progress, by backend server.
     :param known_addresses: addresses of peers that it knows, ``HOST:PORT``.
     :param started_ms: when it started, by its time of day, if it can look
         after expert maps; 0 if it cannot now.
     :param broken_backends: backend servers that it has seen in broken groups.
-    :param generation: number of its lease of expert maps; 0 without one.
+    :param lease_generation: number of its lease of expert maps; 0 without one.
     :param reads_store: whether the store answered its last call.
     :param relay: whether the receiver should pass it on to its domain.
     :param sequence: rises with each datagram of an incarnation: one that was
@@ -96,13 +96,13 @@
     domain: str
     state_port: int
     leaving: bool
-    version: int
+    desired_version: int
     backends_end: int
-    running: dict[str, _Count]
+    running_requests: dict[str, _Count]
     known_addresses: list[str]
     started_ms: int = 0
     broken_backends: list[str] = []
-    generation: int = 0
+    lease_generation: int = 0
     reads_store: bool = False
     relay: bool = False
     sequence: int = 0
@@ -139,7 +139,7 @@
         nothing but whole records as they are.
     """
 
-    version: int
+    desired_version: int
     backends_end: int
     digest: bytes | None = None
 
@@ -149,7 +149,7 @@
     """Newest record of one backend server; no value if it is gone."""
 
     key: str
-    offset: int
+    position: int
     value: bytes
 
 
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -60,7 +60,7 @@
     def respond(self, req: messages.StateRequest) -> messages.StateResponse:
         """Return what this process knows beyond ``req``."""
         state = self._edge_state.desired
-        newer = state is not None and state.version > req.version
+        newer = state is not None and state.version > req.desired_version
         records = self._edge_state.records
         sends_plain = newer and req.digest is None
         patch = records.patch(req.digest) if newer and req.digest else None
@@ -116,13 +116,16 @@
             peer_selection.NewerPeer(
                 host=peer.host,
                 port=peer.heartbeat.state_port,
-                newness=(peer.heartbeat.version, peer.heartbeat.backends_end),
+                newness=(
+                    peer.heartbeat.desired_version,
+                    peer.heartbeat.backends_end,
+                ),
                 same_domain=self._is_same_domain(peer.heartbeat),
             )
             for peer in self._peers.live()
             if peer.heartbeat
             and (
-                peer.heartbeat.version > version
+                peer.heartbeat.desired_version > version
                 or peer.heartbeat.backends_end > end
             )
         ]
@@ -167,7 +170,7 @@
             self._adopt(record)
         rows = tuple(
             platform.KeyedRecord(
-                positions.Position(row.offset), row.key, row.value
+                positions.Position(row.position), row.key, row.value
             )
             for row in response.backends
         )
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -205,7 +205,7 @@
     def lease_held_by_peer(self) -> bool:
         """Tell whether a live peer has the lease of expert maps."""
         heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
-        return any(heartbeat.generation for heartbeat in heartbeats)
+        return any(heartbeat.lease_generation for heartbeat in heartbeats)
 
     def leaves_store_to_peers(self) -> bool:
         """Tell whether peers of this domain ask the store for this one."""
@@ -299,16 +299,16 @@
             domain=self._settings.domain,
             state_port=port,
             leaving=self._leaving,
-            version=self._edge_state.version,
+            desired_version=self._edge_state.version,
             backends_end=self._edge_state.backends.end,
-            running={
+            running_requests={
                 str(key): count
                 for key, count in self._edge_state.loads.own_requests().items()
             },
             known_addresses=known,
             started_ms=0 if self.is_unfit() else self._started_ms,
             broken_backends=[str(key) for key in self.seen_broken_backends()],
-            generation=self.lease_generation() or 0,
+            lease_generation=self.lease_generation() or 0,
             reads_store=not self.store_health.failing
             and self.can_claim_lease(),
             workspace_uses=self._edge_state.workspace_usage.own_counts(),
@@ -335,7 +335,7 @@
             return
         running = {
             desired.BackendKey(key): count
-            for key, count in heartbeat.running.items()
+            for key, count in heartbeat.running_requests.items()
         }
         self._on_peer_era(positions.Position(heartbeat.backends_end))
         near = heartbeat.domain == self._settings.domain
@@ -354,8 +354,10 @@
             self._edge_state.backends.note_leaving_answer(
                 desired.BackendKey(name)
             )
-        self.on_peer_generation(experts.Generation(heartbeat.generation))
-        self._lags[platform.OPERATOR_TOPIC].note_known(heartbeat.version)
+        self.on_peer_generation(experts.Generation(heartbeat.lease_generation))
+        self._lags[platform.OPERATOR_TOPIC].note_known(
+            heartbeat.desired_version
+        )
         self._lags[platform.BACKENDS_TOPIC].note_known(heartbeat.backends_end)
         for topic, age_ms in (
             (platform.OPERATOR_TOPIC, heartbeat.desired_age_ms),
@@ -413,7 +415,7 @@
             peer.heartbeat for peer in self.peers.live() if peer.heartbeat
         ]
         newest = max(
-            (heartbeat.version for heartbeat in heartbeats), default=0
+            (heartbeat.desired_version for heartbeat in heartbeats), default=0
         )
         if not newest:
             # Nobody that was heard knows one; others may be heard yet.
--- a/src/lugcross/edge/suspect_gossip.py
+++ b/src/lugcross/edge/suspect_gossip.py
@@ -73,7 +73,7 @@
 ) -> messages.Suspect:
     return messages.Suspect(
         case.request,
-        [_to_server_end(one, now) for one in case.crashes],
+        [_to_server_crash(one, now) for one in case.crashes],
         -1 if case.cleared_at is None else _age_ms(case.cleared_at, now),
     )
 
@@ -82,31 +82,33 @@
     told: messages.Suspect, now: clock_lib.Instant
 ) -> crash_suspects.SuspectRecord:
     """Return the case that was told at ``now``."""
-    ends = tuple(
+    crashes = tuple(
         crash_suspects.ServerCrash(
             one.server,
             one.software,
-            now - one.ago_ms * _MS,
-            one.ran_ms * _MS,
+            now - one.age_ms * _MS,
+            one.ran_for_ms * _MS,
         )
-        for one in told.ends
+        for one in told.crashes
+    )
+    cleared = (
+        None if told.cleared_age_ms < 0 else now - told.cleared_age_ms * _MS
     )
-    cleared = None if told.cleared_ms < 0 else now - told.cleared_ms * _MS
     return crash_suspects.SuspectRecord(
-        crash_suspects.Fingerprint(told.request), ends, cleared
+        crash_suspects.Fingerprint(told.request), crashes, cleared
     )
 
 
-def _to_server_end(
+def _to_server_crash(
     end: crash_suspects.ServerCrash, now: clock_lib.Instant
-) -> messages.ServerEnd:
-    return messages.ServerEnd(
+) -> messages.ServerCrash:
+    return messages.ServerCrash(
         end.server,
         end.software,
-        ago_ms=_age_ms(end.crashed_at, now),
-        ran_ms=min(int(end.ran_for / _MS), messages.MAX_EVIDENCE_AGE_MS),
+        age_ms=_age_ms(end.crashed_at, now),
+        ran_for_ms=min(int(end.ran_for / _MS), messages.MAX_CRASH_AGE_MS),
     )
 
 
 def _age_ms(at: clock_lib.Instant, now: clock_lib.Instant) -> int:
-    return min(int((now - at) / _MS), messages.MAX_EVIDENCE_AGE_MS)
+    return min(int((now - at) / _MS), messages.MAX_CRASH_AGE_MS)
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -54,12 +54,12 @@
             domain="d1",
             state_port=1,
             leaving=leaving,
-            version=0,
+            desired_version=0,
             backends_end=0,
-            running={},
+            running_requests={},
             known_addresses=[],
             started_ms=started_ms,
-            generation=generation,
+            lease_generation=generation,
             reads_store=reads_store,
         )
         data = cbor2.dumps(msgspec.to_builtins(heartbeat))
@@ -141,9 +141,9 @@
             domain=domain,
             state_port=1,
             leaving=False,
-            version=0,
+            desired_version=0,
             backends_end=0,
-            running={},
+            running_requests={},
             known_addresses=[],
             reads_store=reads_store,
         )
--- a/testing/edge/test_malformed_messages.py
+++ b/testing/edge/test_malformed_messages.py
@@ -112,8 +112,10 @@
     request = crash_suspects.Fingerprint(
         b"y" * crash_suspects.FINGERPRINT_BYTES
     )
-    ends = [messages.ServerEnd(f"i-{num}", "v1", 0, 5) for num in range(4)]
-    told = messages.Suspect(request, ends)
+    crashes = [
+        messages.ServerCrash(f"i-{num}", "v1", 0, 5) for num in range(4)
+    ]
+    told = messages.Suspect(request, crashes)
     gossip.merge([told])
     clock.advance(clock_lib.seconds(1))
     for num in range(4):
@@ -124,8 +126,8 @@
             messages.Suspect(
                 request,
                 [
-                    messages.ServerEnd(one.server, "v1", 2000, 5)
-                    for one in ends
+                    messages.ServerCrash(one.server, "v1", 2000, 5)
+                    for one in crashes
                 ],
             )
         ]
--- a/testing/edge/test_state_sync.py
+++ b/testing/edge/test_state_sync.py
@@ -342,10 +342,10 @@
 def test_news_that_were_passed_on_count_as_their_senders():
     gossip = _Gossip()
     gossip.clock.advance(datetime.timedelta(seconds=30))
-    heartbeat = _heartbeat("far3", "d2", generation=7, relay=True)
+    heartbeat = _heartbeat("far3", "d2", lease_generation=7, relay=True)
     gossip.hear("near1", messages.RelayedHeartbeat("far3:9", heartbeat))
     live = gossip.peers.live()
-    assert [(peer.host, peer.heartbeat.generation) for peer in live] == [
+    assert [(peer.host, peer.heartbeat.lease_generation) for peer in live] == [
         ("far3", 7)
     ]
     # Passed on once only.
@@ -362,8 +362,12 @@
 
 def test_older_news_never_replace_newer_ones():
     gossip = _Gossip()
-    gossip.hear("far1", _heartbeat("far1", "d2", sequence=5, generation=2))
-    old = _heartbeat("far1", "d2", sequence=4, generation=1)
+    gossip.hear(
+        "far1", _heartbeat("far1", "d2", sequence=5, lease_generation=2)
+    )
+    old = _heartbeat("far1", "d2", sequence=4, lease_generation=1)
     gossip.hear("near1", messages.RelayedHeartbeat("far1:9", old))
-    numbers = {p.host: p.heartbeat.generation for p in gossip.peers.live()}
+    numbers = {
+        p.host: p.heartbeat.lease_generation for p in gossip.peers.live()
+    }
     assert numbers["far1"] == 2
