--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -169,7 +169,7 @@
     )
     us = _microseconds(lambda: ledger.status(name, software, now), 200)
     print(f"standing of one with two ends, full ledger: {us:.0f} us")
-    told = suspect_gossip.SuspectGossip(ledger, clock).outgoing()
+    told = suspect_gossip.SuspectGossip(ledger, clock).next_suspects()
     size = len(
         messages.encode(messages.RelayedHeartbeat("", _heartbeat(told)))
     )
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -98,9 +98,11 @@
         )
         #: Backend servers that this process knows to hold their groups back.
         self.seen_slow_backends: Callable[[], list[desired.BackendKey]] = list
-        ledger = edge_state.crash_tracker.registry
-        self._suspect_gossip = suspect_gossip.SuspectGossip(ledger, clock)
-        self._suspect_store = suspect_store.SuspectStore(ledger, store, clock)
+        registry = edge_state.crash_tracker.registry
+        self._suspect_gossip = suspect_gossip.SuspectGossip(registry, clock)
+        self._suspect_store = suspect_store.SuspectStore(
+            registry, store, clock
+        )
         edge_state.crash_tracker.on_refused = self._suspect_store.save
         store.on_new_era = self._on_new_era
         #: The desired state that the store told first, until it is sure that
@@ -315,7 +317,7 @@
             desired_age_ms=self._store_answer_age_ms(platform.OPERATOR_TOPIC),
             backends_age_ms=self._store_answer_age_ms(platform.BACKENDS_TOPIC),
             slow_backends=[str(key) for key in self.seen_slow_backends()],
-            suspects=self._suspect_gossip.outgoing(),
+            suspects=self._suspect_gossip.next_suspects(),
             leaving_backends=[
                 str(key)
                 for key in self._edge_state.backends.leaving_by_answer_only()
@@ -380,7 +382,7 @@
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
         self._registration.repeat_if_done_since(since)
         if not self.reader_rank():
-            self._suspect_store.save_again(since)
+            self._suspect_store.save_changed_since(since)
 
     def _on_peer_era(self, end: positions.Position) -> None:
         """Note the era of a peer's news; few processes ask the store."""
--- a/src/lugcross/edge/suspect_gossip.py
+++ b/src/lugcross/edge/suspect_gossip.py
@@ -14,15 +14,15 @@
 from lugcross import crash_suspects
 from lugcross.edge import messages
 
-#: How long a case is told with each datagram after it has changed: several
+#: How long a record is told with each datagram after it has changed: several
 #: heartbeats, well within the time in which it must be known everywhere.
-_NEW_CASE_PERIOD = datetime.timedelta(seconds=2)
+_NEW_RECORD_PERIOD = datetime.timedelta(seconds=2)
 #: New cases that one datagram tells: a server runs six at once as a rule, and
 #: each takes about 60 bytes.
-_MAX_NEW_CASES = 8
+_MAX_NEW_RECORDS = 8
 #: Others that one datagram tells: of twenty that are refused, each is told
 #: anew within five seconds at rest, and sooner under load.
-_MAX_OLD_CASES = 2
+_MAX_ROTATED_RECORDS = 2
 _MS = datetime.timedelta(milliseconds=1)
 
 
@@ -31,32 +31,32 @@
     """Tells and hears cases by a process's datagrams."""
 
     def __init__(
-        self, ledger: crash_suspects.SuspectRegistry, clock: clock_lib.Clock
+        self, registry: crash_suspects.SuspectRegistry, clock: clock_lib.Clock
     ) -> None:
-        self._ledger = ledger
+        self._registry = registry
         self._clock = clock
-        self._next_old = 0
+        self._rotation_start = 0
 
-    def outgoing(self) -> list[messages.Suspect]:
+    def next_suspects(self) -> list[messages.Suspect]:
         """Return what the next datagram should tell."""
-        if not len(self._ledger):
+        if not len(self._registry):
             return []
         now = self._clock.monotonic()
-        cases = self._ledger.records()
+        records = self._registry.records()
         new = [
-            one for one in cases if now - one.changed_at < _NEW_CASE_PERIOD
-        ][:_MAX_NEW_CASES]
+            one for one in records if now - one.changed_at < _NEW_RECORD_PERIOD
+        ][:_MAX_NEW_RECORDS]
         old = [
             one
-            for one in cases
+            for one in records
             if one not in new
             and len(one.crashes_since_cleared)
             >= crash_suspects.MIN_CRASHES_TO_REFUSE
         ]
-        start = self._next_old % len(old) if old else 0
-        self._next_old = start + _MAX_OLD_CASES
+        start = self._rotation_start % len(old) if old else 0
+        self._rotation_start = start + _MAX_ROTATED_RECORDS
         rotated = itertools.islice(
-            itertools.cycle(old), start, start + _MAX_OLD_CASES
+            itertools.cycle(old), start, start + _MAX_ROTATED_RECORDS
         )
         told = {one.request: one for one in [*new, *rotated]}
         return [to_message(one, now) for one in told.values()]
@@ -65,16 +65,16 @@
         """Take over what a peer tells."""
         now = self._clock.monotonic()
         for one in told:
-            self._ledger.merge(from_message(one, now), now)
+            self._registry.merge(from_message(one, now), now)
 
 
 def to_message(
-    case: crash_suspects.SuspectRecord, now: clock_lib.Instant
+    record: crash_suspects.SuspectRecord, now: clock_lib.Instant
 ) -> messages.Suspect:
     return messages.Suspect(
-        case.request,
-        [_to_server_crash(one, now) for one in case.crashes],
-        -1 if case.cleared_at is None else _age_ms(case.cleared_at, now),
+        record.request,
+        [_to_server_crash(one, now) for one in record.crashes],
+        -1 if record.cleared_at is None else _age_ms(record.cleared_at, now),
     )
 
 
--- a/src/lugcross/edge/suspect_store.py
+++ b/src/lugcross/edge/suspect_store.py
@@ -47,11 +47,11 @@
 
     def __init__(
         self,
-        ledger: crash_suspects.SuspectRegistry,
+        registry: crash_suspects.SuspectRegistry,
         store: platform.StoreClient,
         clock: clock_lib.Clock,
     ) -> None:
-        self._ledger = ledger
+        self._registry = registry
         self._store = store
         self._clock = clock
         self._unsaved: asyncio.Queue[crash_suspects.Fingerprint] = (
@@ -62,15 +62,15 @@
         """Have what is known of a request written down soon."""
         self._unsaved.put_nowait(request)
 
-    def save_again(self, since: clock_lib.Instant) -> None:
+    def save_changed_since(self, since: clock_lib.Instant) -> None:
         """Have written down again what was found lately; the store lost it."""
-        for case in self._ledger.records():
+        for record in self._registry.records():
             certain = (
-                len(case.crashes_since_cleared)
+                len(record.crashes_since_cleared)
                 >= crash_suspects.MIN_CRASHES_TO_REFUSE
             )
-            if certain and case.changed_at >= since:
-                self.save(case.request)
+            if certain and record.changed_at >= since:
+                self.save(record.request)
 
     async def run(self) -> None:
         """Read what others have written, then write until cancelled."""
@@ -106,15 +106,15 @@
             # Nobody needs it any more; others may drop it as well.
             await self._put(record.key, b"")
             return
-        self._ledger.merge(
+        self._registry.merge(
             suspect_gossip.from_message(stored.suspect, now - ago), now
         )
 
     async def _write(self, request: crash_suspects.Fingerprint) -> bool:
-        case = self._ledger.find(request)
-        if case is None:
+        record = self._registry.find(request)
+        if record is None:
             return True
-        told = suspect_gossip.to_message(case, self._clock.monotonic())
+        told = suspect_gossip.to_message(record, self._clock.monotonic())
         value = messages.encode(_StoredSuspect(told, self._now_ms()))
         return await self._put(request.hex(), value)
 
--- a/testing/edge/test_malformed_messages.py
+++ b/testing/edge/test_malformed_messages.py
@@ -95,20 +95,20 @@
         heartbeat = messages.decode_datagram(cbor2.dumps(fields))
     except msgspec.ValidationError:
         return
-    ledger = crash_suspects.SuspectRegistry()
+    registry = crash_suspects.SuspectRegistry()
     clock = clock_lib.ManualClock()
-    suspect_gossip.SuspectGossip(ledger, clock).merge(heartbeat.suspects)
+    suspect_gossip.SuspectGossip(registry, clock).merge(heartbeat.suspects)
     sound = crash_suspects.Fingerprint(b"y" * crash_suspects.FINGERPRINT_BYTES)
     now = clock.monotonic()
-    standing = ledger.status(sound, frozenset(["v1"]), now)
-    assert standing is crash_suspects.SuspectStatus.NOT_SUSPECT
+    status = registry.status(sound, frozenset(["v1"]), now)
+    assert status is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 def test_false_news_of_ends_end_with_the_next_answer():
     """A peer tells that servers ended which answer: nobody is refused."""
     clock = clock_lib.ManualClock()
-    ledger = crash_suspects.SuspectRegistry()
-    gossip = suspect_gossip.SuspectGossip(ledger, clock)
+    registry = crash_suspects.SuspectRegistry()
+    gossip = suspect_gossip.SuspectGossip(registry, clock)
     request = crash_suspects.Fingerprint(
         b"y" * crash_suspects.FINGERPRINT_BYTES
     )
@@ -119,7 +119,7 @@
     gossip.merge([told])
     clock.advance(clock_lib.seconds(1))
     for num in range(4):
-        ledger.record_answer(f"i-{num}", clock.monotonic())
+        registry.record_answer(f"i-{num}", clock.monotonic())
     clock.advance(clock_lib.seconds(1))
     gossip.merge(
         [
@@ -132,8 +132,8 @@
             )
         ]
     )
-    standing = ledger.status(request, frozenset(["v1"]), clock.monotonic())
-    assert standing is crash_suspects.SuspectStatus.NOT_SUSPECT
+    status = registry.status(request, frozenset(["v1"]), clock.monotonic())
+    assert status is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
 @given(
