--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -130,7 +130,7 @@
             cfg=settings.maps,
         )
         self._duty.has_work_in_progress = self._maps.switch_runner.is_busy
-        self.state_sync.is_unfit = self._maps.switch_runner.is_stuck
+        self.state_sync.is_unfit_to_lead = self._maps.switch_runner.is_stuck
         self.state_sync.lease_generation = self._duty.generation
         self.state_sync.on_peer_generation = self._duty.note_newer_generation
         self.state_sync.can_claim_lease = self._duty.store_answers
@@ -200,7 +200,7 @@
 
     def _background_loops(self) -> list[Coroutine[Any, Any, None]]:
         state_sync = self.state_sync
-        followers = store_followers.followers(
+        followers = store_followers.make_followers(
             self._store, self.edge_state, state_sync
         )
         return [
--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -29,7 +29,7 @@
             collections.deque(maxlen=_MAX_MISSING)
         )
 
-    def note_known(self, number: int) -> None:
+    def note_available(self, number: int) -> None:
         """Note that someone has the news ``number``; they rise."""
         if not self._missing or number > self._missing[-1][0]:
             self._missing.append((number, self._clock.monotonic()))
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -36,7 +36,7 @@
     """What peers tell each other of what the store holds.
 
     :param adopt: takes over a record of the desired state.
-    :param without_store: whether there is no use in waiting for the store.
+    :param not_reading_store: whether there is no use in waiting for the store.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         peers: peers_lib.Peers,
         *,
         adopt: Callable[[bytes], None],
-        without_store: Callable[[], bool],
+        not_reading_store: Callable[[], bool],
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
@@ -54,7 +54,7 @@
         self._edge_state = edge_state
         self._peers = peers
         self._adopt = adopt
-        self._is_without_store = without_store
+        self._not_reading_store = not_reading_store
         self.selector = peer_selection.PeerSelector(clock, rng)
 
     def respond(self, req: messages.StateRequest) -> messages.StateResponse:
@@ -107,7 +107,7 @@
     def _should_ask_at_once(self) -> bool:
         """Tell whether there is no use in waiting for the store."""
         old = self._edge_state.backends.age() > _STALE_BACKENDS_AGE
-        return old or self._is_without_store()
+        return old or self._not_reading_store()
 
     def newer_peers(self) -> list[peer_selection.NewerPeer]:
         """Return the live peers that know more."""
@@ -174,10 +174,10 @@
             )
             for row in response.backends
         )
-        tail = platform.ReadResult(
+        result = platform.ReadResult(
             end=positions.Position(response.backends_end), records=rows
         )
-        self._edge_state.backends.apply(tail, store_was_away=True)
+        self._edge_state.backends.apply(result, store_was_away=True)
         return True
 
 
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -34,7 +34,7 @@
 
 #: Silence after which a process that looked after expert maps is taken as
 #: gone; two of its heartbeats, so that a dead one's pass is not held long.
-_DUTY_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
+_ACTIVE_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
 #: Silence after which a holder of the lease is taken as gone: under load
 #: processes tell each other every 50 ms, and at least every half second.
 #: Who is wrong calls the store for nothing, and leaves a renewed lease.
@@ -42,7 +42,7 @@
 #: Time after a start in which a process leaves the duty to others: it has
 #: not heard of all of them yet. A lease needs no such time: one process
 #: gets it, whoever else tries.
-_DUTY_START_DELAY = datetime.timedelta(seconds=2)
+_LEADER_START_DELAY = datetime.timedelta(seconds=2)
 #: Age of the oldest copy that the store is expected to come back from; what
 #: was written before stands in it.
 _MAX_STORE_COPY_AGE = datetime.timedelta(seconds=60)
@@ -81,7 +81,7 @@
         self._started_at = clock.monotonic()
         self._started_ms = int(clock.now().timestamp() * 1000)
         #: Whether this process cannot look after expert maps for now.
-        self.is_unfit: Callable[[], bool] = lambda: False
+        self.is_unfit_to_lead: Callable[[], bool] = lambda: False
         #: Number of this process's lease of expert maps, if it has one.
         self.lease_generation: Callable[[], experts.Generation | None] = (
             lambda: None
@@ -111,7 +111,7 @@
         #: Newest era of the store that this process has acted on.
         self._era: positions.Era | None = None
         self.store_health = topic_follower.StoreHealth(clock)
-        self.answers = store_contact.StoreContact(clock)
+        self.store_contact = store_contact.StoreContact(clock)
         self._lags = {
             topic: lag_lib.Lag(clock)
             for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC)
@@ -135,7 +135,7 @@
             edge_state,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
-            without_store=lambda: (
+            not_reading_store=lambda: (
                 self.store_health.failing or self.leaves_store_to_peers()
             ),
             clock=clock,
@@ -183,7 +183,7 @@
 
     def is_eligible(self) -> bool:
         """Tell whether this process may look after expert maps."""
-        return not self._leaving and not self.is_unfit()
+        return not self._leaving and not self.is_unfit_to_lead()
 
     def is_first_candidate(self) -> bool:
         """Tell whether it runs longest of those that may.
@@ -193,9 +193,9 @@
         """
         leased = self._edge_state.bounds.fenced
         age = self._clock.monotonic() - self._started_at
-        if age < _DUTY_START_DELAY and not leased:
+        if age < _LEADER_START_DELAY and not leased:
             return False
-        timeout = _LEASE_HOLDER_TIMEOUT if leased else _DUTY_PEER_TIMEOUT
+        timeout = _LEASE_HOLDER_TIMEOUT if leased else _ACTIVE_PEER_TIMEOUT
         claims = [
             experts.Candidate(heartbeat.started_ms, heartbeat.incarnation)
             for heartbeat in self._live_heartbeats(timeout)
@@ -215,7 +215,7 @@
             self._reader(), self._other_readers()
         )
 
-    def reader_rank(self) -> int:
+    def reader_index(self) -> int:
         """Return how many processes ask the store before this one."""
         return store_readers.reader_position(
             self._reader(), self._other_readers()
@@ -233,7 +233,7 @@
             store_readers.ReaderCandidate(
                 heartbeat.incarnation, heartbeat.reads_store, heartbeat.domain
             )
-            for heartbeat in self._live_heartbeats(_DUTY_PEER_TIMEOUT)
+            for heartbeat in self._live_heartbeats(_ACTIVE_PEER_TIMEOUT)
         ]
 
     def _live_heartbeats(
@@ -246,10 +246,12 @@
             if peer.heartbeat and not peer.heartbeat.leaving
         ]
 
-    def apply_desired(self, tail: platform.ReadResult, newest: bool) -> None:
+    def apply_desired(
+        self, result: platform.ReadResult, is_snapshot: bool
+    ) -> None:
         """Take over records of the operator."""
-        del newest
-        for record in tail.records:
+        del is_snapshot
+        for record in result.records:
             if record.key != platform.DESIRED_STATE_KEY or not record.value:
                 continue
             if (
@@ -260,15 +262,17 @@
             else:
                 self._adopt(record.value, urgent=True)
 
-    def apply_backends(self, tail: platform.ReadResult, newest: bool) -> None:
+    def apply_backends(
+        self, result: platform.ReadResult, is_snapshot: bool
+    ) -> None:
         """Take over records of backend servers."""
         contact = self._edge_state.bounds.contact
         away = self.store_health.failed_within(contact)
-        if newest:
-            self._edge_state.backends.replace(tail, store_was_away=away)
+        if is_snapshot:
+            self._edge_state.backends.replace(result, store_was_away=away)
         else:
-            self._edge_state.backends.apply(tail, store_was_away=away)
-        if tail.records:
+            self._edge_state.backends.apply(result, store_was_away=away)
+        if result.records:
             self.peers.schedule_send()
 
     def _checked(self, record: bytes) -> bytes:
@@ -308,7 +312,7 @@
                 for key, count in self._edge_state.loads.own_requests().items()
             },
             known_addresses=known,
-            started_ms=0 if self.is_unfit() else self._started_ms,
+            started_ms=0 if self.is_unfit_to_lead() else self._started_ms,
             broken_backends=[str(key) for key in self.seen_broken_backends()],
             lease_generation=self.lease_generation() or 0,
             reads_store=not self.store_health.failing
@@ -326,7 +330,7 @@
 
     def _store_answer_age_ms(self, topic: str) -> int:
         """Return how long ago the store answered; -1 if too long ago."""
-        age = self.answers.own_answer_age(topic)
+        age = self.store_contact.own_answer_age(topic)
         if age is None or age > messages.MAX_AGE_MS * _MS:
             return -1
         return int(age / _MS)
@@ -357,16 +361,18 @@
                 desired.BackendKey(name)
             )
         self.on_peer_generation(experts.Generation(heartbeat.lease_generation))
-        self._lags[platform.OPERATOR_TOPIC].note_known(
+        self._lags[platform.OPERATOR_TOPIC].note_available(
             heartbeat.desired_version
         )
-        self._lags[platform.BACKENDS_TOPIC].note_known(heartbeat.backends_end)
+        self._lags[platform.BACKENDS_TOPIC].note_available(
+            heartbeat.backends_end
+        )
         for topic, age_ms in (
             (platform.OPERATOR_TOPIC, heartbeat.desired_age_ms),
             (platform.BACKENDS_TOPIC, heartbeat.backends_age_ms),
         ):
             if age_ms >= 0:
-                self.answers.record_peer_answer(topic, age_ms * _MS)
+                self.store_contact.record_peer_answer(topic, age_ms * _MS)
 
     def _on_new_era(self, era: positions.Era, before: positions.Era) -> None:
         """Have written again what the store may have lost of ours.
@@ -381,7 +387,7 @@
         self._edge_state.metrics.count_store_copy()
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
         self._registration.repeat_if_done_since(since)
-        if not self.reader_rank():
+        if not self.reader_index():
             self._suspect_store.save_changed_since(since)
 
     def _on_peer_era(self, end: positions.Position) -> None:
@@ -436,5 +442,5 @@
 
     def on_store_answer(self, topic: str) -> None:
         """Note that the store has told all that it has of a topic."""
-        self.answers.record_answer(topic)
+        self.store_contact.record_answer(topic)
         self._lags[topic].restart()
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -20,7 +20,7 @@
 _BACKENDS_MIN_INTERVAL_RATIO = 0.2
 
 
-def followers(
+def make_followers(
     store: platform.StoreClient,
     edge_state: edge_state_lib.EdgeState,
     state_sync: state_sync_lib.StateSync,
@@ -32,7 +32,7 @@
 
     def follower(
         topic: str,
-        on_tail: topic_follower.TailHandler,
+        on_read: topic_follower.ReadHandler,
         bound: Callable[[], datetime.timedelta],
         min_interval: Callable[[], datetime.timedelta],
     ) -> topic_follower.TopicFollower:
@@ -47,29 +47,29 @@
         def poll_wait() -> datetime.timedelta:
             return (
                 long_poll.STANDBY_WAIT
-                if state_sync.reader_rank()
+                if state_sync.reader_index()
                 else first_reader_wait()
             )
 
         def is_late() -> bool:
             return long_poll.must_read_store(state_sync.lag(topic), bound())
 
-        def is_restart_due() -> bool:
-            age = state_sync.answers.newest_answer_age(topic)
+        def should_restart_read() -> bool:
+            age = state_sync.store_contact.newest_answer_age(topic)
             return is_late() or long_poll.is_overdue(
-                age, first_reader_wait(), state_sync.reader_rank()
+                age, first_reader_wait(), state_sync.reader_index()
             )
 
         return topic_follower.TopicFollower(
             store,
             topic,
-            on_tail,
+            on_read,
             state_sync.store_health,
             min_interval=min_interval,
             poll_wait=poll_wait,
-            is_restart_due=is_restart_due,
+            should_restart_read=should_restart_read,
             on_answer=functools.partial(state_sync.on_store_answer, topic),
-            is_idle=lambda: (
+            should_pause=lambda: (
                 state_sync.leaves_store_to_peers() and not is_late()
             ),
         )
--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -64,7 +64,7 @@
 
 #: Takes over what was read; the flag tells that it is the newest of all
 #: keys and not a continuation.
-TailHandler = Callable[[platform.ReadResult, bool], None]
+ReadHandler = Callable[[platform.ReadResult, bool], None]
 
 
 @final
@@ -73,33 +73,33 @@
 
     :param min_interval: shortest time between two reads.
     :param poll_wait: how long the next read waits for news at the store.
-    :param is_restart_due: whether a read that still waits should be made
-        anew.
+    :param should_restart_read: whether to abandon a read that still waits and
+        send it again on a new connection.
     :param on_answer: called with each answer.
-    :param is_idle: whether peers tell the news, so that no read is needed.
+    :param should_pause: whether peers read the topic for this process.
     """
 
     def __init__(
         self,
         store: platform.StoreClient,
         topic: str,
-        on_tail: TailHandler,
+        on_read: ReadHandler,
         store_health: StoreHealth,
         *,
         min_interval: Callable[[], datetime.timedelta],
         poll_wait: Callable[[], datetime.timedelta],
-        is_restart_due: Callable[[], bool] = lambda: False,
+        should_restart_read: Callable[[], bool] = lambda: False,
         on_answer: Callable[[], None] = lambda: None,
-        is_idle: Callable[[], bool] = lambda: False,
+        should_pause: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._is_idle = is_idle
+        self._should_pause = should_pause
         self._store = store
         self._topic = topic
-        self._on_tail = on_tail
+        self._on_read = on_read
         self._store_health = store_health
         self._min_interval = min_interval
         self._poll_wait = poll_wait
-        self._is_restart_due = is_restart_due
+        self._should_restart_read = should_restart_read
         self._on_answer = on_answer
         self._next_position: positions.Position | None = None
         self._last_read_answered = True
@@ -108,7 +108,7 @@
         """Follow the topic until cancelled."""
         retry = _RETRY_INITIAL_S
         while True:
-            if self._next_position is not None and self._is_idle():
+            if self._next_position is not None and self._should_pause():
                 await asyncio.sleep(_CHECK_INTERVAL_S)
                 continue
             try:
@@ -134,13 +134,13 @@
 
     async def _read(self) -> None:
         if self._next_position is None:
-            tail = await self._store.read_newest(self._topic)
-            self._on_tail(tail, True)
+            result = await self._store.read_newest(self._topic)
+            self._on_read(result, True)
         else:
-            tail = await self._read_from(self._next_position)
-            self._on_tail(tail, False)
+            result = await self._read_from(self._next_position)
+            self._on_read(result, False)
         self._next_position = max(
-            tail.end, self._next_position or positions.START
+            result.end, self._next_position or positions.START
         )
 
     async def _read_from(
@@ -161,24 +161,24 @@
             )
         )
         try:
-            while not await self._wait_for_end(read):
+            while not await self._wait_briefly_for(read):
                 if (
-                    self._is_restart_due()
+                    self._should_restart_read()
                     or positions.era(start) < self._store.era
                 ):
-                    return await self._read_at_once(start)
+                    return await self._read_without_wait(start)
             return read.result()
         finally:
             read.cancel()
 
-    async def _wait_for_end(
+    async def _wait_briefly_for(
         self, read: asyncio.Task[platform.ReadResult]
     ) -> bool:
         """Wait for a read until the next look; tell whether it has ended."""
         done, _ = await asyncio.wait([read], timeout=_CHECK_INTERVAL_S)
         return bool(done)
 
-    async def _read_at_once(
+    async def _read_without_wait(
         self, start: positions.Position
     ) -> platform.ReadResult:
         """Read what is there now, on a new connection."""
--- a/testing/edge/test_claimants.py
+++ b/testing/edge/test_claimants.py
@@ -179,10 +179,11 @@
         ids.Offset(0), "i-1", edge_rig.backend_entry("s", "10.0.0.1:80")
     )
     empty = platform.ReadResult(end=ids.Offset(0), records=())
-    node.state_sync.apply_backends(empty, newest=False)
+    node.state_sync.apply_backends(empty, is_snapshot=False)
     assert not told
     node.state_sync.apply_backends(
-        platform.ReadResult(end=ids.Offset(1), records=(row,)), newest=False
+        platform.ReadResult(end=ids.Offset(1), records=(row,)),
+        is_snapshot=False,
     )
     assert told
 
--- a/testing/edge/test_peer_selection.py
+++ b/testing/edge/test_peer_selection.py
@@ -93,9 +93,9 @@
 def test_lag_counts_from_the_first_news_that_is_missing():
     clock = clock_lib.ManualClock()
     lag = lag_lib.Lag(clock)
-    lag.note_known(5)
+    lag.note_available(5)
     clock.advance(_seconds(1))
-    lag.note_known(6)
+    lag.note_available(6)
     clock.advance(_seconds(1))
     assert lag.age(4) == _seconds(2)
     assert lag.age(5) == _seconds(1)
@@ -110,7 +110,7 @@
     """
     clock = clock_lib.ManualClock()
     lag = lag_lib.Lag(clock)
-    lag.note_known(5)
+    lag.note_available(5)
     assert not long_poll.must_read_store(lag.age(4), BOUND)
     clock.advance(_seconds(1))
     assert long_poll.must_read_store(lag.age(4), BOUND)
--- a/testing/edge/test_state_sync.py
+++ b/testing/edge/test_state_sync.py
@@ -94,7 +94,7 @@
                 fleet_rig.desired_record(version),
             )
             tail = platform.ReadResult(end=ids.Offset(9), records=(record,))
-            node.state_sync.apply_desired(tail, newest=True)
+            node.state_sync.apply_desired(tail, is_snapshot=True)
         return node.edge_state.desired.version
 
     assert _play(act) == 5
@@ -108,7 +108,7 @@
                 ids.Offset(0), platform.DESIRED_STATE_KEY, value
             )
             tail = platform.ReadResult(end=ids.Offset(9), records=(record,))
-            node.state_sync.apply_desired(tail, newest=False)
+            node.state_sync.apply_desired(tail, is_snapshot=False)
         return node.edge_state.desired.version
 
     assert _play(act) == 3
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -127,7 +127,7 @@
 
     async def run(self) -> None:
         """Follow the store and the peers until cancelled."""
-        followers = store_followers.followers(
+        followers = store_followers.make_followers(
             self.store, self.edge_state, self.state_sync
         )
         await asyncio.gather(
