--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -299,7 +299,7 @@
         begun = self._clock.monotonic()
         self._stopping_since = begun
         self.state_sync.leave()
-        end = begun + self.edge_state.bounds.grace * _DRAIN_GRACE_RATIO
+        end = begun + self.edge_state.bounds.grace_period * _DRAIN_GRACE_RATIO
         while self._clock.monotonic() < end:
             if self._refuses_requests():
                 for conn in list(self._conns):
--- a/src/lugcross/edge/settings.py
+++ b/src/lugcross/edge/settings.py
@@ -76,22 +76,22 @@
     fenced: bool = False
 
     @property
-    def grace(self) -> datetime.timedelta:
+    def grace_period(self) -> datetime.timedelta:
         """Time from SIGTERM until the process is killed."""
         return datetime.timedelta(seconds=self.grace_s)
 
     @property
-    def change(self) -> datetime.timedelta:
+    def max_change_time(self) -> datetime.timedelta:
         """Longest time until a change must be in force."""
         return datetime.timedelta(milliseconds=self.change_ms)
 
     @property
-    def drain(self) -> datetime.timedelta:
+    def max_drain_time(self) -> datetime.timedelta:
         """Longest time that a leaving backend server may be used."""
         return datetime.timedelta(milliseconds=self.drain_ms)
 
     @property
-    def contact(self) -> datetime.timedelta:
+    def store_recovery_time(self) -> datetime.timedelta:
         """Time after which the store counts as sound again."""
         return datetime.timedelta(milliseconds=self.contact_ms)
 
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -266,8 +266,8 @@
         self, result: platform.ReadResult, is_snapshot: bool
     ) -> None:
         """Take over records of backend servers."""
-        contact = self._edge_state.bounds.contact
-        away = self.store_health.failed_within(contact)
+        recovery = self._edge_state.bounds.store_recovery_time
+        away = self.store_health.failed_within(recovery)
         if is_snapshot:
             self._edge_state.backends.replace(result, store_was_away=away)
         else:
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -40,7 +40,7 @@
             return long_poll.wait_time(
                 peers=len(state_sync.peers.live()),
                 bound=bound(),
-                contact=edge_state.bounds.contact,
+                contact=edge_state.bounds.store_recovery_time,
                 gap=min_interval(),
             )
 
@@ -78,13 +78,15 @@
         follower(
             platform.OPERATOR_TOPIC,
             state_sync.apply_desired,
-            lambda: edge_state.bounds.change,
+            lambda: edge_state.bounds.max_change_time,
             lambda: _DESIRED_MIN_INTERVAL,
         ),
         follower(
             platform.BACKENDS_TOPIC,
             state_sync.apply_backends,
-            lambda: edge_state.bounds.drain,
-            lambda: edge_state.bounds.drain * _BACKENDS_MIN_INTERVAL_RATIO,
+            lambda: edge_state.bounds.max_drain_time,
+            lambda: (
+                edge_state.bounds.max_drain_time * _BACKENDS_MIN_INTERVAL_RATIO
+            ),
         ),
     ]
--- a/testing/edge/test_crashing_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -30,7 +30,7 @@
 SETTLED_S = 4.0
 #: Ordinary requests a second: six in ten of all places are taken.
 LOAD_PER_S = 36.0
-CONTACT_S = edge_rig.BOUNDS.contact.total_seconds()
+CONTACT_S = edge_rig.BOUNDS.store_recovery_time.total_seconds()
 CRASHING_BODY = b"ends who runs it"
 
 
@@ -209,7 +209,9 @@
         fleet.cut_off("n1-1")
         await _resend(fleet, 0.5, 8.0)
         fleet.reconnect("n1-1")
-        await asyncio.sleep(edge_rig.BOUNDS.contact.total_seconds())
+        await asyncio.sleep(
+            edge_rig.BOUNDS.store_recovery_time.total_seconds()
+        )
         before = len(fleet.sends)
         for name in fleet.nodes:
             fleet.ask(name, CRASHING_BODY)
--- a/testing/edge/test_fault_pairs.py
+++ b/testing/edge/test_fault_pairs.py
@@ -22,7 +22,7 @@
 #: Until every process has read, registered and heard of the others, s.
 SETTLE_TIME_S = 5.0
 #: Longest time until the change must be in force, in seconds.
-MAX_CHANGE_S = edge_rig.BOUNDS.change.total_seconds()
+MAX_CHANGE_S = edge_rig.BOUNDS.max_change_time.total_seconds()
 #: Time for which a link is taken, longer than that, in seconds.
 SATURATED_S = 4.0
 #: How many placings are left out between two where not all are played.
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -93,7 +93,7 @@
 
 
 def test_server_that_says_it_leaves_gets_nothing_past_the_drain_bound():
-    drain = edge_rig.BOUNDS.drain
+    drain = edge_rig.BOUNDS.max_drain_time
     leaves = edge_rig.answer(200, b"whole", b"Server-Leaving: 1")
 
     async def act(rig, clock):
@@ -293,7 +293,7 @@
     "state", ["ready", "draining"], ids=["list-is-old", "list-knows"]
 )
 def test_backend_list_does_not_undo_that_a_server_leaves(state):
-    drain = edge_rig.BOUNDS.drain
+    drain = edge_rig.BOUNDS.max_drain_time
 
     async def act(rig, clock):
         first, second = rig.backends
@@ -320,7 +320,7 @@
     async def act(rig, clock):
         assert (await rig.ask()).status == 200
         assert (await rig.ask()).status == 200
-        clock.advance(edge_rig.BOUNDS.drain)
+        clock.advance(edge_rig.BOUNDS.max_drain_time)
         return (await rig.ask()).status, len(rig.backends[0].seen)
 
     assert _play([[SAYS_LEAVING] * 3], act) == (503, 2)
--- a/testing/edge/test_silent_store.py
+++ b/testing/edge/test_silent_store.py
@@ -48,7 +48,7 @@
         assert fleet.nodes_behind(1) == []
         await break_store(fleet)
         fleet.put_desired(2)
-        await asyncio.sleep(fleet_rig.CONTACT_S)
+        await asyncio.sleep(fleet_rig.STORE_RECOVERY_S)
         late = fleet.nodes_behind(2)
         await fleet.stop()
         return late
--- a/testing/edge/test_store_calls.py
+++ b/testing/edge/test_store_calls.py
@@ -82,7 +82,7 @@
         fleet.store.silence_connections()
         fleet.cut_off(first.name)
         fleet.put_desired(2)
-        await asyncio.sleep(fleet_rig.CONTACT_S)
+        await asyncio.sleep(fleet_rig.STORE_RECOVERY_S)
         late = [name for name in fleet.nodes_behind(2) if name != first.name]
         await fleet.stop()
         assert late == []
--- a/testing/edge/test_store_copies.py
+++ b/testing/edge/test_store_copies.py
@@ -39,7 +39,8 @@
 #: The same where all connections went silent: only then the store counts as
 #: sound, and a change must be in force after the bound for changes.
 SILENT_RECOVERY_TIME_S = (
-    fleet_rig.CONTACT_S + edge_rig.BOUNDS.change.total_seconds()
+    fleet_rig.STORE_RECOVERY_S
+    + edge_rig.BOUNDS.max_change_time.total_seconds()
 )
 FAULTS = ("none", "restart", "cut", "silent", "turned-away")
 
@@ -110,7 +111,9 @@
         """
         now = asyncio.get_running_loop().time()
         begun = self._begun.setdefault(id(node), now)
-        is_new = begun > self._since and now - begun < fleet_rig.CONTACT_S
+        is_new = (
+            begun > self._since and now - begun < fleet_rig.STORE_RECOVERY_S
+        )
         return not is_new and node.name not in self._fleet.cut_nodes
 
     def _check(self) -> None:
--- a/testing/edge/test_sync_soak.py
+++ b/testing/edge/test_sync_soak.py
@@ -56,7 +56,7 @@
         self.fleet.start()
         async with asyncio.TaskGroup() as tasks:
             watch = tasks.create_task(self._check_versions())
-            await asyncio.sleep(fleet_rig.CONTACT_S)
+            await asyncio.sleep(fleet_rig.STORE_RECOVERY_S)
             for _ in range(ROUNDS):
                 await self._round()
             watch.cancel()
@@ -67,7 +67,7 @@
         begun = [self.rng.uniform(0, MAX_FAULT_S) for _ in chosen]
         await asyncio.gather(*map(self._inject, chosen, begun))
         self.change()
-        await asyncio.sleep(fleet_rig.CONTACT_S)
+        await asyncio.sleep(fleet_rig.STORE_RECOVERY_S)
         names = [fault.__name__ for fault in chosen]
         assert self.fleet.nodes_behind(self.version) == [], names
         assert self._nodes_with_old_backends() == [], names
--- a/testing/support/crash_rig.py
+++ b/testing/support/crash_rig.py
@@ -401,7 +401,7 @@
         ends = self.crash_times(body, leave_out=leave_out)
         if len(ends) < 3:
             return 0
-        contact: datetime.timedelta = edge_rig.BOUNDS.contact
+        contact: datetime.timedelta = edge_rig.BOUNDS.store_recovery_time
         since = ends[2] + contact.total_seconds()
         return sum(
             one.at > since and one.node not in leave_out
--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -27,7 +27,7 @@
 #: Processes of each failure domain of a small fleet.
 SMALL_FLEET = (3, 2, 2)
 #: Time after which the store counts as sound again, in seconds.
-CONTACT_S = edge_rig.BOUNDS.contact.total_seconds()
+STORE_RECOVERY_S = edge_rig.BOUNDS.store_recovery_time.total_seconds()
 #: One way between two processes, in seconds.
 _ONE_WAY_DELAY_S = 0.001
 #: Bytes that a process's link carries each second: 20 Mbit/s.
