--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Since when a process knows of news that it does not have."""
+"""For how long this process has been behind its peers."""
 
 import collections
 import datetime
@@ -7,20 +7,21 @@
 
 from lugcross import clock as clock_lib
 
-#: News that are told apart; more come to the same.
+#: Missing versions that are tracked; beyond it the oldest are dropped.
 _MAX_MISSING = 64
-#: Age of news that nothing is missing of.
 _NO_LAG = datetime.timedelta()
 
 
 @final
 class Lag:
-    """News that others have, each since it was first heard of.
+    """Versions that peers have and this process lacks, with their age.
 
-    Peers pass news on, so that a process that knows of them seldom lacks
-    them for long. Where it does, whatever the reason, it reads them from
-    the store itself: how long it has known decides, and not which of its
-    peers failed it.
+    Usually this process gets a new version from a peer soon after it learns
+    that the version exists. If it does not, for whatever reason, it reads from
+    the store itself. Only the time since it learned of the version decides
+    that, not which peer failed to respond.
+
+    A version is that of the desired state, or a position in a topic.
     """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
@@ -30,14 +31,19 @@
         )
 
     def note_available(self, number: int) -> None:
-        """Note that someone has the news ``number``; they rise."""
+        """Note that a peer has version ``number``.
+
+        Versions that are not above the newest known one are ignored.
+        """
         if not self._missing or number > self._missing[-1][0]:
             self._missing.append((number, self._clock.monotonic()))
 
     def age(self, own: int) -> datetime.timedelta:
-        """Return since when the oldest news that is missing is known.
+        """Return the time since this process learned of a version it lacks.
 
-        :param own: the newest that this process has.
+        With several such versions the oldest counts; zero without any.
+
+        :param own: the version that this process has.
         """
         while self._missing and self._missing[0][0] <= own:
             self._missing.popleft()
@@ -46,7 +52,11 @@
         return self._clock.monotonic() - self._missing[0][1]
 
     def restart(self) -> None:
-        """Count anew: the store has just told all that it has."""
+        """Restart the lag at zero after the store has answered a read.
+
+        A peer's version may be one that the store does not return yet, so the
+        newest one known stays missing until this process has it.
+        """
         now = self._clock.monotonic()
         if self._missing:
             number = self._missing[-1][0]
--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What edge processes say to each other, and how it is written."""
+"""Messages between edge processes, and their encoding in CBOR."""
 
 from typing import Annotated
 from typing import final
@@ -10,13 +10,12 @@
 from lugcross import crash_suspects
 from lugcross.edge import patches
 
-#: Requests in progress: far more than one process could have.
+#: Number of requests in progress; one process never has as many as the limit.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
-#: Longest age of an answer that is told, in milliseconds: past a minute it
-#: tells no more than none does.
+#: Longest reported age of a store answer; an older one is reported as none.
 MAX_AGE_MS = 60_000
 _AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_AGE_MS)]
-#: The same of what speaks against a request; older has lapsed.
+#: Longest reported age of a crash; the suspicion has expired by then.
 MAX_CRASH_AGE_MS = int(crash_suspects.SUSPICION_TTL.total_seconds() * 1000)
 _CrashAgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_CRASH_AGE_MS)]
 _FingerprintBytes = Annotated[
@@ -26,17 +25,19 @@
         max_length=crash_suspects.FINGERPRINT_BYTES,
     ),
 ]
-#: Longest name of a server's life, and of its software, in characters.
+#: Longest name of a server's life or of its software version.
 _MAX_NAME_CHARS = 200
 _Name = Annotated[str, msgspec.Meta(max_length=_MAX_NAME_CHARS)]
 
 
 @final
 class ServerCrash(msgspec.Struct, frozen=True, array_like=True):
-    """A server that ended while it ran a request.
+    """A crash of a backend server while it ran a request.
 
-    :param age_ms: how long ago.
-    :param ran_for_ms: how long the request had run there.
+    :param server: the life of the backend server that crashed.
+    :param software: version of the software that it ran.
+    :param age_ms: time since the crash, in milliseconds.
+    :param ran_for_ms: how long the request had run there, in milliseconds.
     """
 
     server: _Name
@@ -47,10 +48,12 @@
 
 @final
 class Suspect(msgspec.Struct, frozen=True, array_like=True):
-    """What speaks for and against one request.
+    """Evidence about one crash suspect.
 
-    :param cleared_age_ms: how long ago it ran to completion; negative if it
-        has not.
+    :param request: fingerprint of the request.
+    :param crashes: crashes of backend servers while they ran it.
+    :param cleared_age_ms: milliseconds since it last ran to completion;
+        negative if it never has.
     """
 
     request: _FingerprintBytes
@@ -63,32 +66,41 @@
 
 @final
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """One datagram.
-
-    :param incarnation: drawn anew at each start.
-    :param state_port: where the sender answers questions.
-    :param desired_version: version of its desired state; 0 if it has none.
-    :param backends_end: how far it has read the list of backend servers.
-    :param running_requests: its requests in progress, by backend server.
-    :param known_addresses: addresses of peers that it knows, ``HOST:PORT``.
-    :param started_ms: when it started, by its time of day, if it can look
-        after expert maps; 0 if it cannot now.
-    :param broken_backends: backend servers that it has seen in broken groups.
-    :param lease_generation: number of its lease of expert maps; 0 without one.
-    :param reads_store: whether the store answered its last call.
-    :param relay: whether the receiver should pass it on to its domain.
-    :param sequence: rises with each datagram of an incarnation: one that was
-        passed on may arrive after a later one.
-    :param workspace_uses: its requests in progress by workspace and service,
-        which stand as numbers (:mod:`lugcross.edge.workspace_usage`).
-    :param desired_age_ms: how long ago the store answered it about the desired
-        state; less than 0 if it has not for a minute.
+    """State of one edge process, sent to its peers in a datagram.
+
+    :param node: name of the sender's host.
+    :param incarnation: token that the sender draws at each start.
+    :param domain: failure domain of the sender.
+    :param state_port: port on which the sender answers state requests.
+    :param leaving: whether the sender is shutting down.
+    :param desired_version: version of the sender's desired state; 0 if it has
+        none.
+    :param backends_end: position up to which the sender has read the list of
+        backend servers.
+    :param running_requests: the sender's requests in progress, by backend
+        server.
+    :param known_addresses: addresses of other peers, ``HOST:PORT``.
+    :param started_ms: start of the sender, in milliseconds since 1970 by its
+        own clock; 0 while it cannot be the leader for expert maps.
+    :param broken_backends: backend servers that the sender has seen in broken
+        rank groups.
+    :param lease_generation: generation of the sender's lease on expert maps;
+        0 without one.
+    :param reads_store: whether the store answered the sender's last call and,
+        where it uses a lease, its last call about that.
+    :param relay: whether the receiver should relay the heartbeat within its
+        failure domain.
+    :param sequence: increases with each heartbeat of an incarnation, so that
+        a relayed heartbeat that arrives late can be ignored.
+    :param workspace_uses: the sender's requests in progress, by hash of
+        workspace and service (:mod:`lugcross.edge.workspace_usage`).
+    :param desired_age_ms: milliseconds since the store last answered the
+        sender about the desired state; negative if over a minute or never.
     :param backends_age_ms: the same about the list of backend servers.
-    :param slow_backends: backend servers that hold their groups back.
-    :param suspects: requests under which servers have ended, as far as the
-        sender knows; some of them in each datagram.
-    :param leaving_backends: backend servers that say in their answers that
-        they leave, as long as the list does not say so.
+    :param slow_backends: backend servers that slow down their rank groups.
+    :param suspects: some of the crash suspects that the sender knows of.
+    :param leaving_backends: backend servers whose responses say that they are
+        leaving while their entry does not say so yet.
     """
 
     node: str
@@ -116,27 +128,30 @@
 
 @final
 class RelayedHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A datagram of another failure domain, passed on within this one.
+    """A heartbeat from another failure domain, relayed within this one.
 
-    :param origin: who sent it, ``HOST:PORT``.
+    :param origin: address of the process that sent it first, ``HOST:PORT``.
     """
 
     origin: str
     heartbeat: Heartbeat
 
 
-#: Fields of a :class:`RelayedHeartbeat`, by which it is told from a
-#: :class:`Heartbeat`.
+#: Number of fields by which a received array is recognized as a
+#: :class:`RelayedHeartbeat`.
 _RELAYED_FIELD_COUNT = 2
 
 
 @final
 class StateRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Question for what is newer than this.
-
-    :param digest: of the desired state's record that the sender has; empty
-        if it has none. Processes of an older release send none, and take
-        nothing but whole records as they are.
+    """Request to a peer for state newer than the sender's.
+
+    :param desired_version: version of the sender's desired state.
+    :param backends_end: position up to which the sender has read the list of
+        backend servers.
+    :param digest: digest of the sender's desired-state record; empty if it has
+        none. ``None`` means an older release that understands only whole,
+        uncompressed records.
     """
 
     desired_version: int
@@ -146,7 +161,7 @@
 
 @final
 class BackendRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Newest record of one backend server; no value if it is gone."""
+    """Newest record of one backend server; the value is empty if removed."""
 
     key: str
     position: int
@@ -155,11 +170,17 @@
 
 @final
 class StateResponse(msgspec.Struct, frozen=True, array_like=True):
-    """Answer: the desired state and backend servers' records, if newer.
+    """A peer's newer state, in response to a :class:`StateRequest`.
+
+    At most one of ``desired``, ``compressed`` and ``patch`` is set; none if
+    the requester's desired state is up to date.
 
-    :param desired: the record as it is, for older releases.
-    :param compressed: the record compressed (:func:`patches.decompress`).
-    :param patch: what leads to the record from the one that was named.
+    :param desired: the whole desired-state record, for older releases.
+    :param backends_end: position up to which the responder has read the list
+        of backend servers.
+    :param backends: records of backend servers from the requested position on.
+    :param compressed: the record compressed (see :func:`patches.decompress`).
+    :param patch: patch from the requester's record to the responder's.
     """
 
     desired: bytes
@@ -170,15 +191,15 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """Return a message as bytes."""
+    """Return a message encoded as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(message, builtin_types=(bytes,)))
 
 
 def decode_datagram(data: bytes) -> Heartbeat | RelayedHeartbeat:
-    """Return the message in a datagram.
+    """Return the heartbeat in a datagram.
 
-    :raises cbor2.CBORDecodeError: when it is not readable at all.
-    :raises msgspec.ValidationError: when it is neither message.
+    :raises cbor2.CBORDecodeError: if the data is not valid CBOR.
+    :raises msgspec.ValidationError: if it is neither kind of heartbeat.
     """
     raw = cbor2.loads(data)
     if isinstance(raw, list) and len(raw) == _RELAYED_FIELD_COUNT:
@@ -187,13 +208,19 @@
 
 
 def decode_state_request(frame: str | bytes) -> StateRequest:
-    """Return the question in a frame; raises as for datagrams."""
+    """Return the request in a WebSocket frame.
+
+    :raises: as :func:`decode_datagram` does.
+    """
     raw = cbor2.loads(_as_bytes(frame))
     return msgspec.convert(raw, StateRequest, builtin_types=(bytes,))
 
 
 def decode_state_response(frame: str | bytes) -> StateResponse:
-    """Return the answer in a frame; raises as for datagrams."""
+    """Return the response in a WebSocket frame.
+
+    :raises: as :func:`decode_datagram` does.
+    """
     raw = cbor2.loads(_as_bytes(frame))
     return msgspec.convert(raw, StateResponse, builtin_types=(bytes,))
 
--- a/src/lugcross/edge/settings.py
+++ b/src/lugcross/edge/settings.py
@@ -14,18 +14,18 @@
 class _StrictStruct(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Settings that refuse fields they do not know."""
+    """Base of settings; an unknown field is an error."""
 
 
 @final
 class Listen(_StrictStruct, frozen=True, kw_only=True):
-    """Where the process listens, each as ``HOST:PORT``.
+    """Addresses on which the process listens, each as ``HOST:PORT``.
 
-    :param callers: for callers' requests.
-    :param ready: for the platform's question whether to send any.
-    :param state: for peers that ask what they missed.
-    :param peers: for datagrams of peers.
-    :param metrics: for whoever collects figures; none without it.
+    :param callers: requests of callers (HTTP).
+    :param ready: readiness checks of the platform (HTTP).
+    :param state: state requests of peers (WebSocket).
+    :param peers: heartbeats of peers (UDP).
+    :param metrics: metrics endpoint; empty to serve none.
     """
 
     callers: str
@@ -37,9 +37,10 @@
 
 @final
 class Store(_StrictStruct, frozen=True, kw_only=True):
-    """The platform's log.
+    """The store in which shared state is kept.
 
-    :param form: how it is spoken to; only ``log`` is known.
+    :param address: ``HOST:PORT`` of the store.
+    :param form: protocol of the store; only ``log`` is supported.
     """
 
     address: str
@@ -47,23 +48,26 @@
 
     def __post_init__(self) -> None:
         if self.form != "log":
-            raise ValueError(f"form {self.form!r} is not 'log'")
+            raise ValueError(f"form {self.form!r} is not supported; use 'log'")
 
 
 @final
 class Bounds(_StrictStruct, frozen=True, kw_only=True):
-    """Times and shares that the operators allow.
-
-    :param grace_s: from SIGTERM until the process is killed, seconds.
-    :param drain_ms: after a backend server is known to leave, until it
-        must get nothing new, milliseconds.
-    :param change_ms: after a change of the desired state is accepted,
-        until it must be in force everywhere, milliseconds.
-    :param repeat_ratio: repeats that a service may get for each of its
+    """Limits that the operators set.
+
+    :param grace_s: seconds from SIGTERM until the platform kills the process.
+    :param drain_ms: milliseconds from the time that a backend server is known
+        to leave until it must get no new requests.
+    :param change_ms: milliseconds from the acceptance of a change of the
+        desired state until all processes must apply it.
+    :param repeat_ratio: retries of ours that a service may get for each of its
         requests, within ``repeat_window_s`` seconds.
-    :param repeat_slack: repeats allowed beyond, all processes together.
-    :param contact_ms: time after which the store counts as sound again.
-    :param fenced: whether engines refuse orders of an earlier holder.
+    :param repeat_slack: retries allowed in addition to that ratio, in total
+        for all processes.
+    :param contact_ms: milliseconds from the time that the store is reachable
+        again until ``drain_ms`` and ``change_ms`` must be met again.
+    :param fenced: whether engines reject orders under an outdated lease
+        generation, so that the leader for expert maps needs a lease.
     """
 
     grace_s: float
@@ -77,38 +81,37 @@
 
     @property
     def grace_period(self) -> datetime.timedelta:
-        """Time from SIGTERM until the process is killed."""
+        """Time from SIGTERM until the platform kills the process."""
         return datetime.timedelta(seconds=self.grace_s)
 
     @property
     def max_change_time(self) -> datetime.timedelta:
-        """Longest time until a change must be in force."""
+        """Longest time until all processes must apply a change."""
         return datetime.timedelta(milliseconds=self.change_ms)
 
     @property
     def max_drain_time(self) -> datetime.timedelta:
-        """Longest time that a leaving backend server may be used."""
+        """Longest time for which a leaving backend server may be used."""
         return datetime.timedelta(milliseconds=self.drain_ms)
 
     @property
     def store_recovery_time(self) -> datetime.timedelta:
-        """Time after which the store counts as sound again."""
+        """Time allowed to catch up once the store is reachable again."""
         return datetime.timedelta(milliseconds=self.contact_ms)
 
 
 @final
 class Maps(_StrictStruct, frozen=True, kw_only=True):
-    """When the expert map of a group changes.
+    """When to switch the expert map of a rank group.
 
-    Lower both for steps that are as even as can be, raise the first where
-    moving experts disturbs more than uneven steps do.
+    Lower both settings for passes that are as even as possible. Raise
+    ``least_saving`` where copying experts costs more than uneven passes do.
 
-    :param least_saving: part of a pass that a new map must save, 0 to 1;
-        with 1 no map is ever changed.
-    :param copy_ms: longest time that ranks may copy experts for one map:
-        demand stays as it is for a few seconds, so that the first few
-        copies, early, are worth most. Both defaults were chosen on
-        recorded counts, see docs/design/0006-expert-maps.md.
+    :param least_saving: fraction of a pass that a new map must save, 0 to 1;
+        1 disables map switches.
+    :param copy_ms: longest time in milliseconds that ranks may copy experts
+        for one map switch. Demand is stable for a few seconds only, so that a
+        few early copies help most. See docs/design/0006-expert-maps.md.
     """
 
     least_saving: float = 0.25
@@ -116,22 +119,22 @@
 
     def __post_init__(self) -> None:
         if not 0.0 <= self.least_saving <= 1.0:
-            raise ValueError("least_saving must be 0 to 1")
+            raise ValueError("least_saving must be from 0 to 1")
         if self.copy_ms <= 0:
-            raise ValueError("copy_ms must be over 0")
+            raise ValueError("copy_ms must be greater than 0")
 
     @property
     def copy_s(self) -> float:
-        """Longest time that ranks may copy for one map, in seconds."""
+        """Longest time that ranks may copy for one map switch, in seconds."""
         return self.copy_ms / 1000.0
 
 
 @final
 class Shares(_StrictStruct, frozen=True, kw_only=True):
-    """How rival workspaces share a full service.
+    """How workspaces share a service that is at its limit.
 
-    :param weights: weight by the name of a workspace; all others have 1. One
-        with 2 gets twice as much as others where all want more.
+    :param weights: weight by workspace; the default is 1. A workspace with
+        weight 2 gets twice the share of one with weight 1 if both want more.
     """
 
     weights: dict[str, float] = {}
@@ -139,15 +142,17 @@
     def __post_init__(self) -> None:
         for name, weight in self.weights.items():
             if not 0.0 < weight < math.inf:
-                raise ValueError(f"weight of {name!r} must be over 0")
+                raise ValueError(
+                    f"weight of {name!r} must be finite and greater than 0"
+                )
 
 
 @final
 class Suspects(_StrictStruct, frozen=True, kw_only=True):
-    """Requests that end the servers that run them.
+    """Handling of crash suspects.
 
-    :param cleared: fingerprints, as logs show them, of requests that are
-        never refused for that, whatever speaks against them.
+    :param cleared: fingerprints (hexadecimal, as in logs) of requests that are
+        never refused as crash suspects.
     """
 
     cleared: tuple[str, ...] = ()
@@ -155,15 +160,20 @@
     def __post_init__(self) -> None:
         for one in self.cleared:
             if len(bytes.fromhex(one)) != crash_suspects.FINGERPRINT_BYTES:
-                raise ValueError(f"{one!r} is no fingerprint")
+                raise ValueError(
+                    f"fingerprint {one!r} must have"
+                    f" {crash_suspects.FINGERPRINT_BYTES} bytes"
+                )
 
 
 @final
 class Settings(_StrictStruct, frozen=True, kw_only=True):
-    """Settings of one process.
+    """Settings of one edge process.
 
-    :param node: name of the process's machine.
-    :param seeds: where ``state`` of a few peers is; they may be gone.
+    :param node: name of the host that the process runs on.
+    :param domain: failure domain of the process.
+    :param seeds: ``state`` addresses of some peers; not all need to exist.
+    :param level: lowest level of log messages that are written.
     """
 
     node: str
@@ -179,8 +189,9 @@
 
 
 def load(path: str) -> Settings:
-    """Return the checked settings in the file at ``path``.
+    """Return the validated settings in the YAML file at ``path``.
 
-    :raises errors.SettingsError: naming file, path and remedy.
+    :raises errors.SettingsError: if the file cannot be read or is invalid;
+        the message names the file, the setting and a remedy.
     """
     return yamlfile.load(path, Settings)
