--- a/src/lugcross/edge/peer_selection.py
+++ b/src/lugcross/edge/peer_selection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which peer a process that is behind asks, and when another one; no I/O."""
+"""Selection of the peer to request newer state from; no I/O."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -9,28 +9,28 @@
 
 from lugcross import clock as clock_lib
 
-#: Time after which a second peer is asked beside one that has not answered:
-#: an answer takes some ten milliseconds, and one that is dead or cut off must
-#: not use up a third of the shortest bound on news.
+#: Time after which a second peer is asked in parallel. A response usually
+#: takes some ten milliseconds; a peer that is dead or unreachable must not use
+#: up much of the time within which a change must be applied.
 _SECOND_REQUEST_DELAY = datetime.timedelta(milliseconds=300)
-#: Questions under way at once; with more, the links of peers that are only
-#: busy carry the same answer many times.
+#: Requests in progress at once; more would load the links of peers that are
+#: merely slow with further copies of the same response.
 _MAX_PENDING_REQUESTS = 2
-#: Time for which a peer that did not answer is left alone: by then it counts
-#: as lost if it is silent.
+#: Time for which a peer that did not respond is not asked again; a dead one is
+#: no longer live by then.
 _UNANSWERED_BACKOFF = datetime.timedelta(seconds=2)
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NewerPeer:
-    """A live peer that knows more.
+    """A live peer that has newer state than this process.
 
-    :param host: where it answers, with ``port``.
-    :param newness: version of its desired state, and how far it has read
-        the list of backend servers.
-    :param same_domain: whether it is of the same failure domain, where bytes
-        cost nothing.
+    :param host: where it serves state requests, with ``port``.
+    :param newness: version of its desired state, and position up to which it
+        has read the list of backend servers.
+    :param same_domain: whether it is in this process's failure domain, where
+        traffic is free of charge.
     """
 
     host: str
@@ -41,7 +41,7 @@
 
 @final
 class PeerSelector:
-    """Questions to peers, under way and unanswered."""
+    """Decides which peer to ask, from the requests made so far."""
 
     def __init__(self, clock: clock_lib.Clock, rng: random.Random) -> None:
         self._clock = clock
@@ -50,10 +50,10 @@
         self._unanswered_at: dict[str, clock_lib.Instant] = {}
 
     def pick(self, peers: Iterable[NewerPeer]) -> NewerPeer | None:
-        """Return the peer to ask now; none if it is not time to ask one.
+        """Return the peer to ask now; none if no request is due.
 
-        One nearby goes before one that knows more still; of equals any, so
-        that not all ask the same.
+        A peer in this failure domain is preferred to a newer one in another.
+        Among equals the choice is random, to spread the load.
         """
         now = self._clock.monotonic()
         if not self._may_request(now):
@@ -70,11 +70,11 @@
         return self._rng.choice(equals) if equals else None
 
     def request_started(self, peer: NewerPeer) -> None:
-        """Note that a question is under way."""
+        """Record that a request was sent."""
         self._started_at[peer.host] = self._clock.monotonic()
 
     def request_ended(self, peer: NewerPeer, *, answered: bool) -> None:
-        """Note what came of a question."""
+        """Record the outcome of a request."""
         self._started_at.pop(peer.host, None)
         if answered:
             self._unanswered_at.pop(peer.host, None)
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""News from peers: asked for when behind, given when asked."""
+"""Exchange of newer state with peers: requests when behind, and responses."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,22 +21,22 @@
 from lugcross import platform
 from lugcross import positions
 
-#: Time between two looks whether a peer knows more, in seconds.
+#: Time between two checks whether a peer has newer state.
 _CHECK_INTERVAL_S = 0.25
-#: Age of the list of backend servers past which a peer that knows more is
-#: asked at once; a read that waits for news ends sooner.
+#: Age of the list of backend servers beyond which a peer with a newer one is
+#: asked at once; a long-polling read of the store normally ends sooner.
 _STALE_BACKENDS_AGE = datetime.timedelta(seconds=5)
-#: How long a process that knows nothing yet leaves the seeds alone: the
-#: store usually answers at once.
+#: Time after a start before seeds are asked; the store usually answers sooner.
 _SEEDS_DELAY_S = 0.5
 
 
 @final
 class PeerSync:
-    """What peers tell each other of what the store holds.
+    """Gets newer state from peers, and responds to their requests.
 
-    :param adopt: takes over a record of the desired state.
-    :param not_reading_store: whether there is no use in waiting for the store.
+    :param adopt: called with a newer desired-state record of a peer.
+    :param not_reading_store: whether this process gets nothing from the store
+        now, because calls fail or because peers read for it.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self.selector = peer_selection.PeerSelector(clock, rng)
 
     def respond(self, req: messages.StateRequest) -> messages.StateResponse:
-        """Return what this process knows beyond ``req``."""
+        """Return the state that is newer than the requester's."""
         state = self._edge_state.desired
         newer = state is not None and state.version > req.desired_version
         records = self._edge_state.records
@@ -78,10 +78,11 @@
         )
 
     async def run(self) -> None:
-        """Ask peers that know more, if the store does not tell it.
+        """Request newer state from peers until cancelled.
 
-        The store may not answer, or may leave a read waiting past the
-        news; peers that were told cost nothing to listen to.
+        A read of the store may fail or miss a change that a peer already has.
+        A peer is asked at once where waiting for the store is of no use,
+        otherwise if it is still ahead at the next check.
         """
         await asyncio.sleep(_SEEDS_DELAY_S)
         if self._edge_state.desired is None:
@@ -92,7 +93,8 @@
                 await asyncio.sleep(_CHECK_INTERVAL_S)
                 newer = self.newer_peers()
                 was_behind, behind = behind, bool(newer)
-                # A peer nearby will know as much as one far away in a moment.
+                # A peer in another domain alone is no reason to ask at once:
+                # one in this domain will soon have the same state.
                 ask_now = self._should_ask_at_once() and any(
                     one.same_domain for one in newer
                 )
@@ -105,12 +107,12 @@
         return heartbeat.domain == self._settings.domain
 
     def _should_ask_at_once(self) -> bool:
-        """Tell whether there is no use in waiting for the store."""
+        """Tell whether waiting for the store is of no use."""
         old = self._edge_state.backends.age() > _STALE_BACKENDS_AGE
         return old or self._not_reading_store()
 
     def newer_peers(self) -> list[peer_selection.NewerPeer]:
-        """Return the live peers that know more."""
+        """Return the live peers that have newer state."""
         version, end = self._edge_state.version, self._edge_state.backends.end
         return [
             peer_selection.NewerPeer(
@@ -140,7 +142,10 @@
         self.selector.request_ended(peer, answered=answered)
 
     async def _request(self, host: str, port: int) -> bool:
-        """Ask a peer and take over what it tells; tell whether it did."""
+        """Request newer state from a peer and apply it.
+
+        :returns: whether the peer responded with valid state.
+        """
         records = self._edge_state.records
         base = records.newest
         req = messages.StateRequest(
@@ -154,10 +159,10 @@
         try:
             record = _record(response, base)
         except patches.PatchError as exc:
-            logging.warning("bad answer", extra={"why": str(exc)})
+            logging.warning("invalid state response", extra={"why": str(exc)})
             return False
         logging.info(
-            "peer told",
+            "state received from peer",
             extra={
                 "peer": host,
                 "desired": bool(record),
@@ -182,11 +187,11 @@
 
 
 def _record(response: messages.StateResponse, base: bytes) -> bytes:
-    """Return the desired state's record in an answer, if it has one.
+    """Return the desired-state record in a response; empty without one.
 
-    :param base: record that the question named: another may be in force by
-        now.
-    :raises patches.PatchError: when it cannot be put together.
+    :param base: this process's record when it sent the request; another one
+        may be in force by now.
+    :raises patches.PatchError: if the record cannot be reconstructed.
     """
     if response.patch is not None:
         return patches.apply(base, response.patch)
--- a/src/lugcross/edge/peers.py
+++ b/src/lugcross/edge/peers.py
@@ -1,11 +1,15 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whom edge processes tell their news, and when, by datagrams.
+"""Heartbeats between edge processes, sent as UDP datagrams.
 
-Datagrams carry what is stale at once: requests in progress, and how new
-each process's knowledge is. A lost one is replaced by the next, and a
-peer that is cut off holds nobody up. Whoever finds that a peer knows
-more, while the store does not answer, asks that peer
-(:mod:`lugcross.edge.state_transfer`).
+A heartbeat carries values that are soon outdated: the sender's requests in
+progress and the versions of the state that it has. A lost heartbeat is
+replaced by the next, and an unreachable peer delays nobody. A process that
+learns from a heartbeat that it is behind may request the newer state from the
+peer (:mod:`lugcross.edge.state_transfer`).
+
+Within a failure domain each process sends to every other. Of each other
+domain it sends to one process, which relays the heartbeat there, except that
+urgent heartbeats go to all processes directly.
 """
 
 import asyncio
@@ -23,30 +27,35 @@
 from lugcross import clock as clock_lib
 from lugcross.edge import messages
 
-#: Shortest time between two datagrams to one peer; news in between wait
-#: for the next. A small part of a stream's life.
+#: Shortest time between two heartbeats; changes in between go with the next.
+#: It is short compared with the duration of a streamed response.
 _MIN_SEND_INTERVAL = datetime.timedelta(milliseconds=50)
-#: The same to another failure domain, where bytes are priced and requests
-#: mostly go to other servers: a tenth of a stream's life, in which few of
-#: its requests have changed.
+#: The same to one other failure domain: traffic between domains is billed, and
+#: their requests mostly run on other backend servers.
 _OTHER_DOMAIN_SEND_INTERVAL = datetime.timedelta(milliseconds=200)
-#: Silence after which a peer is not relied on to pass news on; it would
-#: take a part of them with it.
+#: Silence after which a peer is not chosen as a relay, if its domain has
+#: another: heartbeats sent to a dead relay are lost for its whole domain.
 _RELAY_TIMEOUT = datetime.timedelta(milliseconds=600)
-#: Longest time between two datagrams to one peer.
+#: Longest time between two heartbeats.
 _HEARTBEAT_INTERVAL = datetime.timedelta(milliseconds=500)
-#: Silence after which a peer counts as lost; several heartbeats.
+#: Silence after which a peer is no longer live: several heartbeats.
 _LIVE_TIMEOUT = datetime.timedelta(seconds=2)
 #: Silence after which a peer's address is forgotten.
 _FORGET_TIMEOUT = datetime.timedelta(seconds=60)
-#: Addresses passed on in one datagram; more than that go in later ones.
+#: Peers' addresses in one heartbeat; the others go in later ones.
 _MAX_ADDRESSES = 16
 
 
 @final
 @dataclasses.dataclass
 class Peer:
-    """What is known of one other process."""
+    """A peer, or an address at which there may be one.
+
+    :ivar host: its address, with ``port``.
+    :ivar heartbeat: newest heartbeat; none before the first.
+    :ivar heard_at: when that arrived.
+    :ivar added_at: when this process learned of the address.
+    """
 
     host: str
     port: int
@@ -56,20 +65,23 @@
 
     @property
     def domain(self) -> str | None:
-        """Its failure domain; none while it is not known."""
+        """Its failure domain; none before its first heartbeat."""
         return None if self.heartbeat is None else self.heartbeat.domain
 
 
-#: Fills in the sender's own part of a datagram.
+#: Makes this process's heartbeat, with the given addresses of peers.
 HeartbeatFactory = Callable[[list[str]], messages.Heartbeat]
 
 
 @final
 class Peers(asyncio.DatagramProtocol):
-    """Sends and takes datagrams; knows who is there.
+    """Sends and receives heartbeats, and keeps track of the peers.
 
-    :param make_heartbeat: makes the datagram to send.
-    :param on_heartbeat: called with each datagram of a peer.
+    :param make_heartbeat: makes the heartbeat to send; the sequence number
+        and the relay flag are filled in here.
+    :param on_heartbeat: called with the peer after each of its heartbeats.
+    :param own_address: address of this process as peers see it,
+        ``HOST:PORT``.
     :param domain: failure domain of this process.
     """
 
@@ -84,7 +96,7 @@
     ) -> None:
         self._domain = domain
         self._urgent = False
-        #: When each other domain was told last.
+        #: When this process last sent to each other domain.
         self._other_domain_sent_at: dict[str, clock_lib.Instant] = {}
         self._other_domain_turn = 0
         self._make_heartbeat = make_heartbeat
@@ -97,30 +109,30 @@
         self._sequence = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the socket."""
-        # asyncio's own class is no subclass of the one that it documents.
+        """Start to send over ``transport``; called by asyncio."""
+        # asyncio's actual transport class is not a DatagramTransport.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a datagram; a malformed one is dropped."""
+        """Handle a datagram, or drop it if malformed; called by asyncio."""
         try:
-            got = messages.decode_datagram(data)
+            message = messages.decode_datagram(data)
         except (cbor2.CBORDecodeError, msgspec.ValidationError) as exc:
             logging.warning(
-                "bad datagram", extra={"peer": addr[0], "why": str(exc)}
+                "malformed heartbeat", extra={"peer": addr[0], "why": str(exc)}
             )
             return
-        if isinstance(got, messages.RelayedHeartbeat):
-            if got.origin != self._own_address:
-                self._update(got.origin, got.heartbeat)
+        if isinstance(message, messages.RelayedHeartbeat):
+            if message.origin != self._own_address:
+                self._update(message.origin, message.heartbeat)
             return
         origin = f"{addr[0]}:{addr[1]}"
-        self._update(origin, got)
-        if got.relay:
-            self._relay(messages.RelayedHeartbeat(origin, got))
+        self._update(origin, message)
+        if message.relay:
+            self._relay(messages.RelayedHeartbeat(origin, message))
 
     def _relay(self, relayed: messages.RelayedHeartbeat) -> None:
-        """Tell the peers of this domain what one of another has sent."""
+        """Send a heartbeat of another domain to the peers of this one."""
         data = messages.encode(relayed)
         for peer in self._peers.values():
             if peer.domain == self._domain:
@@ -140,7 +152,7 @@
             return
         if not same:
             logging.info(
-                "peer",
+                "new peer",
                 extra={"peer": heartbeat.node, "domain": heartbeat.domain},
             )
             self._send_requested.set()
@@ -151,28 +163,28 @@
         self._on_heartbeat(peer)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore what comes back of a datagram to a host that is gone."""
-        logging.debug("datagram came back", extra={"why": str(exc)})
+        """Ignore an ICMP error, as from a host that is gone."""
+        logging.debug("heartbeat not delivered", extra={"why": str(exc)})
 
     def add(self, address: str) -> None:
-        """Note an address where a peer may be."""
+        """Add an address, ``HOST:PORT``, at which there may be a peer."""
         self._add(address)
 
     def schedule_send(self, *, urgent: bool = False) -> None:
-        """Note that there is news to tell soon.
+        """Request a heartbeat as soon as the minimum interval allows.
 
-        :param urgent: whether other failure domains must hear of it as
-            soon as this one.
+        :param urgent: whether to send it to all processes of other failure
+            domains too, without a relay.
         """
         self._urgent = self._urgent or urgent
         self._send_requested.set()
 
     def count(self) -> int:
-        """Return how many peers may exist, heard lately or not."""
+        """Return how many addresses of peers are known, live or not."""
         return len(self._peers)
 
     def live(self, within: datetime.timedelta = _LIVE_TIMEOUT) -> list[Peer]:
-        """Return the peers that were heard lately."""
+        """Return the peers that sent a heartbeat within a time."""
         now = self._clock.monotonic()
         return [
             peer
@@ -181,7 +193,7 @@
         ]
 
     async def run(self) -> None:
-        """Tell all peers again and again until cancelled."""
+        """Send heartbeats until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(
@@ -189,26 +201,28 @@
                 ):
                     await self._send_requested.wait()
             except TimeoutError:
-                self._drop_silent()
+                self._forget_silent()
             self._send_requested.clear()
             self.send_due()
             await asyncio.sleep(_MIN_SEND_INTERVAL.total_seconds())
 
     def send_now(self) -> None:
-        """Tell all peers at once; used for the last words."""
+        """Send a heartbeat to all peers at once, as at shutdown."""
         self._urgent = True
         self.send_due()
 
     def send_due(self) -> None:
-        """Tell each peer that is to hear something now."""
+        """Send a heartbeat to each peer that is due for one."""
         if self._transport is None:
             return
-        names = list(self._peers)
+        addresses = list(self._peers)
         self._sequence += 1
-        start = self._sequence % max(1, len(names))
-        known = (names[start:] + names[:start])[:_MAX_ADDRESSES]
-        told = self._make_heartbeat(known if self._sequence % 8 == 0 else [])
-        heartbeat = msgspec.structs.replace(told, sequence=self._sequence)
+        start = self._sequence % max(1, len(addresses))
+        known = (addresses[start:] + addresses[:start])[:_MAX_ADDRESSES]
+        heartbeat = self._make_heartbeat(
+            known if self._sequence % 8 == 0 else []
+        )
+        heartbeat = msgspec.structs.replace(heartbeat, sequence=self._sequence)
         data = messages.encode(heartbeat)
         for peer in self._peers.values():
             if self._urgent or peer.domain in (None, self._domain):
@@ -219,10 +233,10 @@
         )
 
     def _send_to_other_domains(self, heartbeat: messages.Heartbeat) -> None:
-        """Tell one peer of each other domain that is due, by turns."""
+        """Send to one peer of each other domain that is due, in turn."""
         now = self._clock.monotonic()
-        # Without a live peer in a domain any is told: who waits to be told
-        # first would wait for ever after a cut.
+        # In a domain without a live peer any peer will do: if both domains
+        # waited to hear first, they would stay apart after a partition.
         by_domain = self._by_other_domain(self._peers.values())
         by_domain.update(self._by_other_domain(self.live(_RELAY_TIMEOUT)))
         due = [domain for domain in by_domain if self._is_due(domain, now)]
@@ -236,12 +250,12 @@
             self._send_to(peers[self._other_domain_turn % len(peers)], data)
 
     def _is_due(self, domain: str, now: clock_lib.Instant) -> bool:
-        """Tell whether another domain is to hear from this process again."""
+        """Tell whether it is time to send to another domain again."""
         last = self._other_domain_sent_at.get(domain)
         return last is None or now - last >= _OTHER_DOMAIN_SEND_INTERVAL
 
     def _by_other_domain(self, peers: Iterable[Peer]) -> dict[str, list[Peer]]:
-        """Return the peers of other failure domains, by domain."""
+        """Return those peers that are of other failure domains, by domain."""
         found: dict[str, list[Peer]] = {}
         for peer in peers:
             if peer.domain is not None and peer.domain != self._domain:
@@ -262,7 +276,7 @@
             self._peers[address] = peer
         return peer
 
-    def _drop_silent(self) -> None:
+    def _forget_silent(self) -> None:
         now = self._clock.monotonic()
         for address, peer in list(self._peers.items()):
             if now - (peer.heard_at or peer.added_at) > _FORGET_TIMEOUT:
@@ -270,7 +284,11 @@
 
 
 def node_addresses(records: list[bytes]) -> list[str]:
-    """Return the addresses in the records by which processes register."""
+    """Return the addresses in registration records.
+
+    :param records: values of the store's topic of edge processes, each
+        ``HOST:PORT`` in ASCII; others are skipped.
+    """
     found = []
     for record in records:
         text = record.decode("ascii", "replace")
--- a/src/lugcross/edge/state_transfer.py
+++ b/src/lugcross/edge/state_transfer.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Asking a peer what it knows beyond one's own, over a WebSocket."""
+"""Transfer of state between edge processes, over a WebSocket."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,17 +14,17 @@
 
 from lugcross.edge import messages
 
-#: Longest wait for a peer's answer, in seconds.
+#: Longest wait for a peer's response, connecting included.
 REQUEST_TIMEOUT_S = 1.0
-#: Largest answer of a peer, in bytes: a large desired state.
+#: Largest response that is accepted; it must hold a large desired state.
 _MAX_RESPONSE_BYTES = 16 * 1_048_576
 
 
 @final
 class StateServer:
-    """Answers peers that ask for newer state.
+    """Serves the state requests of peers.
 
-    :param respond: what is newer than a question names.
+    :param respond: returns the response to a request.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._server: ws_server.Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server = await ws_server.serve(
             self._serve, host, port, max_size=4096, compression=None
         )
@@ -48,20 +48,25 @@
     async def _serve(self, conn: ws_server.ServerConnection) -> None:
         try:
             async for frame in conn:
-                state = self._respond(messages.decode_state_request(frame))
-                await conn.send(messages.encode(state))
+                response = self._respond(messages.decode_state_request(frame))
+                await conn.send(messages.encode(response))
         except (
             cbor2.CBORDecodeError,
             msgspec.ValidationError,
             ws_exceptions.ConnectionClosed,
         ) as exc:
-            logging.warning("bad question", extra={"why": str(exc)})
+            logging.warning(
+                "state request from peer failed", extra={"why": str(exc)}
+            )
 
 
 async def request_state(
     host: str, port: int, req: messages.StateRequest
 ) -> messages.StateResponse | None:
-    """Return what a peer knows beyond ``req``; none if it is away."""
+    """Request newer state from a peer.
+
+    :returns: its response; none if there is no valid one in time.
+    """
     try:
         async with asyncio.timeout(REQUEST_TIMEOUT_S):
             async with ws_client.connect(
