--- a/src/lugcross/edge/desired_history.py
+++ b/src/lugcross/edge/desired_history.py
@@ -1,21 +1,23 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Records of the desired state that are kept to answer peers."""
+"""Recent desired-state records, kept to send patches to peers."""
 
 import collections
 from typing import final
 
 from lugcross.edge import patches
 
-#: Versions kept: a peer that is further behind gets the whole.
+#: Number of records kept; a peer that is further behind gets a whole record.
 _MAX_VERSIONS = 8
-#: Bytes of all that are kept, but for the newest: a small part of the
-#: memory of a small host.
+#: Total size of the records kept, without the newest: small on any host.
 _MAX_OLD_BYTES = 4 * 1_048_576
 
 
 @final
 class DesiredHistory:
-    """The newest records of the desired state, and what leads to the last."""
+    """The newest desired-state records, and patches to the newest of them.
+
+    :ivar newest: the record in force; empty while there is none.
+    """
 
     def __init__(self) -> None:
         self._records: collections.OrderedDict[bytes, bytes] = (
@@ -27,11 +29,11 @@
 
     @property
     def digest(self) -> bytes:
-        """Digest of the newest; empty while there is none."""
+        """Digest of the newest record; empty while there is none."""
         return next(reversed(self._records), b"")
 
     def add(self, record: bytes) -> None:
-        """Take over the record that is in force from now on."""
+        """Add the record that is in force from now on."""
         self.newest = record
         self._records[patches.digest(record)] = record
         self._compressed = b""
@@ -44,16 +46,16 @@
         return len(self._records) > _MAX_VERSIONS or size > _MAX_OLD_BYTES
 
     def compressed(self) -> bytes:
-        """Return the newest record in fewer bytes; made once."""
+        """Return the newest record compressed; the result is cached."""
         if not self._compressed:
             self._compressed = patches.compress(self.newest)
         return self._compressed
 
     def patch(self, digest: bytes) -> patches.Patch | None:
-        """Return what leads to the newest record; made once for each base.
+        """Return the patch from a base to the newest record; cached.
 
-        :param digest: of the base.
-        :returns: none if the base is not known.
+        :param digest: digest of the base.
+        :returns: none if the base is no longer kept.
         """
         base = self._records.get(digest)
         if base is None:
--- a/src/lugcross/edge/patches.py
+++ b/src/lugcross/edge/patches.py
@@ -1,8 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What has changed between two versions of the desired state's record.
+"""Patches between two versions of the desired-state record.
 
-A record holds all routes, some hundred kilobytes of them, and a change moves
-a few. A peer that has one version needs only the parts that are new to it.
+A record holds all routes, up to some hundred kilobytes, while a change affects
+only a few. A peer that has an earlier version needs only the changed parts.
+
+Records are split after each JSON object; a patch copies ranges of these parts
+from the earlier record (the base) and inserts new bytes between them.
 """
 
 from collections.abc import Sequence
@@ -14,23 +17,23 @@
 
 from lugcross import errors
 
-#: Ends of the parts that a record is cut into: those of its objects.
+#: Records are split into parts after each of these bytes.
 _PART_END = b"}"
-#: Bytes of a digest: two records of a few thousand never have the same.
+#: Size of a digest; a collision among a few thousand records is negligible.
 _DIGEST_BYTES = 8
-#: Of zlib: the fastest; the others save a tenth more for thrice the time.
+#: zlib's fastest level; higher ones save little and take much longer.
 _COMPRESSION_LEVEL = 1
-#: Largest record that is taken from a peer, in bytes.
+#: Largest decompressed record that is accepted from a peer.
 MAX_RECORD_BYTES = 16 * 1_048_576
 
 
 @final
 class Splice(msgspec.Struct, frozen=True, array_like=True):
-    """Parts of the base that follow each other, then parts of their own.
+    """A range of parts of the base, followed by inserted bytes.
 
-    :param start: first part of the base.
-    :param count: how many of them.
-    :param inserted: bytes that follow them.
+    :param start: index of the first part.
+    :param count: number of parts.
+    :param inserted: bytes to insert after them.
     """
 
     start: int
@@ -40,9 +43,10 @@
 
 @final
 class Patch(msgspec.Struct, frozen=True, array_like=True):
-    """How a record follows from one that the receiver has.
+    """Instructions to construct a record from a base.
 
-    :param digest: of the record that comes out.
+    :param digest: digest of the constructed record.
+    :param splices: its content, in order.
     """
 
     digest: bytes
@@ -50,29 +54,29 @@
 
 
 class PatchError(errors.LugcrossError):
-    """What a peer sent does not lead to a whole record."""
+    """A record that a peer sent is corrupt, or a patch does not fit."""
 
 
 def digest(record: bytes) -> bytes:
-    """Return what tells one record from another."""
+    """Return the digest by which a record is identified."""
     return hashlib.blake2b(record, digest_size=_DIGEST_BYTES).digest()
 
 
 def make(base: bytes, record: bytes) -> Patch:
-    """Return the patch that makes ``record`` of ``base``."""
+    """Return the patch that turns ``base`` into ``record``."""
     old, new = _parts(base), _parts(record)
-    part_positions: dict[bytes, int] = {}
+    part_indexes: dict[bytes, int] = {}
     for num, part in enumerate(old):
-        part_positions.setdefault(part, num)
+        part_indexes.setdefault(part, num)
     splices: list[Splice] = []
     start = count = 0
     inserted: list[bytes] = []
     for part in new:
-        follows = start + count
-        if not inserted and follows < len(old) and old[follows] == part:
+        next_index = start + count
+        if not inserted and next_index < len(old) and old[next_index] == part:
             count += 1
             continue
-        found = part_positions.get(part)
+        found = part_indexes.get(part)
         if found is None:
             inserted.append(part)
             continue
@@ -83,32 +87,33 @@
 
 
 def apply(base: bytes, patch: Patch) -> bytes:
-    """Return the record that follows from ``base``.
+    """Return the record that a patch makes from ``base``.
 
-    :raises PatchError: when that is not what the patch was made for.
+    :raises PatchError: if the patch was made for another base or is corrupt.
     """
     old = _parts(base)
     found: list[bytes] = []
     for splice in patch.splices:
         if splice.start < 0 or splice.count < 0:
-            raise _patch_error("a part before the first")
+            raise _patch_error("negative start or count")
         found.extend(old[splice.start : splice.start + splice.count])
         found.append(splice.inserted)
     record = b"".join(found)
     if digest(record) != patch.digest:
-        raise _patch_error("another record comes out")
+        raise _patch_error("digest mismatch")
     return record
 
 
 def compress(record: bytes) -> bytes:
-    """Return a record in fewer bytes; nothing stays nothing."""
+    """Return a record compressed; empty if it is empty."""
     return zlib.compress(record, _COMPRESSION_LEVEL) if record else b""
 
 
 def decompress(data: bytes) -> bytes:
-    """Return a record that was packed.
+    """Return the record that :func:`compress` made ``data`` from.
 
-    :raises PatchError: when it is none, or larger than any may be.
+    :raises PatchError: if the data is corrupt, truncated, or the record larger
+        than :data:`MAX_RECORD_BYTES`.
     """
     if not data:
         return b""
@@ -118,18 +123,18 @@
     except zlib.error as exc:
         raise _patch_error(str(exc)) from exc
     if not decompressor.eof:
-        raise _patch_error("cut short, or too large")
+        raise _patch_error(f"truncated, or over {MAX_RECORD_BYTES} bytes")
     return record
 
 
 def _parts(record: bytes) -> Sequence[bytes]:
-    """Cut a record after each object."""
+    """Return the parts of a record, each up to the end of a JSON object."""
     *whole, rest = record.split(_PART_END)
     return [*(part + _PART_END for part in whole), rest]
 
 
 def _patch_error(why: str) -> PatchError:
     return PatchError(
-        f"a peer's record cannot be put together ({why})",
-        remedy="nothing to do: the next question asks for the whole",
+        f"cannot reconstruct the record that a peer sent ({why})",
+        remedy="nothing to do: state will be requested again",
     )
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a process follows at the store, and how long its reads wait."""
+"""The topics that an edge process follows, and how long its reads wait."""
 
 from collections.abc import Callable
 import datetime
@@ -11,12 +11,13 @@
 from lugcross.edge import topic_follower
 from lugcross import platform
 
-#: Shortest time between two reads of the desired state, for storms.
+#: Shortest time between two reads of the desired state, which limits the rate
+#: of reads while it changes often.
 _DESIRED_MIN_INTERVAL = datetime.timedelta(milliseconds=100)
-#: Shortest time between two reads of the backend servers, as a part of the
-#: bound within which a leaving one must get nothing new. Many of them change
-#: one after the other when a service is released: at a bound of 4 s a read
-#: that waits was woken 2.5 times a second with 0.4 s, and 1.25 with this.
+#: Shortest time between two reads of the list of backend servers, as a
+#: fraction of the time for which a leaving one may be used. When a service is
+#: rolled out many of them change one after another; each change would
+#: otherwise wake a read.
 _BACKENDS_MIN_INTERVAL_RATIO = 0.2
 
 
@@ -27,7 +28,7 @@
 ) -> list[topic_follower.TopicFollower]:
     """Return the followers of the desired state and the backend servers.
 
-    Bounds are asked for at each read: settings may be read anew.
+    The bounds are looked up at each read, as settings can be reloaded.
     """
 
     def follower(
