--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Follows the store: the desired state and the list of backend servers."""
+"""Followers of topics in the store, and the health of the store."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,20 +15,22 @@
 from lugcross import platform
 from lugcross import positions
 
-#: Wait after a call that failed; twice as long after each further one.
+#: Wait after a failed call; doubled after each further one.
 _RETRY_INITIAL_S = 0.1
-#: Longest wait after a failed call: half of the shortest bound on news, so
-#: that a store that is back is found in time.
+#: Longest wait after a failed call. It is well below the time within which a
+#: change must be applied, so that the end of an outage is noticed early.
 _RETRY_MAX_S = 1.0
-#: Of a read that asks whether the store answers at all.
 _NO_WAIT = datetime.timedelta()
-#: Time between two looks whether reading is needed again, in seconds.
+#: Time between two checks whether to resume or restart reading.
 _CHECK_INTERVAL_S = 0.25
 
 
 @final
 class StoreHealth:
-    """When the store last failed to answer this process."""
+    """Outcome of this process's calls to the store.
+
+    :ivar failure_reason: why the newest call failed; empty if it did not.
+    """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
@@ -41,17 +43,17 @@
         return bool(self.failure_reason)
 
     def record_failure(self, why: str) -> None:
-        """Note a call that failed."""
+        """Record a call that failed."""
         if not self.failure_reason:
-            logging.warning("store lost", extra={"why": why})
+            logging.warning("store unavailable", extra={"why": why})
         self.failure_reason = why
         self._last_failure = self._clock.monotonic()
 
     def record_success(self) -> None:
-        """Note a call that was answered."""
+        """Record a call that the store answered."""
         if self.failure_reason:
             logging.info(
-                "store regained", extra={"after": self.failure_reason}
+                "store available again", extra={"after": self.failure_reason}
             )
         self.failure_reason = ""
 
@@ -62,20 +64,22 @@
         return self._clock.monotonic() - self._last_failure < period
 
 
-#: Takes over what was read; the flag tells that it is the newest of all
-#: keys and not a continuation.
+#: Called with the result of a read; the flag is true for a snapshot, which has
+#: the newest record of every key, and false for the records since the last
+#: read.
 ReadHandler = Callable[[platform.ReadResult, bool], None]
 
 
 @final
 class TopicFollower:
-    """Reads one topic again and again.
-
-    :param min_interval: shortest time between two reads.
-    :param poll_wait: how long the next read waits for news at the store.
-    :param should_restart_read: whether to abandon a read that still waits and
-        send it again on a new connection.
-    :param on_answer: called with each answer.
+    """Follows one topic of the store by long polling.
+
+    :param min_interval: returns the shortest time between two reads.
+    :param poll_wait: returns how long the next read may wait at the store for
+        new records.
+    :param should_restart_read: whether to abandon a read that still waits, and
+        read on a new connection instead.
+    :param on_answer: called after each read that the store answered.
     :param should_pause: whether peers read the topic for this process.
     """
 
@@ -106,7 +110,7 @@
 
     async def run(self) -> None:
         """Follow the topic until cancelled."""
-        retry = _RETRY_INITIAL_S
+        retry_wait_s = _RETRY_INITIAL_S
         while True:
             if self._next_position is not None and self._should_pause():
                 await asyncio.sleep(_CHECK_INTERVAL_S)
@@ -116,21 +120,22 @@
                 self._last_read_answered = True
                 self._on_answer()
                 self._store_health.record_success()
-                retry = _RETRY_INITIAL_S
+                retry_wait_s = _RETRY_INITIAL_S
                 await asyncio.sleep(self._min_interval().total_seconds())
             except errors.OffsetExpiredError:
-                # The history is gone; the newest of each key stays.
+                # The store no longer has the records since then, or has a
+                # new era: read a snapshot.
                 self._next_position = None
             except errors.LogUnavailableError as exc:
                 self._last_read_answered = False
                 self._store_health.record_failure(str(exc))
                 logging.info(
-                    "read failed",
+                    "store read failed",
                     extra={"topic": self._topic, "why": str(exc)},
                 )
-                # Jitter keeps all processes from returning at once.
-                await asyncio.sleep(retry * random.uniform(0.5, 1.0))
-                retry = min(2 * retry, _RETRY_MAX_S)
+                # Jitter keeps the processes from retrying all at once.
+                await asyncio.sleep(retry_wait_s * random.uniform(0.5, 1.0))
+                retry_wait_s = min(2 * retry_wait_s, _RETRY_MAX_S)
 
     async def _read(self) -> None:
         if self._next_position is None:
@@ -147,8 +152,8 @@
         self, start: positions.Position
     ) -> platform.ReadResult:
         if not self._last_read_answered:
-            # A read that waits for news and was sent into an outage would
-            # hang past its end, and keep the process from what is new.
+            # A long poll that is sent during an outage would hang past its
+            # end and keep this process from newer state.
             return await self._store.read_from(
                 self._topic, start, wait=_NO_WAIT
             )
@@ -174,14 +179,14 @@
     async def _wait_briefly_for(
         self, read: asyncio.Task[platform.ReadResult]
     ) -> bool:
-        """Wait for a read until the next look; tell whether it has ended."""
+        """Wait for a read until the next check; return whether it ended."""
         done, _ = await asyncio.wait([read], timeout=_CHECK_INTERVAL_S)
         return bool(done)
 
     async def _read_without_wait(
         self, start: positions.Position
     ) -> platform.ReadResult:
-        """Read what is there now, on a new connection."""
-        logging.info("read made anew", extra={"topic": self._topic})
+        """Read on a new connection, without waiting for new records."""
+        logging.info("store read restarted", extra={"topic": self._topic})
         self._store.close()
         return await self._store.read_from(self._topic, start, wait=_NO_WAIT)
--- a/src/lugcross/observe/request_timeline.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -32,14 +32,14 @@
         "settings read anew",
         "started",
         "stop asked",
-        "store lost",
-        "store regained",
+        "store unavailable",
+        "store available again",
     }
 )
 #: Messages that replace each other: the later of them is what holds.
 _SUPERSEDES = {
     "group opened": "group broken",
-    "store regained": "store lost",
+    "store available again": "store unavailable",
 }
 #: Fields that stand in each line's own columns.
 _COLUMN_FIELDS = frozenset({"at", "node", "level", "module", "message"})
--- a/testing/observe/test_request_timeline.py
+++ b/testing/observe/test_request_timeline.py
@@ -17,8 +17,8 @@
 LOG = [
     _line_text(1.0, "n1", "desired state", version=3),
     _line_text(2.0, "n1", "desired state", version=4),
-    _line_text(2.5, "n1", "store lost", why="busy"),
-    _line_text(2.6, "n1", "store regained", after=0.1),
+    _line_text(2.5, "n1", "store unavailable", why="busy"),
+    _line_text(2.6, "n1", "store available again", after=0.1),
     _line_text(2.7, "n2", "group broken", group="g"),
     _line_text(3.0, "n1", "attempt ended", request="r1", event="not-run"),
     _line_text(3.1, "n1", "group broken", group="g"),
@@ -37,7 +37,7 @@
 def test_timeline_holds_own_lines_and_the_state_of_their_process() -> None:
     assert _timeline(LOG, "r1") == [
         (2.0, "desired state"),
-        (2.6, "store regained"),
+        (2.6, "store available again"),
         (3.0, "attempt ended"),
         (3.1, "group broken"),
         (3.2, "refused"),
