--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where a process's knowledge comes from: the store, and peers."""
+"""Keeps a process's state up to date from the store and from peers."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,35 +32,41 @@
 from lugcross import platform
 from lugcross import positions
 
-#: Silence after which a process that looked after expert maps is taken as
-#: gone; two of its heartbeats, so that a dead one's pass is not held long.
+#: Silence after which a peer no longer counts as the leader for expert maps or
+#: as a reader of the store: two heartbeats, so that another takes over soon.
 _ACTIVE_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
-#: Silence after which a holder of the lease is taken as gone: under load
-#: processes tell each other every 50 ms, and at least every half second.
-#: Who is wrong calls the store for nothing, and leaves a renewed lease.
+#: Silence after which a peer that holds the lease counts as dead. Heartbeats
+#: come at least every 500 ms, and every 50 ms under load. If the peer is alive
+#: after all, this process reads the store in vain and finds the lease renewed.
 _LEASE_HOLDER_TIMEOUT = datetime.timedelta(milliseconds=600)
-#: Time after a start in which a process leaves the duty to others: it has
-#: not heard of all of them yet. A lease needs no such time: one process
-#: gets it, whoever else tries.
+#: Time after a start for which this process does not become the leader without
+#: a lease, as it has not heard from all peers yet. With a lease no such delay
+#: is needed: only one process can get it.
 _LEADER_START_DELAY = datetime.timedelta(seconds=2)
-#: Age of the oldest copy that the store is expected to come back from; what
-#: was written before stands in it.
+#: Greatest age of a copy that the store may come back from; whatever was
+#: written earlier is in the copy.
 _MAX_STORE_COPY_AGE = datetime.timedelta(seconds=60)
-#: Time after a start in which peers are listened to before the desired state
-#: that the store tells counts: many round trips, well within what a start
-#: takes.
+#: Time after a start for which this process waits for heartbeats before it
+#: adopts the store's desired state: a peer may have a newer one. It is many
+#: round trips, and short compared with a start.
 _INITIAL_LISTEN_TIME = datetime.timedelta(milliseconds=250)
-#: Time after a start for which a newer one is waited for that a peer has:
-#: two of them are asked within it.
+#: Time after a start for which this process waits to get a newer desired state
+#: from a peer that has one; long enough to ask two peers.
 _INITIAL_WAIT_FOR_NEWER = datetime.timedelta(seconds=1.5)
-#: Time between two looks meanwhile, in seconds.
+#: Time between two checks meanwhile.
 _INITIAL_CHECK_INTERVAL_S = 0.02
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
 class StateSync:
-    """Puts what the store and the peers tell into the edge_state."""
+    """Updates the edge state from the store and from peers.
+
+    It also sends this process's heartbeats, serves the state requests of peers
+    and tells which process reads the store or leads map switches.
+
+    Attributes that hold functions are set by the owner before :meth:`run`.
+    """
 
     def __init__(
         self,
@@ -80,23 +86,24 @@
         self._clock = clock
         self._started_at = clock.monotonic()
         self._started_ms = int(clock.now().timestamp() * 1000)
-        #: Whether this process cannot look after expert maps for now.
+        #: Returns whether this process cannot be the leader for expert maps.
         self.is_unfit_to_lead: Callable[[], bool] = lambda: False
-        #: Number of this process's lease of expert maps, if it has one.
+        #: Returns the generation of this process's lease, if it has one.
         self.lease_generation: Callable[[], experts.Generation | None] = (
             lambda: None
         )
-        #: Whether the store answers this process about the lease.
+        #: Returns whether the store answers this process about the lease.
         self.can_claim_lease: Callable[[], bool] = lambda: True
-        #: Called with the number of a peer's lease.
+        #: Called with the generation of a peer's lease; 0 without one.
         self.on_peer_generation: Callable[[experts.Generation], None] = (
             lambda number: None
         )
-        #: Backend servers that this process has seen in broken groups.
+        #: Returns the backend servers that this process saw in broken groups.
         self.seen_broken_backends: Callable[[], list[desired.BackendKey]] = (
             list
         )
-        #: Backend servers that this process knows to hold their groups back.
+        #: Returns the backend servers that slow down their groups, as seen by
+        #: this process.
         self.seen_slow_backends: Callable[[], list[desired.BackendKey]] = list
         registry = edge_state.crash_tracker.registry
         self._suspect_gossip = suspect_gossip.SuspectGossip(registry, clock)
@@ -105,10 +112,10 @@
         )
         edge_state.crash_tracker.on_refused = self._suspect_store.save
         store.on_new_era = self._on_new_era
-        #: The desired state that the store told first, until it is sure that
-        #: no peer has a newer one.
+        #: Record of the desired state from the store that is not adopted yet,
+        #: as a peer may have a newer one; empty without one.
         self._initial_desired: bytes = b""
-        #: Newest era of the store that this process has acted on.
+        #: Newest era of the store that this process has handled.
         self._era: positions.Era | None = None
         self.store_health = topic_follower.StoreHealth(clock)
         self.store_contact = store_contact.StoreContact(clock)
@@ -144,7 +151,7 @@
         self._state_server = state_transfer.StateServer(self.peer_sync.respond)
 
     async def start(self) -> None:
-        """Listen for peers."""
+        """Start to listen for heartbeats and state requests of peers."""
         await self._state_server.start(
             *address.split_host_port(self._settings.listen.state)
         )
@@ -154,11 +161,15 @@
             lambda: self.peers, local_addr=(host, port)
         )
         for seed in self._settings.seeds:
-            # Ports are the same on all machines.
+            # All processes use the same port for heartbeats.
             self.peers.add(f"{address.split_host_port(seed)[0]}:{port}")
 
     async def run(self) -> None:
-        """Register, and ask peers whenever the store does not answer."""
+        """Register and keep in sync with peers until cancelled.
+
+        Topics of the store are followed separately, by the followers of
+        :mod:`lugcross.edge.store_followers`.
+        """
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.peers.run())
             tasks.create_task(self._registration.run())
@@ -167,56 +178,59 @@
             tasks.create_task(self._suspect_store.run())
 
     def leave(self) -> None:
-        """Tell the peers that this process is being stopped."""
+        """Tell the peers that this process is shutting down."""
         self._leaving = True
         self.peers.schedule_send(urgent=True)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Send a last heartbeat and stop listening for state requests."""
         self.peers.send_now()
         self._state_server.close()
 
     @property
     def incarnation(self) -> str:
-        """Drawn anew at each start of a process."""
+        """Random token that identifies this run of the process."""
         return self._incarnation
 
     def is_eligible(self) -> bool:
-        """Tell whether this process may look after expert maps."""
+        """Return whether this process may be the leader for expert maps."""
         return not self._leaving and not self.is_unfit_to_lead()
 
     def is_first_candidate(self) -> bool:
-        """Tell whether it runs longest of those that may.
+        """Return whether this process started first of those that may lead.
 
-        Where a lease is needed, one that the store turns away cannot get
-        it, and nobody waits for it.
+        Where a lease is needed, processes that the store does not answer are
+        left out, as they cannot get it.
         """
         leased = self._edge_state.bounds.fenced
         age = self._clock.monotonic() - self._started_at
         if age < _LEADER_START_DELAY and not leased:
             return False
         timeout = _LEASE_HOLDER_TIMEOUT if leased else _ACTIVE_PEER_TIMEOUT
-        claims = [
+        candidates = [
             experts.Candidate(heartbeat.started_ms, heartbeat.incarnation)
             for heartbeat in self._live_heartbeats(timeout)
             if heartbeat.started_ms and (heartbeat.reads_store or not leased)
         ]
         own = experts.Candidate(self._started_ms, self._incarnation)
-        return experts.elect_leader([*claims, own]) == own
+        return experts.elect_leader([*candidates, own]) == own
 
     def lease_held_by_peer(self) -> bool:
-        """Tell whether a live peer has the lease of expert maps."""
+        """Return whether a live peer has the lease on expert maps."""
         heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
         return any(heartbeat.lease_generation for heartbeat in heartbeats)
 
     def leaves_store_to_peers(self) -> bool:
-        """Tell whether peers of this domain ask the store for this one."""
+        """Return whether peers of this domain read the store for this one."""
         return not store_readers.reads_store(
             self._reader(), self._other_readers()
         )
 
     def reader_index(self) -> int:
-        """Return how many processes ask the store before this one."""
+        """Return this process's index among those that read the store.
+
+        The reader with index 0 polls it most often.
+        """
         return store_readers.reader_position(
             self._reader(), self._other_readers()
         )
@@ -239,7 +253,7 @@
     def _live_heartbeats(
         self, timeout: datetime.timedelta
     ) -> list[messages.Heartbeat]:
-        """Return the newest news of peers that may have the duty."""
+        """Return the newest heartbeats of live peers that are not leaving."""
         return [
             peer.heartbeat
             for peer in self.peers.live(timeout)
@@ -249,7 +263,7 @@
     def apply_desired(
         self, result: platform.ReadResult, is_snapshot: bool
     ) -> None:
-        """Take over records of the operator."""
+        """Apply records of the operator's topic: the desired state."""
         del is_snapshot
         for record in result.records:
             if record.key != platform.DESIRED_STATE_KEY or not record.value:
@@ -265,7 +279,10 @@
     def apply_backends(
         self, result: platform.ReadResult, is_snapshot: bool
     ) -> None:
-        """Take over records of backend servers."""
+        """Apply records of the list of backend servers.
+
+        :param is_snapshot: whether ``result`` replaces the whole list.
+        """
         recovery = self._edge_state.bounds.store_recovery_time
         away = self.store_health.failed_within(recovery)
         if is_snapshot:
@@ -276,23 +293,28 @@
             self.peers.schedule_send()
 
     def _checked(self, record: bytes) -> bytes:
-        """Return a record of the desired state if it can be read."""
+        """Return a desired-state record, or the earlier one if invalid."""
         try:
             platform.decode_desired(record)
         except errors.ChangeError as exc:
-            logging.error("desired state kept out", extra={"why": str(exc)})
+            logging.error(
+                "invalid desired state ignored", extra={"why": str(exc)}
+            )
             return self._initial_desired
         return record
 
     def _adopt(self, record: bytes, *, urgent: bool) -> None:
-        """Put a desired state in force.
+        """Adopt a desired state unless it is invalid or not newer.
 
-        :param urgent: whether nobody else may know of it yet.
+        :param urgent: whether to tell other failure domains at once, as no
+            peer may have it yet.
         """
         try:
             state = platform.decode_desired(record)
         except errors.ChangeError as exc:
-            logging.error("desired state kept out", extra={"why": str(exc)})
+            logging.error(
+                "invalid desired state ignored", extra={"why": str(exc)}
+            )
             return
         if self._edge_state.adopt(state, record):
             self.peers.schedule_send(urgent=urgent)
@@ -329,7 +351,10 @@
         )
 
     def _store_answer_age_ms(self, topic: str) -> int:
-        """Return how long ago the store answered; -1 if too long ago."""
+        """Return the age of the store's last answer in milliseconds.
+
+        :returns: -1 if it has never answered, or too long ago to report.
+        """
         age = self.store_contact.own_answer_age(topic)
         if age is None or age > messages.MAX_AGE_MS * _MS:
             return -1
@@ -344,9 +369,9 @@
             for key, count in heartbeat.running_requests.items()
         }
         self._on_peer_era(positions.Position(heartbeat.backends_end))
-        near = heartbeat.domain == self._settings.domain
+        same_domain = heartbeat.domain == self._settings.domain
         self._edge_state.loads.record_peer_requests(
-            heartbeat.node, running, same_domain=near
+            heartbeat.node, running, same_domain=same_domain
         )
         self._edge_state.workspace_usage.apply_peer_counts(
             heartbeat.node, heartbeat.workspace_uses
@@ -375,15 +400,18 @@
                 self.store_contact.record_peer_answer(topic, age_ms * _MS)
 
     def _on_new_era(self, era: positions.Era, before: positions.Era) -> None:
-        """Have written again what the store may have lost of ours.
+        """Write again what the store may have lost.
 
-        It comes back from a copy some seconds old: what stood there for long
-        is in it, so that few processes call.
+        The store has come back from an older copy, which lacks the newest
+        records. Only processes that wrote lately write again, so that not all
+        call the store at once.
         """
         if era <= (self._era or 0):
             return
         self._era = era
-        logging.warning("store is a copy", extra={"era": era, "was": before})
+        logging.warning(
+            "store restored from older copy", extra={"era": era, "was": before}
+        )
         self._edge_state.metrics.count_store_copy()
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
         self._registration.repeat_if_done_since(since)
@@ -391,7 +419,10 @@
             self._suspect_store.save_changed_since(since)
 
     def _on_peer_era(self, end: positions.Position) -> None:
-        """Note the era of a peer's news; few processes ask the store."""
+        """Handle the era in a peer's heartbeat.
+
+        A process that does not read the store learns of a new era this way.
+        """
         era = positions.era(end)
         known = max(self._era or 0, self._store.era)
         if self._era is None:
@@ -400,10 +431,10 @@
             self._on_new_era(era, positions.Era(known))
 
     async def _adopt_initial_desired(self) -> None:
-        """Adopt what the store told first, unless a peer has a newer one.
+        """Adopt the store's desired state, unless a peer has a newer one.
 
-        The store may have come back from a copy a moment ago; who has heard
-        of a later version must not serve by an earlier one.
+        The store may just have come back from an older copy. A process that
+        learned from a peer of a newer version must not serve by an older one.
         """
         while not self._may_adopt_initial():
             await asyncio.sleep(_INITIAL_CHECK_INTERVAL_S)
@@ -411,6 +442,7 @@
             self._adopt(self._initial_desired, urgent=True)
 
     def _may_adopt_initial(self) -> bool:
+        """Return whether the store's desired state may be adopted now."""
         age = self._clock.monotonic() - self._started_at
         alone = not self.peers.count()
         if (
@@ -426,14 +458,14 @@
             (heartbeat.desired_version for heartbeat in heartbeats), default=0
         )
         if not newest:
-            # Nobody that was heard knows one; others may be heard yet.
+            # No peer heard so far has one; heartbeats of others may come.
             return bool(self._initial_desired) and age >= _INITIAL_LISTEN_TIME
         if not self._initial_desired:
             return False
         return newest <= platform.decode_desired(self._initial_desired).version
 
     def lag(self, topic: str) -> datetime.timedelta:
-        """Return since when this process knows of news that it lacks."""
+        """Return for how long this process has been behind in a topic."""
         own = {
             platform.OPERATOR_TOPIC: self._edge_state.version,
             platform.BACKENDS_TOPIC: int(self._edge_state.backends.end),
@@ -441,6 +473,6 @@
         return self._lags[topic].age(own[topic])
 
     def on_store_answer(self, topic: str) -> None:
-        """Note that the store has told all that it has of a topic."""
+        """Record that the store has answered a read of a topic."""
         self.store_contact.record_answer(topic)
         self._lags[topic].restart()
