--- a/src/lugcross/edge/suspect_gossip.py
+++ b/src/lugcross/edge/suspect_gossip.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What processes tell each other of requests that end servers.
+"""Exchange of crash suspects between edge processes, in heartbeats.
 
-What is new goes with each datagram for a while, so that a few lost ones do no
-harm; what gets requests refused goes again and again, some with each datagram,
-so that a process that has just started or was cut off learns of it.
+A record that has changed goes with each heartbeat for a while, so that a few
+lost datagrams do no harm. Records that may get a request refused are also
+repeated in rotation, a few with each heartbeat, for processes that have just
+started or were unreachable.
 """
 
 import datetime
@@ -14,21 +15,21 @@
 from lugcross import crash_suspects
 from lugcross.edge import messages
 
-#: How long a record is told with each datagram after it has changed: several
-#: heartbeats, well within the time in which it must be known everywhere.
-_NEW_RECORD_PERIOD = datetime.timedelta(seconds=2)
-#: New cases that one datagram tells: a server runs six at once as a rule, and
-#: each takes about 60 bytes.
-_MAX_NEW_RECORDS = 8
-#: Others that one datagram tells: of twenty that are refused, each is told
-#: anew within five seconds at rest, and sooner under load.
+#: How long a record goes with each heartbeat after it has changed: several
+#: heartbeats.
+_CHANGED_RECORD_PERIOD = datetime.timedelta(seconds=2)
+#: Changed records in one heartbeat: usually enough for all requests that ran
+#: at one server when it crashed. Each takes about 60 bytes.
+_MAX_CHANGED_RECORDS = 8
+#: Other records in one heartbeat: twenty refused requests are repeated within
+#: five seconds at the slowest rate of heartbeats.
 _MAX_ROTATED_RECORDS = 2
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
 class SuspectGossip:
-    """Tells and hears cases by a process's datagrams."""
+    """Selects the suspects to send in heartbeats and merges those of peers."""
 
     def __init__(
         self, registry: crash_suspects.SuspectRegistry, clock: clock_lib.Clock
@@ -38,39 +39,42 @@
         self._rotation_start = 0
 
     def next_suspects(self) -> list[messages.Suspect]:
-        """Return what the next datagram should tell."""
+        """Return the suspects to send with the next heartbeat."""
         if not len(self._registry):
             return []
         now = self._clock.monotonic()
         records = self._registry.records()
-        new = [
-            one for one in records if now - one.changed_at < _NEW_RECORD_PERIOD
-        ][:_MAX_NEW_RECORDS]
-        old = [
+        changed = [
             one
             for one in records
-            if one not in new
+            if now - one.changed_at < _CHANGED_RECORD_PERIOD
+        ][:_MAX_CHANGED_RECORDS]
+        refusable = [
+            one
+            for one in records
+            if one not in changed
             and len(one.crashes_since_cleared)
             >= crash_suspects.MIN_CRASHES_TO_REFUSE
         ]
-        start = self._rotation_start % len(old) if old else 0
+        start = self._rotation_start % len(refusable) if refusable else 0
         self._rotation_start = start + _MAX_ROTATED_RECORDS
         rotated = itertools.islice(
-            itertools.cycle(old), start, start + _MAX_ROTATED_RECORDS
+            itertools.cycle(refusable), start, start + _MAX_ROTATED_RECORDS
         )
-        told = {one.request: one for one in [*new, *rotated]}
-        return [to_message(one, now) for one in told.values()]
+        selected = {one.request: one for one in [*changed, *rotated]}
+        return [to_message(one, now) for one in selected.values()]
 
-    def merge(self, told: list[messages.Suspect]) -> None:
-        """Take over what a peer tells."""
+    def merge(self, suspects: list[messages.Suspect]) -> None:
+        """Merge the suspects of a peer's heartbeat into the registry."""
         now = self._clock.monotonic()
-        for one in told:
+        for one in suspects:
             self._registry.merge(from_message(one, now), now)
 
 
 def to_message(
     record: crash_suspects.SuspectRecord, now: clock_lib.Instant
 ) -> messages.Suspect:
+    """Return the message for a record, with ages as of ``now``."""
     return messages.Suspect(
         record.request,
         [_to_server_crash(one, now) for one in record.crashes],
@@ -79,9 +83,9 @@
 
 
 def from_message(
-    told: messages.Suspect, now: clock_lib.Instant
+    message: messages.Suspect, now: clock_lib.Instant
 ) -> crash_suspects.SuspectRecord:
-    """Return the case that was told at ``now``."""
+    """Return the record for a message that was written at ``now``."""
     crashes = tuple(
         crash_suspects.ServerCrash(
             one.server,
@@ -89,24 +93,26 @@
             now - one.age_ms * _MS,
             one.ran_for_ms * _MS,
         )
-        for one in told.crashes
+        for one in message.crashes
     )
     cleared = (
-        None if told.cleared_age_ms < 0 else now - told.cleared_age_ms * _MS
+        None
+        if message.cleared_age_ms < 0
+        else now - message.cleared_age_ms * _MS
     )
     return crash_suspects.SuspectRecord(
-        crash_suspects.Fingerprint(told.request), crashes, cleared
+        crash_suspects.Fingerprint(message.request), crashes, cleared
     )
 
 
 def _to_server_crash(
-    end: crash_suspects.ServerCrash, now: clock_lib.Instant
+    crash: crash_suspects.ServerCrash, now: clock_lib.Instant
 ) -> messages.ServerCrash:
     return messages.ServerCrash(
-        end.server,
-        end.software,
-        age_ms=_age_ms(end.crashed_at, now),
-        ran_for_ms=min(int(end.ran_for / _MS), messages.MAX_CRASH_AGE_MS),
+        crash.server,
+        crash.software,
+        age_ms=_age_ms(crash.crashed_at, now),
+        ran_for_ms=min(int(crash.ran_for / _MS), messages.MAX_CRASH_AGE_MS),
     )
 
 
--- a/src/lugcross/edge/suspect_store.py
+++ b/src/lugcross/edge/suspect_store.py
@@ -1,10 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the store keeps of requests that are refused.
+"""Crash suspects kept in the store.
 
-Processes tell each other all that they know, and whoever starts learns it from
-them. Where all lose power at once, nobody is left to ask: each time two more
-servers would end. So who finds that a request is to be refused writes that
-down, one record for each such request, and who starts reads them, once.
+Processes exchange suspects in heartbeats, and a process that starts learns
+them from its peers. If all processes lose power at once, that knowledge would
+be lost and each refused request could crash servers again. So a process that
+finds that a request is to be refused writes a record of it to the store, and
+each process reads these records once when it starts.
 """
 
 import asyncio
@@ -22,19 +23,18 @@
 from lugcross import errors
 from lugcross import platform
 
-#: Time between two tries while the store does not answer, in seconds: what
-#: is to be written down is known to all processes meanwhile, and each call
-#: has its price.
+#: Time between two attempts while the store does not answer. There is no
+#: hurry, as the peers have the record already, and each call is billed.
 _RETRY_INTERVAL_S = 2.0
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
 class _StoredSuspect(msgspec.Struct, frozen=True, array_like=True):
-    """One record.
+    """A suspect as it is stored.
 
-    :param written_ms: when, by the writer's time of day, in milliseconds
-        since 1970.
+    :param written_ms: when it was written, in milliseconds since 1970 by the
+        writer's clock.
     """
 
     suspect: messages.Suspect
@@ -43,7 +43,7 @@
 
 @final
 class SuspectStore:
-    """Writes cases down, and reads them at the start."""
+    """Writes refused suspects to the store, and reads them at the start."""
 
     def __init__(
         self,
@@ -59,21 +59,24 @@
         )
 
     def save(self, request: crash_suspects.Fingerprint) -> None:
-        """Have what is known of a request written down soon."""
+        """Schedule the record of a request to be written."""
         self._unsaved.put_nowait(request)
 
     def save_changed_since(self, since: clock_lib.Instant) -> None:
-        """Have written down again what was found lately; the store lost it."""
+        """Schedule records that changed lately to be written again.
+
+        :param since: start of the period whose writes the store may have lost.
+        """
         for record in self._registry.records():
-            certain = (
+            refusable = (
                 len(record.crashes_since_cleared)
                 >= crash_suspects.MIN_CRASHES_TO_REFUSE
             )
-            if certain and record.changed_at >= since:
+            if refusable and record.changed_at >= since:
                 self.save(record.request)
 
     async def run(self) -> None:
-        """Read what others have written, then write until cancelled."""
+        """Read the stored suspects, then write new ones until cancelled."""
         while not await self._read():
             await asyncio.sleep(_RETRY_INTERVAL_S)
         while True:
@@ -83,11 +86,13 @@
 
     async def _read(self) -> bool:
         try:
-            tail = await self._store.read_newest(platform.SUSPECTS_TOPIC)
+            result = await self._store.read_newest(platform.SUSPECTS_TOPIC)
         except errors.PlatformError as exc:
-            logging.warning("suspects not read", extra={"why": str(exc)})
+            logging.warning(
+                "crash suspects not read from store", extra={"why": str(exc)}
+            )
             return False
-        for record in tail.records:
+        for record in result.records:
             await self._merge_record(record)
         return True
 
@@ -99,30 +104,35 @@
                 raw, _StoredSuspect, builtin_types=(bytes,)
             )
         except (cbor2.CBORDecodeError, msgspec.ValidationError) as exc:
-            logging.warning("bad suspect kept", extra={"why": str(exc)})
+            logging.warning(
+                "malformed crash suspect in store ignored",
+                extra={"why": str(exc)},
+            )
             return
-        ago = max(self._now_ms() - stored.written_ms, 0) * _MS
-        if ago >= crash_suspects.SUSPICION_TTL:
-            # Nobody needs it any more; others may drop it as well.
+        age = max(self._now_ms() - stored.written_ms, 0) * _MS
+        if age >= crash_suspects.SUSPICION_TTL:
+            # Expired: remove it. Other processes may do so too.
             await self._put(record.key, b"")
             return
         self._registry.merge(
-            suspect_gossip.from_message(stored.suspect, now - ago), now
+            suspect_gossip.from_message(stored.suspect, now - age), now
         )
 
     async def _write(self, request: crash_suspects.Fingerprint) -> bool:
         record = self._registry.find(request)
         if record is None:
             return True
-        told = suspect_gossip.to_message(record, self._clock.monotonic())
-        value = messages.encode(_StoredSuspect(told, self._now_ms()))
+        suspect = suspect_gossip.to_message(record, self._clock.monotonic())
+        value = messages.encode(_StoredSuspect(suspect, self._now_ms()))
         return await self._put(request.hex(), value)
 
     async def _put(self, key: str, value: bytes) -> bool:
         try:
             await self._store.append(platform.SUSPECTS_TOPIC, key, value)
         except errors.PlatformError as exc:
-            logging.warning("suspect not written", extra={"why": str(exc)})
+            logging.warning(
+                "crash suspect not written to store", extra={"why": str(exc)}
+            )
             return False
         return True
 
