--- a/testing/support/fleet_rig.py
+++ b/testing/support/fleet_rig.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the processes of a fleet know, in virtual time and without sockets.
+"""State sync of a fleet of edge processes, in virtual time, without sockets.
 
-Each process is its :class:`~lugcross.edge.state_sync.StateSync` with the
-followers of the store; datagrams and questions go straight to the peer.
+Each process consists of its :class:`~lugcross.edge.state_sync.StateSync` and
+its followers of the store. Heartbeats and state requests are passed to the
+peer by function calls.
 """
 
 import asyncio
@@ -24,28 +25,28 @@
 from lugcross import ids
 from lugcross import platform
 
-#: Processes of each failure domain of a small fleet.
+#: Number of processes in each failure domain of a small fleet.
 SMALL_FLEET = (3, 2, 2)
-#: Time after which the store counts as sound again, in seconds.
+#: Time allowed to catch up once the store is reachable again.
 STORE_RECOVERY_S = edge_rig.BOUNDS.store_recovery_time.total_seconds()
-#: One way between two processes, in seconds.
+#: Latency from one process to another.
 _ONE_WAY_DELAY_S = 0.001
-#: Bytes that a process's link carries each second: 20 Mbit/s.
+#: Bandwidth of the link of a host: 20 Mbit/s.
 _LINK_BYTES_PER_S = 2.5e6
 _PEERS_PORT = 9
 _STATE_PORT = 8
 
 
 def _seeded_token() -> str:
-    """Return a token drawn from the generator that a test has seeded."""
+    """Return a token from the random generator that the test has seeded."""
     return f"{random.getrandbits(64):016x}"
 
 
 def desired_record(version: int, *, routes: int = 0) -> bytes:
-    """Return the record of a desired state.
+    """Return a desired-state record.
 
-    :param routes: how many it has; a tenth of them have names that only this
-        version knows.
+    :param routes: number of its routes; a tenth of them differ from those of
+        all other versions.
     """
     limits = dict.fromkeys(
         ("header_bytes", "body_bytes", "header_ms", "idle_ms"), 1
@@ -61,7 +62,7 @@
 
 
 def _route(num: int, version: int) -> dict[str, object]:
-    """Return a route as the operator writes it; every tenth is new."""
+    """Return a route of a record; every tenth depends on the version."""
     rng = random.Random(num if num % 10 else num + version * 10_000)
     return {
         "name": f"{rng.getrandbits(48):012x}",
@@ -83,7 +84,7 @@
         self.name = name
         self.domain = domain
         self.fleet = fleet
-        #: Name by which this process calls the store.
+        #: Host name by which this process connects to the store.
         self.store_host = f"store-of-{name}"
         listen = settings_lib.Listen(
             callers=f"{name}:0",
@@ -114,7 +115,7 @@
         self.state_sync.peers.connection_made(self)
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
-        """Take the place of the socket for datagrams."""
+        """Deliver a datagram; stands in for the UDP transport."""
         peer = self.fleet.nodes.get(to[0])
         if peer is not None and not {self.name, to[0]} & self.fleet.cut_nodes:
             origin = (self.name, _PEERS_PORT)
@@ -126,7 +127,7 @@
             )
 
     async def run(self) -> None:
-        """Follow the store and the peers until cancelled."""
+        """Keep in sync with the store and the peers until cancelled."""
         followers = store_followers.make_followers(
             self.store, self.edge_state, self.state_sync
         )
@@ -135,30 +136,32 @@
         )
 
     def start(self) -> None:
-        """Run until stopped."""
+        """Start to run in the background."""
         self._task = asyncio.create_task(self.run())
 
     async def stop(self) -> None:
-        """End at once, as if killed."""
+        """Stop at once, as if killed."""
         self._task.cancel()
         await asyncio.gather(self._task, return_exceptions=True)
 
     @property
     def version(self) -> int:
-        """Version of the desired state that is in force here."""
+        """Version of the desired state in force; 0 while there is none."""
         return (
             self.edge_state.desired.version if self.edge_state.desired else 0
         )
 
 
 class Fleet:
-    """Processes in failure domains, before a store that may be silent.
+    """Edge processes in failure domains, with a store that can stop answering.
 
-    :param domains: how many processes each failure domain has.
+    :param domains: number of processes in each failure domain.
+    :ivar nodes: the processes by name, ``n<domain>-<number>``.
     """
 
     def __init__(self, monkeypatch, *domains: int) -> None:
-        # Tokens decide who reads the store: the same ones on every run.
+        # Which processes read the store depends on the tokens, so make them
+        # the same in every run.
         monkeypatch.setattr(ids, "new_token", _seeded_token)
         self.store = silent_store.SilentStore()
         self.nodes = {
@@ -168,9 +171,9 @@
             for domain, count in enumerate(domains)
             for number in range(count)
         }
-        #: Processes that are cut off from peers and store.
+        #: Names of processes that reach neither peers nor the store.
         self.cut_nodes: set[str] = set()
-        #: Until when the link of a process is taken, in seconds.
+        #: Loop time until which the link of a process is in use.
         self._link_busy_until: dict[str, float] = {}
         monkeypatch.setattr(http1, "connect", self.store.connect)
         monkeypatch.setattr(
@@ -178,7 +181,7 @@
         )
 
     def put_desired(self, version: int, *, routes: int = 0) -> None:
-        """Let the store accept a desired state."""
+        """Write a desired state to the store, as the operator does."""
         self.store.standin.append(
             platform.OPERATOR_TOPIC,
             platform.DESIRED_STATE_KEY,
@@ -191,40 +194,44 @@
             node.start()
 
     async def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         for node in self.nodes.values():
             await node.stop()
 
     async def restart(self, name: str) -> None:
-        """Kill a process and start it again, knowing nothing."""
+        """Kill a process and start a new one of that name, without state."""
         old = self.nodes[name]
         await old.stop()
         self.nodes[name] = Node(self, name, old.domain)
         self.nodes[name].start()
 
     def cut_off(self, name: str) -> None:
-        """Cut a process off; what it has open stays silent for good."""
+        """Cut a process off from peers and the store.
+
+        Its open connections to the store stay silent even after
+        :meth:`reconnect`.
+        """
         self.cut_nodes.add(name)
         self.store.unreachable_hosts.add(self.nodes[name].store_host)
         self.store.silence_connections(self.nodes[name].store_host)
 
     def reconnect(self, name: str) -> None:
-        """End a cut."""
+        """End what :meth:`cut_off` began."""
         self.cut_nodes.discard(name)
         self.store.unreachable_hosts.discard(self.nodes[name].store_host)
 
     def saturate_link(self, name: str, seconds: float) -> None:
-        """Let others have all of a process's link for some time."""
+        """Use the whole bandwidth of a process's link for some time."""
         now = asyncio.get_running_loop().time()
         self._link_busy_until[name] = now + seconds
 
     def cut_off_from_store(self, name: str) -> None:
-        """Keep the store from a process that reaches all others."""
+        """Cut a process off from the store, but not from its peers."""
         self.store.unreachable_hosts.add(self.nodes[name].store_host)
         self.store.silence_connections(self.nodes[name].store_host)
 
     def nodes_behind(self, version: int) -> list[str]:
-        """Return the processes where ``version`` is not in force."""
+        """Return the processes whose desired state is older than a version."""
         return [
             node.name for node in self.nodes.values() if node.version < version
         ]
@@ -232,7 +239,7 @@
     async def _request_state(
         self, host: str, port: int, req: messages.StateRequest
     ) -> messages.StateResponse | None:
-        """Take the place of the question over a WebSocket."""
+        """Stand in for :func:`state_transfer.request_state`."""
         assert port == _STATE_PORT
         try:
             async with asyncio.timeout(state_transfer.REQUEST_TIMEOUT_S):
@@ -248,7 +255,7 @@
             return None
 
     async def _transmit(self, host: str, size: int) -> None:
-        """Return once the link of a process has carried some bytes."""
+        """Wait until the link of a process has carried ``size`` bytes."""
         now = asyncio.get_running_loop().time()
         begun = max(now, self._link_busy_until.get(host, 0.0))
         self._link_busy_until[host] = end = begun + size / _LINK_BYTES_PER_S
--- a/testing/support/silent_store.py
+++ b/testing/support/silent_store.py
@@ -1,7 +1,7 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A store whose answers can fail to come, in virtual time.
+"""A store that can stop answering, in virtual time.
 
-Connections come up at once and are never reset: silence is all there is.
+Connections are never reset: a call on a silent one hangs until its timeout.
 """
 
 import asyncio
@@ -9,15 +9,18 @@
 from lugcross import http1
 from lugcross.standin import store as standin
 
-#: One round trip and the store's own work, in seconds.
+#: Round trip plus the time that the store takes.
 _ANSWER_DELAY_S = 0.004
 
 
 class SilentStore:
-    """The stand-in of the store behind connections that may be silent.
+    """The stand-in of the store, behind connections that can go silent.
 
-    :ivar silent: whether calls, also those under way, get no answer.
-    :ivar unreachable_hosts: names of the store by which nobody reaches it.
+    Each process connects by a host name of its own, by which it can be cut
+    off.
+
+    :ivar silent: whether all calls hang, including those in progress.
+    :ivar unreachable_hosts: host names at which connecting times out.
     """
 
     def __init__(self) -> None:
@@ -27,10 +30,9 @@
         self._open_conns: list[_Conn] = []
 
     def silence_connections(self, host: str = "") -> None:
-        """Make connections that are open silent for good.
+        """Make all calls on the connections that are open now hang.
 
-        :param host: name of the store that they were opened by; any
-            without it.
+        :param host: only connections opened to this host name; all if empty.
         """
         for conn in self._open_conns:
             conn.silent = conn.silent or host in ("", conn.host)
@@ -38,7 +40,7 @@
     async def connect(
         self, host: str, port: int, *, timeout_s: float
     ) -> "_Conn":
-        """Take the place of :func:`lugcross.http1.connect`."""
+        """Stand in for :func:`lugcross.http1.connect`."""
         del port
         if host in self.unreachable_hosts:
             await asyncio.sleep(timeout_s)
@@ -50,7 +52,7 @@
 
 
 class _Conn:
-    """Takes the place of :class:`lugcross.http1.ClientConn`."""
+    """Stands in for :class:`lugcross.http1.ClientConn`."""
 
     closing = False
     has_unread_data = False
