--- a/testing/edge/test_malformed_messages.py
+++ b/testing/edge/test_malformed_messages.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whatever bytes come from peers, they are a message or a known error."""
+"""Any bytes from a peer are decoded to a message or rejected with an error."""
 
 from collections.abc import Callable
 
@@ -37,7 +37,7 @@
 HEARTBEAT = messages.Heartbeat(
     "n", "i", "d", 1, False, 1, 1, {"a": 1}, ["h:1"]
 )
-#: Nested deeper than any decoder goes, and lengths that no bytes follow.
+#: Nesting deeper than any decoder supports, and lengths beyond the data.
 EXTREMES = [
     b"",
     b"\x81" * 100_000,
@@ -54,7 +54,7 @@
 ]
 
 
-def _read(decode: Callable[[bytes], object], data: bytes) -> None:
+def _decode_or_reject(decode: Callable[[bytes], object], data: bytes) -> None:
     try:
         decode(data)
     except (cbor2.CBORDecodeError, msgspec.ValidationError):
@@ -63,32 +63,34 @@
 
 @pytest.mark.parametrize("decode", DECODERS)
 @pytest.mark.parametrize("data", EXTREMES)
-def test_extreme_bytes_are_refused(
+def test_extreme_bytes_are_rejected(
     decode: Callable[[bytes], object], data: bytes
 ):
-    _read(decode, data)
+    _decode_or_reject(decode, data)
 
 
 @pytest.mark.parametrize("decode", DECODERS)
 @given(data=strategies.binary(max_size=80))
-def test_any_bytes_are_a_message_or_refused(
+def test_random_bytes_are_decoded_or_rejected(
     decode: Callable[[bytes], object], data: bytes
 ):
-    _read(decode, data)
+    _decode_or_reject(decode, data)
 
 
 @pytest.mark.parametrize("decode", DECODERS)
 @given(value=VALUES)
-def test_any_value_is_a_message_or_refused(
+def test_random_values_are_decoded_or_rejected(
     decode: Callable[[bytes], object], value: object
 ):
-    _read(decode, cbor2.dumps(value))
+    _decode_or_reject(decode, cbor2.dumps(value))
 
 
-@given(value=VALUES, end=VALUES, field=strategies.integers(0, 2))
-def test_bad_suspects_are_refused_and_change_nothing(value, end, field):
+@given(value=VALUES, crashes=VALUES, field=strategies.integers(0, 2))
+def test_malformed_suspects_are_rejected_and_change_nothing(
+    value, crashes, field
+):
     suspect = [b"x" * 16, [["i-1", "v1", 5, 5]], -1]
-    suspect[field] = end if field == 1 else value
+    suspect[field] = crashes if field == 1 else value
     fields = cbor2.loads(messages.encode(HEARTBEAT))
     fields[-1] = [suspect]
     try:
@@ -98,14 +100,16 @@
     registry = crash_suspects.SuspectRegistry()
     clock = clock_lib.ManualClock()
     suspect_gossip.SuspectGossip(registry, clock).merge(heartbeat.suspects)
-    sound = crash_suspects.Fingerprint(b"y" * crash_suspects.FINGERPRINT_BYTES)
+    other_request = crash_suspects.Fingerprint(
+        b"y" * crash_suspects.FINGERPRINT_BYTES
+    )
     now = clock.monotonic()
-    status = registry.status(sound, frozenset(["v1"]), now)
+    status = registry.status(other_request, frozenset(["v1"]), now)
     assert status is crash_suspects.SuspectStatus.NOT_SUSPECT
 
 
-def test_false_news_of_ends_end_with_the_next_answer():
-    """A peer tells that servers ended which answer: nobody is refused."""
+def test_false_crash_reports_are_dropped_when_the_servers_answer():
+    """A peer reports crashes of servers that answer: no request is refused."""
     clock = clock_lib.ManualClock()
     registry = crash_suspects.SuspectRegistry()
     gossip = suspect_gossip.SuspectGossip(registry, clock)
@@ -137,14 +141,14 @@
 
 
 @given(
-    place=strategies.integers(
+    index=strategies.integers(
         min_value=0, max_value=len(HEARTBEAT.__struct_fields__) - 1
     ),
     value=VALUES,
 )
-def test_heartbeat_with_any_field_replaced_is_a_message_or_refused(
-    place: int, value: object
+def test_heartbeat_with_any_field_replaced_is_decoded_or_rejected(
+    index: int, value: object
 ):
     fields = cbor2.loads(messages.encode(HEARTBEAT))
-    fields[place] = value
-    _read(messages.decode_datagram, cbor2.dumps(fields))
+    fields[index] = value
+    _decode_or_reject(messages.decode_datagram, cbor2.dumps(fields))
--- a/testing/edge/test_patches.py
+++ b/testing/edge/test_patches.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Patches lead from one record to another, or are refused."""
+"""Patches turn one record into another, or are rejected."""
 
 import fleet_rig
 from hypothesis import given
@@ -14,13 +14,13 @@
 
 
 @given(base=RECORD, record=RECORD)
-def test_patch_makes_the_record_of_any_base(base: bytes, record: bytes):
+def test_patch_makes_the_record_from_any_base(base: bytes, record: bytes):
     patch = patches.make(base, record)
     assert patches.apply(base, patch) == record
 
 
 @given(base=RECORD, record=RECORD, other=RECORD)
-def test_patch_for_another_base_is_never_believed(
+def test_patch_applied_to_another_base_never_makes_a_wrong_record(
     base: bytes, record: bytes, other: bytes
 ):
     patch = patches.make(base, record)
@@ -31,7 +31,7 @@
     assert made == record
 
 
-def test_change_of_a_tenth_of_a_large_state_takes_an_eighth_of_its_bytes():
+def test_patch_of_a_tenth_of_a_large_record_takes_under_an_eighth():
     base, record = (
         fleet_rig.desired_record(num, routes=1640) for num in (1, 2)
     )
@@ -49,7 +49,7 @@
     ],
     ids=["start", "count", "beyond", "nothing"],
 )
-def test_patch_out_of_range_is_refused(splices: list[patches.Splice]):
+def test_patch_out_of_range_is_rejected(splices: list[patches.Splice]):
     patch = patches.Patch(patches.digest(b"{1}{2}"), splices)
     with pytest.raises(patches.PatchError):
         patches.apply(b"{1}", patch)
@@ -63,8 +63,8 @@
 @pytest.mark.parametrize(
     "data",
     [b"x", patches.compress(b"{1}")[:-1], patches.compress(bytes(2**24 + 1))],
-    ids=["no-record", "cut-short", "too-large"],
+    ids=["not-compressed", "truncated", "too-large"],
 )
-def test_what_was_not_compressed_is_refused(data: bytes):
+def test_invalid_compressed_data_is_rejected(data: bytes):
     with pytest.raises(patches.PatchError):
         patches.decompress(data)
--- a/testing/edge/test_peer_selection.py
+++ b/testing/edge/test_peer_selection.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which peer is asked for news, and when the store itself."""
+"""Which peer newer state is requested from, and when the store is read."""
 
 import datetime
 import random
@@ -32,65 +32,65 @@
         )
         self.peers = [_newer("a"), _newer("b"), _newer("c", same_domain=False)]
 
-    def ask(self) -> str | None:
-        """Ask whoever is to be asked now; return its host."""
+    def request(self) -> str | None:
+        """Start the request that is due; return its host, none without one."""
         peer = self.selector.pick(self.peers)
         if peer is None:
             return None
         self.selector.request_started(peer)
         return peer.host
 
-    def passes(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.clock.advance(_seconds(seconds))
 
-    def ends(self, host: str, *, answered: bool) -> None:
+    def end_request(self, host: str, *, answered: bool) -> None:
         self.selector.request_ended(_newer(host), answered=answered)
 
 
-def test_second_peer_is_asked_beside_a_silent_one_and_no_third():
+def test_at_most_two_peers_are_asked_in_parallel():
     rig = _Rig()
-    first = rig.ask()
-    assert rig.ask() is None
-    rig.passes(0.3)
-    second = rig.ask()
+    first = rig.request()
+    assert rig.request() is None
+    rig.advance(0.3)
+    second = rig.request()
     assert {first, second} == {"a", "b"}
-    rig.passes(0.5)
-    assert rig.ask() is None
+    rig.advance(0.5)
+    assert rig.request() is None
 
 
-def test_peer_that_did_not_answer_gives_way_to_one_far_away():
-    """A dead process goes on being the one that knows most for two seconds."""
+def test_peer_of_another_domain_is_asked_after_near_ones_failed():
+    """A dead peer stays live, and may be the newest, for two seconds."""
     rig = _Rig()
     for _ in range(2):
-        host = rig.ask()
+        host = rig.request()
         assert host is not None
-        rig.ends(host, answered=False)
-    assert rig.ask() == "c"
-    rig.ends("c", answered=False)
-    assert rig.ask() is None
-    rig.passes(2.0)
-    assert rig.ask() in {"a", "b"}
+        rig.end_request(host, answered=False)
+    assert rig.request() == "c"
+    rig.end_request("c", answered=False)
+    assert rig.request() is None
+    rig.advance(2.0)
+    assert rig.request() in {"a", "b"}
 
 
 def test_peer_that_answered_is_asked_again_at_once():
     rig = _Rig()
     rig.peers = [_newer("a")]
-    assert rig.ask() == "a"
-    rig.ends("a", answered=True)
-    assert rig.ask() == "a"
+    assert rig.request() == "a"
+    rig.end_request("a", answered=True)
+    assert rig.request() == "a"
 
 
-def test_of_peers_nearby_the_newest_is_asked():
+def test_newest_peer_of_the_same_domain_is_asked():
     rig = _Rig()
     rig.peers = [
-        _newer("old", 2),
-        _newer("new", 3),
+        _newer("older", 2),
+        _newer("newer", 3),
         _newer("far", 9, same_domain=False),
     ]
-    assert rig.ask() == "new"
+    assert rig.request() == "newer"
 
 
-def test_lag_counts_from_the_first_news_that_is_missing():
+def test_lag_counts_from_the_first_missing_version():
     clock = clock_lib.ManualClock()
     lag = lag_lib.Lag(clock)
     lag.note_available(5)
@@ -102,11 +102,11 @@
     assert lag.age(6) == _seconds(0)
 
 
-def test_store_is_asked_in_time_and_not_again_at_once():
-    """In a storm the store is asked for news that are old, not for the last.
+def test_store_is_read_after_a_lag_and_not_again_at_once():
+    """Under frequent changes the store is read for old versions only.
 
-    Once it has told all that it has, it is left alone for as long again, also
-    where a peer tells of more than it has.
+    After each answer this process waits as long again before it reads the
+    store, even if a peer has a version that the answer lacked.
     """
     clock = clock_lib.ManualClock()
     lag = lag_lib.Lag(clock)
--- a/testing/edge/test_store_copies.py
+++ b/testing/edge/test_store_copies.py
@@ -1,10 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The store comes back from a copy some seconds old, beside other faults.
+"""The store comes back from a copy some seconds old, combined with faults.
 
-What was written since is gone, offsets go back and are given out again, and
-each answer tells an era that is higher by one. Whoever wrote to it writes
-again within two seconds. Before offsets had an era, processes took no entry
-until the log had grown past its old end, and then read on in another history.
+Records written since the copy are lost, their offsets are reused, and the era
+in the store's answers is higher by one. Backend servers and the operator write
+their records again within two seconds.
+
+Failure: before positions had an era, processes ignored all new entries until
+the log had grown past its old end, and then read on as if its history were
+the same.
 """
 
 import asyncio
@@ -25,19 +28,19 @@
 from lugcross import positions
 
 SERVICE = ids.ServiceName("app")
-#: Entries that two servers write after a copy was made: its offsets end long
-#: before theirs.
+#: Entries that each of two servers writes after the copy was made, so that the
+#: log's end is far beyond the end of the copy.
 ENTRY_WRITES = 20
-#: How old the copies are, in seconds.
+#: Ages of the copies.
 COPY_AGES_S = (0.1, 2.0, 10.0)
-#: For how long the store is away before it comes back, in seconds.
+#: Time for which the store does not answer before it comes back.
 OUTAGE_S = 0.4
-#: Time within which servers and operator have written again, in seconds.
+#: Time within which servers and operator write their records again.
 REWRITE_TIME_S = 2.0
-#: Time within which all that is in touch is right, past that.
+#: Time after that within which all reachable processes must be up to date.
 RECOVERY_TIME_S = 1.5
-#: The same where all connections went silent: only then the store counts as
-#: sound, and a change must be in force after the bound for changes.
+#: The same if all connections went silent: processes need the recovery time to
+#: notice it, and then the time allowed for a change.
 SILENT_RECOVERY_TIME_S = (
     fleet_rig.STORE_RECOVERY_S
     + edge_rig.BOUNDS.max_change_time.total_seconds()
@@ -52,12 +55,12 @@
 
 
 class _StoreWriters:
-    """What the servers and the operator keep written in the store."""
+    """Writes to the store as the backend servers and the operator do."""
 
     def __init__(self, fleet: fleet_rig.Fleet) -> None:
         self._store = fleet.store.standin
         self.entries: dict[str, bytes] = {}
-        #: State of the server that leaves after the first copy came back.
+        #: State that ``i-goes`` writes; it leaves after the first restore.
         self.leaving_state = "ready"
         self.version = 0
 
@@ -65,7 +68,7 @@
         self.entries[name] = value
         self._store.append(platform.BACKENDS_TOPIC, name, value)
 
-    def change(self, version: int) -> None:
+    def write_desired(self, version: int) -> None:
         self.version = version
         self._store.append(
             platform.OPERATOR_TOPIC,
@@ -73,46 +76,54 @@
             fleet_rig.desired_record(version),
         )
 
-    async def write_again(self, rng: random.Random) -> None:
-        """Write all anew, each at some moment, as after a copy."""
-        tasks = [self._later(rng, name) for name in self.entries]
-        await asyncio.gather(self._operator_later(rng), *tasks)
+    async def rewrite_all(self, rng: random.Random) -> None:
+        """Write all records again, each after a random delay."""
+        tasks = [self._rewrite_entry_later(rng, name) for name in self.entries]
+        await asyncio.gather(self._rewrite_desired_later(rng), *tasks)
 
-    async def _later(self, rng: random.Random, name: str) -> None:
+    async def _rewrite_entry_later(
+        self, rng: random.Random, name: str
+    ) -> None:
         await asyncio.sleep(rng.uniform(0.2, REWRITE_TIME_S))
         self.write(name, self.entries[name])
 
-    async def _operator_later(self, rng: random.Random) -> None:
+    async def _rewrite_desired_later(self, rng: random.Random) -> None:
         await asyncio.sleep(rng.uniform(0.2, REWRITE_TIME_S))
-        self.change(self.version)
+        self.write_desired(self.version)
 
 
 class _Checker:
-    """Looks all the time at what processes go by, and keeps what is wrong."""
+    """Checks the state of all processes periodically.
+
+    :ivar violations: descriptions of what was wrong.
+    """
 
-    def __init__(self, fleet: fleet_rig.Fleet, servers: _StoreWriters) -> None:
+    def __init__(self, fleet: fleet_rig.Fleet, writers: _StoreWriters) -> None:
         self._fleet = fleet
-        self._servers = servers
-        self.wrong: set[str] = set()
+        self._writers = writers
+        self.violations: set[str] = set()
         self._newest: dict[int, int] = {}
-        self._since = asyncio.get_running_loop().time()
-        self._begun = dict.fromkeys(map(id, fleet.nodes.values()), self._since)
+        self._started_at = asyncio.get_running_loop().time()
+        self._first_seen_at = dict.fromkeys(
+            map(id, fleet.nodes.values()), self._started_at
+        )
 
     async def run(self) -> None:
         while True:
             await asyncio.sleep(0.02)
             self._check()
 
-    def _is_in_touch(self, node: fleet_rig.Node) -> bool:
-        """Tell whether a process neither started lately nor is cut off.
+    def _should_be_current(self, node: fleet_rig.Node) -> bool:
+        """Return whether a process must know which servers have left.
 
-        One that starts in the gap knows of a server that left only what the
-        store tells until that is written again.
+        One that is cut off need not. One that has just started knows only what
+        the store has, which lacks the removal until it is written again.
         """
         now = asyncio.get_running_loop().time()
-        begun = self._begun.setdefault(id(node), now)
+        first_seen_at = self._first_seen_at.setdefault(id(node), now)
         is_new = (
-            begun > self._since and now - begun < fleet_rig.STORE_RECOVERY_S
+            first_seen_at > self._started_at
+            and now - first_seen_at < fleet_rig.STORE_RECOVERY_S
         )
         return not is_new and node.name not in self._fleet.cut_nodes
 
@@ -120,13 +131,13 @@
         for node in self._fleet.nodes.values():
             before = self._newest.get(id(node), 0)
             if node.version < before:
-                self.wrong.add(f"{node.name} went back to {node.version}")
+                self.violations.add(f"{node.name} went back to {node.version}")
             self._newest[id(node)] = max(before, node.version)
-            used = _usable_ids(node)
-            if "i-left" in used and self._is_in_touch(node):
-                self.wrong.add(f"{node.name} uses a server that has left")
-            if before and "i-stays" not in used:
-                self.wrong.add(f"{node.name} drops a server that lives")
+            usable = _usable_ids(node)
+            if "i-left" in usable and self._should_be_current(node):
+                self.violations.add(f"{node.name} uses a server that has left")
+            if before and "i-stays" not in usable:
+                self.violations.add(f"{node.name} lost a server that is up")
 
 
 def _usable_ids(node: fleet_rig.Node) -> set[str]:
@@ -147,36 +158,42 @@
         fleet.cut_off_from_store(name)
 
 
-async def _play_copies(
+async def _run_scenario(
     monkeypatch, seed: int, age_s: float, fault: str, times: int
 ):
-    """Let servers leave, come and change after the copy was made."""
+    """Restore the store from a copy after servers have left and joined.
+
+    :param age_s: age of the copy.
+    :param fault: fault to inject when the store comes back.
+    :param times: number of restores.
+    :returns: violations seen, and the processes that were late.
+    """
     rng = random.Random(seed)
     random.seed(seed)
     fleet = fleet_rig.Fleet(monkeypatch, *fleet_rig.SMALL_FLEET)
     fleet.store.standin.era = "1"
-    servers = _StoreWriters(fleet)
-    servers.change(1)
+    writers = _StoreWriters(fleet)
+    writers.write_desired(1)
     for name in ("i-stays", "i-left", "i-drains", "i-goes"):
-        servers.write(name, _entry())
+        writers.write(name, _entry())
     fleet.start()
     await asyncio.sleep(4.0)
-    watch = _Checker(fleet, servers)
+    checker = _Checker(fleet, writers)
     cut = set()
     for _ in range(times):
         copy = fleet.store.standin.copy()
-        servers.change(servers.version + 1)
-        servers.write("i-left", b"")
-        servers.write("i-drains", _entry("draining"))
+        writers.write_desired(writers.version + 1)
+        writers.write("i-left", b"")
+        writers.write("i-drains", _entry("draining"))
         for beat in range(ENTRY_WRITES):
-            servers.write("i-stays", _entry(sequence=beat))
-            servers.write(
-                "i-goes", _entry(servers.leaving_state, sequence=beat)
+            writers.write("i-stays", _entry(sequence=beat))
+            writers.write(
+                "i-goes", _entry(writers.leaving_state, sequence=beat)
             )
-        servers.write(f"i-new-{servers.version}", _entry())
-        # Past the bound at which one that left gets nothing.
+        writers.write(f"i-new-{writers.version}", _entry())
+        # Long enough that a server that left must no longer be used.
         await asyncio.sleep(max(age_s, 2.1))
-        checking = asyncio.create_task(watch.run())
+        checking = asyncio.create_task(checker.run())
         fleet.store.silent = True
         await asyncio.sleep(OUTAGE_S)
         target = rng.choice(list(fleet.nodes))
@@ -187,11 +204,11 @@
         injection = asyncio.create_task(
             _inject_fault(fleet, fault, target, rng)
         )
-        await servers.write_again(rng)
+        await writers.rewrite_all(rng)
         await injection
-        servers.change(servers.version + 1)
-        servers.leaving_state = "draining"
-        servers.write("i-goes", _entry("draining"))
+        writers.write_desired(writers.version + 1)
+        writers.leaving_state = "draining"
+        writers.write("i-goes", _entry("draining"))
         await asyncio.sleep(
             SILENT_RECOVERY_TIME_S if fault == "silent" else RECOVERY_TIME_S
         )
@@ -201,28 +218,30 @@
         for node in fleet.nodes.values()
         if node.name not in cut
         and (
-            node.version != servers.version
+            node.version != writers.version
             or _usable_ids(node) - {"i-stays"}
-            != {one for one in servers.entries if one.startswith("i-new")}
+            != {one for one in writers.entries if one.startswith("i-new")}
         )
     ]
     await fleet.stop()
-    return watch.wrong, late
+    return checker.violations, late
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_copy_takes_nothing_back_and_all_are_right_soon(monkeypatch, fault):
+def test_restored_store_reverts_nothing_and_processes_catch_up(
+    monkeypatch, fault
+):
     found = {}
     for seed, age_s, times in itertools.product((1, 2), COPY_AGES_S, (1, 2)):
-        played = _play_copies(monkeypatch, seed, age_s, fault, times)
-        wrong, late = virtual_time.run(played)
-        if wrong or late:
-            found[seed, age_s, times] = sorted(wrong), late
+        scenario = _run_scenario(monkeypatch, seed, age_s, fault, times)
+        violations, late = virtual_time.run(scenario)
+        if violations or late:
+            found[seed, age_s, times] = sorted(violations), late
     assert not found
 
 
 def _client(*eras: bytes | None, answer: bytes = b"") -> platform.StoreClient:
-    """Return a client whose calls are answered with these eras in turn."""
+    """Return a client whose calls get answers with these eras, in order."""
     left = list(eras)
 
     class Conn:
@@ -249,7 +268,7 @@
     return client
 
 
-def test_answer_of_an_earlier_era_tells_nothing():
+def test_answer_with_an_earlier_era_is_rejected():
     async def main():
         client = _client(b"3", b"2", b"3")
         first = await client.read_newest("t")
@@ -266,7 +285,7 @@
     [b"", b"x", b"-1", b"1.5", b"9" * 50, b"\xff", None],
     ids=["empty", "text", "negative", "part", "huge", "bytes", "missing"],
 )
-def test_era_that_is_none_is_as_if_it_were_not_told(era):
+def test_invalid_era_is_ignored(era):
     async def main():
         client = _client(b"4", era)
         began = []
@@ -279,7 +298,7 @@
     assert asyncio.run(main()) == 4
 
 
-def test_new_era_is_told_once_and_old_positions_are_gone():
+def test_new_era_is_reported_once_and_old_positions_expire():
     async def main():
         client = _client(b"1", b"2", b"2")
         began = []
@@ -288,7 +307,7 @@
         with pytest.raises(errors.OffsetExpiredError):
             await client.read_from("t", old, wait=datetime.timedelta())
         with pytest.raises(errors.OffsetExpiredError):
-            # Known by now: the store is not even asked.
+            # The client knows the new era by now and does not call the store.
             await client.read_from("t", old, wait=datetime.timedelta())
         with pytest.raises(errors.AppendConflictError):
             await client.append_if_end("t", "k", b"v", old)
@@ -298,7 +317,7 @@
     assert asyncio.run(main()) == [(2, 1)]
 
 
-def test_same_end_in_a_new_era_is_no_place_to_write_at():
+def test_conditional_append_at_the_same_offset_of_a_new_era_conflicts():
     async def main():
         client = _client(b"1", b"2", answer=b'{"end": 8}')
         client._update_era(await client._idle[0].read_head())
@@ -310,7 +329,7 @@
     asyncio.run(main())
 
 
-def test_numbers_of_a_new_era_are_above_all_earlier_ones(manual_clock):
+def test_generations_of_a_new_era_are_above_all_earlier_ones(manual_clock):
     def claim(era: int, seen: int) -> int:
         lease = experts.Lease("me", manual_clock)
         end = positions.position_of(positions.Era(era), ids.Offset(3))
@@ -322,7 +341,7 @@
         return lease.record_for(experts.LeaseAction.CLAIM).generation
 
     assert claim(0, 5) == 6
-    # Whatever number was claimed after the copy had been made.
+    # Whatever generation was claimed after the copy had been made.
     first = [claim(1, 5)]
     for _ in range(100):
         first.append(claim(1, first[-1]))
@@ -330,15 +349,15 @@
     assert claim(2, claim(2, 5)) == claim(2, 5) + 1
 
 
-@pytest.mark.parametrize("ago_s", [1.0, 100.0], ids=["lately", "long-ago"])
-def test_who_registered_lately_does_so_again(monkeypatch, ago_s):
+@pytest.mark.parametrize("age_s", [1.0, 100.0], ids=["recent", "old"])
+def test_process_that_registered_lately_registers_again(monkeypatch, age_s):
     async def main():
         fleet = fleet_rig.Fleet(monkeypatch, 2, 2)
         fleet.store.standin.era = "1"
         fleet.put_desired(1)
         copy = fleet.store.standin.copy()
         fleet.start()
-        await asyncio.sleep(ago_s)
+        await asyncio.sleep(age_s)
         fleet.store.standin.restore_from(copy)
         before = len(fleet.store.standin.called_paths)
         await asyncio.sleep(8.0)
@@ -348,10 +367,12 @@
         return len(nodes), calls.count("/log-append")
 
     found = virtual_time.run(main())
-    assert found == ((4, 4) if ago_s == 1.0 else (0, 0))
+    assert found == ((4, 4) if age_s == 1.0 else (0, 0))
 
 
-def test_process_that_starts_in_the_gap_begins_with_the_newest(monkeypatch):
+def test_process_that_starts_after_a_restore_begins_with_the_newest_version(
+    monkeypatch,
+):
     async def main():
         fleet = fleet_rig.Fleet(monkeypatch, 2, 2)
         fleet.store.standin.era = "1"
@@ -363,7 +384,7 @@
         await asyncio.sleep(2.0)
         fleet.store.standin.restore_from(copy)
         await fleet.restart("n0-0")
-        # As its settings name it.
+        # As if its settings named this seed.
         fleet.nodes["n0-0"].state_sync.peers.add("n0-1:9")
         versions = set()
         for _ in range(100):
