--- a/testing/edge/test_fault_pairs.py
+++ b/testing/edge/test_fault_pairs.py
@@ -1,11 +1,13 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Every placing of two faults at the moment of a change, in a small fleet.
+"""All pairs of faults at the moment of a change, in a small fleet.
 
-Three failure domains of three processes each, in virtual time. Whoever still
-reaches the store, or a process that does, must have the change in time,
-whichever two others are dead, cut off, turned away by the store or choked.
+The fleet has three failure domains of three processes each and runs in virtual
+time. Each process that reaches the store, or a peer that does, must apply the
+change in time, whichever two processes are cut off, cut off from the store or
+have a saturated link.
 
-All 324 placings: ``NEWS_MODEL=all pytest THIS-FILE``; without it every tenth.
+``NEWS_MODEL=all pytest THIS-FILE`` runs all 324 pairs; the default is every
+tenth.
 """
 
 import asyncio
@@ -19,13 +21,13 @@
 import pytest
 import virtual_time
 
-#: Until every process has read, registered and heard of the others, s.
+#: Time for every process to read the store, register and find its peers.
 SETTLE_TIME_S = 5.0
-#: Longest time until the change must be in force, in seconds.
+#: Time within which every process must apply the change.
 MAX_CHANGE_S = edge_rig.BOUNDS.max_change_time.total_seconds()
-#: Time for which a link is taken, longer than that, in seconds.
+#: Time for which a link is saturated; longer than a change may take.
 SATURATED_S = 4.0
-#: How many placings are left out between two where not all are played.
+#: Step by which pairs are selected.
 STEP = 1 if os.environ.get("NEWS_MODEL") == "all" else 10
 
 Fault = Callable[[fleet_rig.Fleet, str], None]
@@ -39,13 +41,14 @@
     fleet.cut_off_from_store(name)
 
 
-def link_saturated(fleet: fleet_rig.Fleet, name: str) -> None:
+def saturate_link(fleet: fleet_rig.Fleet, name: str) -> None:
     fleet.saturate_link(name, SATURATED_S)
 
 
-FAULTS: list[Fault] = [cut_off, cut_off_from_store, link_saturated]
-#: By domain and by the order in which its processes read for the others.
-TARGETS = [(domain, turn) for domain in range(3) for turn in range(3)]
+FAULTS: list[Fault] = [cut_off, cut_off_from_store, saturate_link]
+#: Processes by failure domain, and by index in the order in which those of a
+#: domain take over as readers of the store.
+TARGETS = [(domain, order) for domain in range(3) for order in range(3)]
 TARGETED_FAULTS = list(itertools.product(FAULTS, TARGETS))
 PAIRS = [
     (one, two)
@@ -58,16 +61,18 @@
     return "+".join(f"{fault.__name__}-{d}{t}" for fault, (d, t) in pair)
 
 
-def _name(fleet: fleet_rig.Fleet, place: tuple[int, int]) -> str:
-    """Return the process that is ``turn`` th to read for its domain."""
-    domain, turn = place
-    here = [one for one in fleet.nodes.values() if one.domain == f"d{domain}"]
-    here.sort(key=lambda one: one.state_sync.incarnation)
-    return here[turn].name
+def _node_name(fleet: fleet_rig.Fleet, target: tuple[int, int]) -> str:
+    """Return the name of the process at a target."""
+    domain, order = target
+    in_domain = [
+        one for one in fleet.nodes.values() if one.domain == f"d{domain}"
+    ]
+    in_domain.sort(key=lambda one: one.state_sync.incarnation)
+    return in_domain[order].name
 
 
 @pytest.mark.parametrize("pair", PAIRS[::STEP], ids=_id)
-def test_change_is_in_force_in_time_beside_any_two_faults(monkeypatch, pair):
+def test_change_is_applied_in_time_despite_any_two_faults(monkeypatch, pair):
     random.seed(1)
 
     async def main() -> list[str]:
@@ -76,8 +81,8 @@
         fleet.start()
         await asyncio.sleep(SETTLE_TIME_S)
         assert fleet.nodes_behind(1) == []
-        for fault, place in pair:
-            fault(fleet, _name(fleet, place))
+        for fault, target in pair:
+            fault(fleet, _node_name(fleet, target))
         fleet.put_desired(2)
         await asyncio.sleep(MAX_CHANGE_S)
         late = [
--- a/testing/edge/test_silent_store.py
+++ b/testing/edge/test_silent_store.py
@@ -1,19 +1,19 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Changes come into force in time although connections say nothing.
+"""Changes are applied in time although connections to the store hang.
 
-Symptom: requests were answered as version 14 or older allows 2.3 and 2.9 s
-after version 24 was accepted, 2 s being allowed.
+Symptom: requests were served according to version 14 or older of the desired
+state 2.3 and 2.9 s after version 24 was accepted; 2 s are allowed.
 
-Sequence: the store answered nobody for 5.4 s and reset nothing. It was
-back, and took versions 14 to 24, while processes still waited for reads
-that they had sent into the outage: six of seven until 4.8 s after its
-return ("no answer within 5.5 s"). No peer had news to pass on.
+Sequence: the store did not answer for 5.4 s and reset no connections. When it
+was back it accepted versions 14 to 24, while processes still waited for reads
+that they had sent during the outage: six of seven until 4.8 s after its return
+("no answer within 5.5 s"). No peer had a newer version.
 
-Cause: a read was given the time that it may wait for news and the time of
-an answer, 5.5 s together, whether or not the store had answered the last
-one. What settled it: of the seven, the one whose read had been sent 3 s
-earlier than the others' had version 24 1.7 s after the store's return, and
-the others had it from this one 0.2 to 0.5 s later.
+Cause: the timeout of a read was its wait for new records plus the time for an
+answer, 5.5 s in total, whether or not the store had answered the read before.
+Evidence: the one process whose read had been sent 3 s before the others' had
+version 24 1.7 s after the store's return, and the others got it from this
+process 0.2 to 0.5 s later.
 """
 
 import asyncio
@@ -25,18 +25,19 @@
 from lugcross.edge import app
 from lugcross.edge import long_poll
 
-#: Until every process has read, registered and heard of the others, s.
+#: Time for every process to read the store, register and find its peers.
 SETTLE_TIME_S = 20.0
-#: How long the store says nothing, in seconds.
+#: Time for which the store does not answer.
 OUTAGE_S = 5.4
-#: When trouble begins after that: anywhere in the cycle of reads, s.
+#: Start of the fault after that, at any phase of the cycle of reads.
 PHASES_S = [phase / 4 for phase in range(24)]
 
 
 def _late(monkeypatch, break_store, seed: int) -> list[str]:
-    """Return who goes by an older version once the store counts as sound.
+    """Return the processes with an older version after the recovery time.
 
-    :param break_store: coroutine that ends when the store is sound again.
+    :param break_store: coroutine function that injects a fault and returns
+        when the store works again.
     """
     random.seed(seed)
 
@@ -57,7 +58,7 @@
 
 
 def _late_by_phase(monkeypatch, break_store) -> dict[float, list[str]]:
-    """Return who is late, by the phase at which trouble begins."""
+    """Return the late processes by the phase at which the fault begins."""
     found = {}
     for phase in PHASES_S:
 
@@ -71,7 +72,7 @@
     return found
 
 
-def test_change_after_a_silent_outage_is_in_force_in_time(monkeypatch):
+def test_change_after_an_outage_is_applied_in_time(monkeypatch):
     async def outage(fleet: fleet_rig.Fleet) -> None:
         fleet.store.silent = True
         await asyncio.sleep(OUTAGE_S)
@@ -80,7 +81,7 @@
     assert _late_by_phase(monkeypatch, outage) == {}
 
 
-def test_change_is_in_force_in_time_where_open_connections_went_silent(
+def test_change_is_applied_in_time_after_open_connections_went_silent(
     monkeypatch,
 ):
     async def silence(fleet: fleet_rig.Fleet) -> None:
@@ -89,14 +90,12 @@
     assert _late_by_phase(monkeypatch, silence) == {}
 
 
-def test_store_that_answers_again_is_noticed_though_nothing_is_new(
-    monkeypatch,
-):
-    """After a read without an answer none waits for news.
+def test_end_of_an_outage_is_noticed_without_a_change(monkeypatch):
+    """After a failed read a process does not long-poll.
 
-    Where others are answered all the while, a process whose reads had failed
-    would otherwise send one that waits 20 s, and tell its peers until then
-    that it cannot reach the store; it would get no lease.
+    Otherwise, if the store answers the others, it would send a read that waits
+    20 s. Until that ended its heartbeats would say that it cannot reach the
+    store, and it would get no lease.
     """
     random.seed(1)
 
@@ -105,22 +104,27 @@
         fleet.put_desired(1)
         fleet.start()
         await asyncio.sleep(SETTLE_TIME_S)
-        some = [
+        cut_off_nodes = [
             n
             for n in fleet.nodes.values()
             if not n.state_sync.leaves_store_to_peers()
         ][1:]
-        for node in some:
+        for node in cut_off_nodes:
             fleet.store.unreachable_hosts.add(node.store_host)
             fleet.store.silence_connections(node.store_host)
-        # As long as a read of those that stand by may hang.
+        # A read of a standby reader may hang for that long.
         await asyncio.sleep(long_poll.STANDBY_WAIT.total_seconds() + 3.0)
-        assert all(node.state_sync.store_health.failing for node in some)
+        assert all(
+            node.state_sync.store_health.failing for node in cut_off_nodes
+        )
         fleet.store.unreachable_hosts.clear()
-        # One call that still hangs, the longest rest and the next call.
+        # Long enough for a call that still hangs, the longest wait before a
+        # retry, and the next call.
         await asyncio.sleep(app.STORE_TIMEOUT.total_seconds() + 1.1)
         late = [
-            node.name for node in some if node.state_sync.store_health.failing
+            node.name
+            for node in cut_off_nodes
+            if node.state_sync.store_health.failing
         ]
         await fleet.stop()
         return late
