--- a/testing/edge/test_store_calls.py
+++ b/testing/edge/test_store_calls.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A fleet that is at rest asks the store little, and misses nothing."""
+"""An idle fleet calls the store rarely, and misses no change."""
 
 import asyncio
 import random
@@ -8,16 +8,16 @@
 import pytest
 import virtual_time
 
-#: Processes of each failure domain.
+#: Number of processes in each failure domain.
 DOMAINS = (3, 3, 3, 3, 3)
-#: Until every process has read, registered and heard of the others, s.
+#: Time for every process to read the store, register and find its peers.
 SETTLE_TIME_S = 20.0
-#: How long the fleet is at rest, in seconds.
+#: Time during which calls are counted.
 OBSERVED_S = 60.0
 
 
 class _CallCounter:
-    """Counts the calls to the store of a fleet."""
+    """Counts the calls of a fleet to its store."""
 
     def __init__(self, fleet: fleet_rig.Fleet) -> None:
         self.calls = 0
@@ -30,7 +30,7 @@
 
 
 async def _settled_fleet(monkeypatch) -> fleet_rig.Fleet:
-    """Return a fleet whose processes have all heard of each other."""
+    """Return a fleet whose processes know all their peers."""
     fleet = fleet_rig.Fleet(monkeypatch, *DOMAINS)
     fleet.put_desired(1)
     fleet.start()
@@ -38,8 +38,11 @@
     return fleet
 
 
-def _calls_at_rest(monkeypatch, *, changes: int = 0) -> int:
-    """Return the calls of a fleet within a minute of few or no changes."""
+def _calls_in_a_minute(monkeypatch, *, changes: int = 0) -> int:
+    """Return the number of calls of a fleet within a minute.
+
+    :param changes: number of changes of the desired state, one a second.
+    """
     random.seed(1)
 
     async def main() -> int:
@@ -56,22 +59,25 @@
     return virtual_time.run(main())
 
 
-def test_fleet_at_rest_makes_two_calls_in_three_seconds(monkeypatch):
-    """One process reads each topic every few seconds, for all of them.
+def test_idle_fleet_makes_under_150_calls_a_minute(monkeypatch):
+    """One process reads each topic every few seconds, for the whole fleet.
 
-    Calls were the dearest price of fifteen processes in five domains: ten of
-    them each made two every 1.1 to 1.4 s, 790 in this minute.
+    Failure: of fifteen processes in five failure domains ten made two calls
+    every 1.1 to 1.4 s each, 790 in this minute. The store bills each call.
     """
-    assert _calls_at_rest(monkeypatch) < 150
+    assert _calls_in_a_minute(monkeypatch) < 150
 
 
 @pytest.mark.parametrize("changes", [10])
 def test_each_change_wakes_one_read_in_a_domain(monkeypatch, changes: int):
-    more = _calls_at_rest(monkeypatch, changes=changes)
-    assert more - _calls_at_rest(monkeypatch) <= changes * len(DOMAINS)
+    with_changes = _calls_in_a_minute(monkeypatch, changes=changes)
+    without = _calls_in_a_minute(monkeypatch)
+    assert with_changes - without <= changes * len(DOMAINS)
 
 
-def test_others_take_over_when_who_asks_for_all_goes_silent(monkeypatch):
+def test_other_processes_take_over_when_the_first_reader_is_cut_off(
+    monkeypatch,
+):
     random.seed(1)
 
     async def main() -> None:
