--- a/src/lugcross/edge/messages.py
+++ b/src/lugcross/edge/messages.py
@@ -13,8 +13,10 @@
 #: Number of requests in progress; one process never has as many as the limit.
 _Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
 #: Longest reported age of a store answer; an older one is reported as none.
-MAX_AGE_MS = 60_000
-_AgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_AGE_MS)]
+MAX_STORE_ANSWER_AGE_MS = 60_000
+_StoreAnswerAgeMs = Annotated[
+    int, msgspec.Meta(ge=-1, le=MAX_STORE_ANSWER_AGE_MS)
+]
 #: Longest reported age of a crash; the suspicion has expired by then.
 MAX_CRASH_AGE_MS = int(crash_suspects.SUSPICION_TTL.total_seconds() * 1000)
 _CrashAgeMs = Annotated[int, msgspec.Meta(ge=-1, le=MAX_CRASH_AGE_MS)]
@@ -119,8 +121,8 @@
     relay: bool = False
     sequence: int = 0
     workspace_uses: dict[int, _Count] = {}
-    desired_age_ms: _AgeMs = -1
-    backends_age_ms: _AgeMs = -1
+    desired_age_ms: _StoreAnswerAgeMs = -1
+    backends_age_ms: _StoreAnswerAgeMs = -1
     slow_backends: list[str] = []
     suspects: list[Suspect] = []
     leaving_backends: list[_Name] = []
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -107,7 +107,7 @@
         return heartbeat.domain == self._settings.domain
 
     def _should_ask_at_once(self) -> bool:
-        """Tell whether waiting for the store is of no use."""
+        """Return whether waiting for the store is of no use."""
         old = self._edge_state.backends.age() > _STALE_BACKENDS_AGE
         return old or self._not_reading_store()
 
--- a/src/lugcross/edge/peers.py
+++ b/src/lugcross/edge/peers.py
@@ -250,7 +250,7 @@
             self._send_to(peers[self._other_domain_turn % len(peers)], data)
 
     def _is_due(self, domain: str, now: clock_lib.Instant) -> bool:
-        """Tell whether it is time to send to another domain again."""
+        """Return whether it is time to send to another domain again."""
         last = self._other_domain_sent_at.get(domain)
         return last is None or now - last >= _OTHER_DOMAIN_SEND_INTERVAL
 
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -62,8 +62,9 @@
 class StateSync:
     """Updates the edge state from the store and from peers.
 
-    It also sends this process's heartbeats, serves the state requests of peers
-    and tells which process reads the store or leads map switches.
+    It also sends this process's heartbeats, serves the state requests of
+    peers, and decides from their heartbeats whether this process reads the
+    store and whether it may be the leader for expert maps.
 
     Attributes that hold functions are set by the owner before :meth:`run`.
     """
@@ -223,26 +224,27 @@
     def leaves_store_to_peers(self) -> bool:
         """Return whether peers of this domain read the store for this one."""
         return not store_readers.reads_store(
-            self._reader(), self._other_readers()
+            self._own_reader_candidate(), self._peer_reader_candidates()
         )
 
     def reader_index(self) -> int:
-        """Return this process's index among those that read the store.
+        """Return the number of store readers that come before this process.
 
-        The reader with index 0 polls it most often.
+        With 0 this process polls the store every few seconds; the reads of
+        other readers may wait longer.
         """
         return store_readers.reader_position(
-            self._reader(), self._other_readers()
+            self._own_reader_candidate(), self._peer_reader_candidates()
         )
 
-    def _reader(self) -> store_readers.ReaderCandidate:
+    def _own_reader_candidate(self) -> store_readers.ReaderCandidate:
         return store_readers.ReaderCandidate(
             self._incarnation,
             not self.store_health.failing,
             self._settings.domain,
         )
 
-    def _other_readers(self) -> list[store_readers.ReaderCandidate]:
+    def _peer_reader_candidates(self) -> list[store_readers.ReaderCandidate]:
         return [
             store_readers.ReaderCandidate(
                 heartbeat.incarnation, heartbeat.reads_store, heartbeat.domain
@@ -272,7 +274,7 @@
                 self._edge_state.desired is None
                 and not self._may_adopt_initial()
             ):
-                self._initial_desired = self._checked(record.value)
+                self._initial_desired = self._valid_or_initial(record.value)
             else:
                 self._adopt(record.value, urgent=True)
 
@@ -292,8 +294,8 @@
         if result.records:
             self.peers.schedule_send()
 
-    def _checked(self, record: bytes) -> bytes:
-        """Return a desired-state record, or the earlier one if invalid."""
+    def _valid_or_initial(self, record: bytes) -> bytes:
+        """Return a record if valid, otherwise the initial one so far."""
         try:
             platform.decode_desired(record)
         except errors.ChangeError as exc:
@@ -356,7 +358,7 @@
         :returns: -1 if it has never answered, or too long ago to report.
         """
         age = self.store_contact.own_answer_age(topic)
-        if age is None or age > messages.MAX_AGE_MS * _MS:
+        if age is None or age > messages.MAX_STORE_ANSWER_AGE_MS * _MS:
             return -1
         return int(age / _MS)
 
@@ -403,8 +405,8 @@
         """Write again what the store may have lost.
 
         The store has come back from an older copy, which lacks the newest
-        records. Only processes that wrote lately write again, so that not all
-        call the store at once.
+        records. To keep calls few, only processes that registered lately
+        register again, and only the first reader writes crash suspects again.
         """
         if era <= (self._era or 0):
             return
@@ -444,9 +446,9 @@
     def _may_adopt_initial(self) -> bool:
         """Return whether the store's desired state may be adopted now."""
         age = self._clock.monotonic() - self._started_at
-        alone = not self.peers.count()
+        knows_no_peer = not self.peers.count()
         if (
-            alone
+            knows_no_peer
             or self._edge_state.desired is not None
             or age >= _INITIAL_WAIT_FOR_NEWER
         ):
--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -58,7 +58,7 @@
         self.failure_reason = ""
 
     def failed_within(self, period: datetime.timedelta) -> bool:
-        """Tell whether a call failed during the last ``period``."""
+        """Return whether a call failed during the last ``period``."""
         if self._last_failure is None:
             return False
         return self._clock.monotonic() - self._last_failure < period
