--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -9,6 +9,7 @@
 
 #: Missing versions that are tracked; beyond it the oldest are dropped.
 _MAX_MISSING = 64
+#: Lag of a process that has every known version.
 _NO_LAG = datetime.timedelta()
 
 
--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -20,6 +20,7 @@
 #: Longest wait after a failed call. It is well below the time within which a
 #: change must be applied, so that the end of an outage is noticed early.
 _RETRY_MAX_S = 1.0
+#: Wait of a read that is to be answered at once, with or without new records.
 _NO_WAIT = datetime.timedelta()
 #: Time between two checks whether to resume or restart reading.
 _CHECK_INTERVAL_S = 0.25
