--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -31,13 +31,13 @@
             collections.deque(maxlen=_MAX_MISSING)
         )
 
-    def note_available(self, number: int) -> None:
-        """Note that a peer has version ``number``.
+    def note_available(self, version: int) -> None:
+        """Note that a peer has version ``version``.
 
         Versions that are not above the newest known one are ignored.
         """
-        if not self._missing or number > self._missing[-1][0]:
-            self._missing.append((number, self._clock.monotonic()))
+        if not self._missing or version > self._missing[-1][0]:
+            self._missing.append((version, self._clock.monotonic()))
 
     def age(self, own: int) -> datetime.timedelta:
         """Return the time since this process learned of a version it lacks.
@@ -60,6 +60,6 @@
         """
         now = self._clock.monotonic()
         if self._missing:
-            number = self._missing[-1][0]
+            version = self._missing[-1][0]
             self._missing.clear()
-            self._missing.append((number, now))
+            self._missing.append((version, now))
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -321,7 +321,9 @@
         if self._edge_state.adopt(state, record):
             self.peers.schedule_send(urgent=urgent)
 
-    def _make_heartbeat(self, known: list[str]) -> messages.Heartbeat:
+    def _make_heartbeat(
+        self, known_addresses: list[str]
+    ) -> messages.Heartbeat:
         _, port = address.split_host_port(self._settings.listen.state)
         return messages.Heartbeat(
             node=self._settings.node,
@@ -335,7 +337,7 @@
                 str(key): count
                 for key, count in self._edge_state.loads.own_requests().items()
             },
-            known_addresses=known,
+            known_addresses=known_addresses,
             started_ms=0 if self.is_unfit_to_lead() else self._started_ms,
             broken_backends=[str(key) for key in self.seen_broken_backends()],
             lease_generation=self.lease_generation() or 0,
--- a/testing/edge/test_store_copies.py
+++ b/testing/edge/test_store_copies.py
@@ -45,7 +45,13 @@
     fleet_rig.STORE_RECOVERY_S
     + edge_rig.BOUNDS.max_change_time.total_seconds()
 )
-FAULTS = ("none", "restart", "cut", "silent", "turned-away")
+FAULTS = (
+    "none",
+    "restart",
+    "cut-off",
+    "silent-connections",
+    "cut-off-from-store",
+)
 
 
 def _entry(state: str = "ready", **fields: object) -> bytes:
@@ -150,11 +156,11 @@
     await asyncio.sleep(rng.uniform(0.0, 0.5))
     if fault == "restart":
         await fleet.restart(name)
-    elif fault == "cut":
+    elif fault == "cut-off":
         fleet.cut_off(name)
-    elif fault == "silent":
+    elif fault == "silent-connections":
         fleet.store.silence_connections()
-    elif fault == "turned-away":
+    elif fault == "cut-off-from-store":
         fleet.cut_off_from_store(name)
 
 
@@ -179,16 +185,16 @@
     fleet.start()
     await asyncio.sleep(4.0)
     checker = _Checker(fleet, writers)
-    cut = set()
+    cut_off = set()
     for _ in range(times):
         copy = fleet.store.standin.copy()
         writers.write_desired(writers.version + 1)
         writers.write("i-left", b"")
         writers.write("i-drains", _entry("draining"))
-        for beat in range(ENTRY_WRITES):
-            writers.write("i-stays", _entry(sequence=beat))
+        for sequence in range(ENTRY_WRITES):
+            writers.write("i-stays", _entry(sequence=sequence))
             writers.write(
-                "i-goes", _entry(writers.leaving_state, sequence=beat)
+                "i-goes", _entry(writers.leaving_state, sequence=sequence)
             )
         writers.write(f"i-new-{writers.version}", _entry())
         # Long enough that a server that left must no longer be used.
@@ -197,8 +203,8 @@
         fleet.store.silent = True
         await asyncio.sleep(OUTAGE_S)
         target = rng.choice(list(fleet.nodes))
-        if fault == "cut":
-            cut.add(target)
+        if fault == "cut-off":
+            cut_off.add(target)
         fleet.store.standin.restore_from(copy)
         fleet.store.silent = False
         injection = asyncio.create_task(
@@ -210,13 +216,15 @@
         writers.leaving_state = "draining"
         writers.write("i-goes", _entry("draining"))
         await asyncio.sleep(
-            SILENT_RECOVERY_TIME_S if fault == "silent" else RECOVERY_TIME_S
+            SILENT_RECOVERY_TIME_S
+            if fault == "silent-connections"
+            else RECOVERY_TIME_S
         )
         checking.cancel()
     late = [
         node.name
         for node in fleet.nodes.values()
-        if node.name not in cut
+        if node.name not in cut_off
         and (
             node.version != writers.version
             or _usable_ids(node) - {"i-stays"}
