--- a/src/lugcross/edge/settings.py
+++ b/src/lugcross/edge/settings.py
@@ -60,8 +60,8 @@
         to leave until it must get no new requests.
     :param change_ms: milliseconds from the acceptance of a change of the
         desired state until all processes must apply it.
-    :param repeat_ratio: retries of ours that a service may get for each of its
-        requests, within ``repeat_window_s`` seconds.
+    :param repeat_ratio: retries by edge processes that a service may get for
+        each of its requests, within ``repeat_window_s`` seconds.
     :param repeat_slack: retries allowed in addition to that ratio, in total
         for all processes.
     :param contact_ms: milliseconds from the time that the store is reachable
