--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -142,7 +142,9 @@
         self._leadership.has_work_in_progress = (
             self._map_manager.switch_runner.is_busy
         )
-        self.state_sync.is_unfit = self._map_manager.switch_runner.is_stuck
+        self.state_sync.is_unfit_to_lead = (
+            self._map_manager.switch_runner.is_stuck
+        )
         self.state_sync.lease_generation = self._leadership.generation
         self.state_sync.on_peer_generation = (
             self._leadership.note_newer_generation
@@ -214,7 +216,7 @@
 
     def _background_loops(self) -> list[Coroutine[Any, Any, None]]:
         state_sync = self.state_sync
-        followers = store_followers.followers(
+        followers = store_followers.make_followers(
             self._store, self.edge_state, state_sync
         )
         return [
@@ -321,7 +323,7 @@
         begun = self._clock.monotonic()
         self._stopping_since = begun
         self.state_sync.leave()
-        end = begun + self.edge_state.bounds.grace * _DRAIN_GRACE_RATIO
+        end = begun + self.edge_state.bounds.grace_period * _DRAIN_GRACE_RATIO
         while self._clock.monotonic() < end:
             if self._refuses_requests():
                 for conn in list(self._conns):
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Where a process's knowledge comes from: the store, and peers."""
+"""Keeps a process's state up to date from the store and from peers."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,35 +32,42 @@
 from lugcross import platform
 from lugcross import positions
 
-#: Silence after which a process that looked after expert maps is taken as
-#: gone; two of its heartbeats, so that a dead one's pass is not held long.
-_DUTY_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
-#: Silence after which a holder of the lease is taken as gone: under load
-#: processes tell each other every 50 ms, and at least every half second.
-#: Who is wrong calls the store for nothing, and leaves a renewed lease.
+#: Silence after which a peer no longer counts as the leader for expert maps or
+#: as a reader of the store: two heartbeats, so that another takes over soon.
+_ACTIVE_PEER_TIMEOUT = datetime.timedelta(seconds=1.1)
+#: Silence after which a peer that holds the lease counts as dead. Heartbeats
+#: come at least every 500 ms, and every 50 ms under load. If the peer is alive
+#: after all, this process reads the store in vain and finds the lease renewed.
 _LEASE_HOLDER_TIMEOUT = datetime.timedelta(milliseconds=600)
-#: Time after a start in which a process leaves the duty to others: it has
-#: not heard of all of them yet. A lease needs no such time: one process
-#: gets it, whoever else tries.
-_DUTY_START_DELAY = datetime.timedelta(seconds=2)
-#: Age of the oldest copy that the store is expected to come back from; what
-#: was written before stands in it.
+#: Time after a start for which this process does not become the leader without
+#: a lease, as it has not heard from all peers yet. With a lease no such delay
+#: is needed: only one process can get it.
+_LEADER_START_DELAY = datetime.timedelta(seconds=2)
+#: Greatest age of a copy that the store may come back from; whatever was
+#: written earlier is in the copy.
 _MAX_STORE_COPY_AGE = datetime.timedelta(seconds=60)
-#: Time after a start in which peers are listened to before the desired state
-#: that the store tells counts: many round trips, well within what a start
-#: takes.
+#: Time after a start for which this process waits for heartbeats before it
+#: adopts the store's desired state: a peer may have a newer one. It is many
+#: round trips, and short compared with a start.
 _INITIAL_LISTEN_TIME = datetime.timedelta(milliseconds=250)
-#: Time after a start for which a newer one is waited for that a peer has:
-#: two of them are asked within it.
+#: Time after a start for which this process waits to get a newer desired state
+#: from a peer that has one; long enough to ask two peers.
 _INITIAL_WAIT_FOR_NEWER = datetime.timedelta(seconds=1.5)
-#: Time between two looks meanwhile, in seconds.
+#: Time between two checks meanwhile.
 _INITIAL_CHECK_INTERVAL_S = 0.02
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
 class StateSync:
-    """Puts what the store and the peers tell into the edge_state."""
+    """Updates the edge state from the store and from peers.
+
+    It also sends this process's heartbeats, serves the state requests of
+    peers, and decides from their heartbeats whether this process reads the
+    store and whether it may be the leader for expert maps.
+
+    Attributes that hold functions are set by the owner before :meth:`run`.
+    """
 
     def __init__(
         self,
@@ -80,36 +87,39 @@
         self._clock = clock
         self._started_at = clock.monotonic()
         self._started_ms = int(clock.now().timestamp() * 1000)
-        #: Whether this process cannot look after expert maps for now.
-        self.is_unfit: Callable[[], bool] = lambda: False
-        #: Number of this process's lease of expert maps, if it has one.
+        #: Returns whether this process cannot be the leader for expert maps.
+        self.is_unfit_to_lead: Callable[[], bool] = lambda: False
+        #: Returns the generation of this process's lease, if it has one.
         self.lease_generation: Callable[[], experts.Generation | None] = (
             lambda: None
         )
-        #: Whether the store answers this process about the lease.
+        #: Returns whether the store answers this process about the lease.
         self.can_claim_lease: Callable[[], bool] = lambda: True
-        #: Called with the number of a peer's lease.
+        #: Called with the generation of a peer's lease; 0 without one.
         self.on_peer_generation: Callable[[experts.Generation], None] = (
             lambda number: None
         )
-        #: Backend servers that this process has seen in broken groups.
+        #: Returns the backend servers that this process saw in broken groups.
         self.seen_broken_backends: Callable[[], list[desired.BackendKey]] = (
             list
         )
-        #: Backend servers that this process knows to hold their groups back.
+        #: Returns the backend servers that slow down their groups, as seen by
+        #: this process.
         self.seen_slow_backends: Callable[[], list[desired.BackendKey]] = list
-        ledger = edge_state.crash_tracker.registry
-        self._suspect_gossip = suspect_gossip.SuspectGossip(ledger, clock)
-        self._suspect_store = suspect_store.SuspectStore(ledger, store, clock)
+        registry = edge_state.crash_tracker.registry
+        self._suspect_gossip = suspect_gossip.SuspectGossip(registry, clock)
+        self._suspect_store = suspect_store.SuspectStore(
+            registry, store, clock
+        )
         edge_state.crash_tracker.on_refused = self._suspect_store.save
         store.on_new_era = self._on_new_era
-        #: The desired state that the store told first, until it is sure that
-        #: no peer has a newer one.
+        #: Record of the desired state from the store that is not adopted yet,
+        #: as a peer may have a newer one; empty without one.
         self._initial_desired: bytes = b""
-        #: Newest era of the store that this process has acted on.
+        #: Newest era of the store that this process has handled.
         self._era: positions.Era | None = None
         self.store_health = topic_follower.StoreHealth(clock)
-        self.answers = store_contact.StoreContact(clock)
+        self.store_contact = store_contact.StoreContact(clock)
         self._lags = {
             topic: lag_lib.Lag(clock)
             for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC)
@@ -133,7 +143,7 @@
             edge_state,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
-            without_store=lambda: (
+            not_reading_store=lambda: (
                 self.store_health.failing or self.leaves_store_to_peers()
             ),
             clock=clock,
@@ -142,7 +152,7 @@
         self._state_server = state_transfer.StateServer(self.peer_sync.respond)
 
     async def start(self) -> None:
-        """Listen for peers."""
+        """Start to listen for heartbeats and state requests of peers."""
         await self._state_server.start(
             *address.split_host_port(self._settings.listen.state)
         )
@@ -152,11 +162,15 @@
             lambda: self.peers, local_addr=(host, port)
         )
         for seed in self._settings.seeds:
-            # Ports are the same on all machines.
+            # All processes use the same port for heartbeats.
             self.peers.add(f"{address.split_host_port(seed)[0]}:{port}")
 
     async def run(self) -> None:
-        """Register, and ask peers whenever the store does not answer."""
+        """Register and keep in sync with peers until cancelled.
+
+        Topics of the store are followed separately, by the followers of
+        :mod:`lugcross.edge.store_followers`.
+        """
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.peers.run())
             tasks.create_task(self._registration.run())
@@ -165,133 +179,151 @@
             tasks.create_task(self._suspect_store.run())
 
     def leave(self) -> None:
-        """Tell the peers that this process is being stopped."""
+        """Tell the peers that this process is shutting down."""
         self._leaving = True
         self.peers.schedule_send(urgent=True)
 
     def close(self) -> None:
-        """Stop listening."""
+        """Send a last heartbeat and stop listening for state requests."""
         self.peers.send_now()
         self._state_server.close()
 
     @property
     def incarnation(self) -> str:
-        """Drawn anew at each start of a process."""
+        """Random token that identifies this run of the process."""
         return self._incarnation
 
     def is_eligible(self) -> bool:
-        """Tell whether this process may look after expert maps."""
-        return not self._leaving and not self.is_unfit()
+        """Return whether this process may be the leader for expert maps."""
+        return not self._leaving and not self.is_unfit_to_lead()
 
     def is_first_candidate(self) -> bool:
-        """Tell whether it runs longest of those that may.
+        """Return whether this process started first of those that may lead.
 
-        Where a lease is needed, one that the store turns away cannot get
-        it, and nobody waits for it.
+        Where a lease is needed, processes that the store does not answer are
+        left out, as they cannot get it.
         """
         leased = self._edge_state.bounds.fenced
         age = self._clock.monotonic() - self._started_at
-        if age < _DUTY_START_DELAY and not leased:
+        if age < _LEADER_START_DELAY and not leased:
             return False
-        timeout = _LEASE_HOLDER_TIMEOUT if leased else _DUTY_PEER_TIMEOUT
-        claims = [
+        timeout = _LEASE_HOLDER_TIMEOUT if leased else _ACTIVE_PEER_TIMEOUT
+        candidates = [
             experts.Candidate(heartbeat.started_ms, heartbeat.incarnation)
             for heartbeat in self._live_heartbeats(timeout)
             if heartbeat.started_ms and (heartbeat.reads_store or not leased)
         ]
         own = experts.Candidate(self._started_ms, self._incarnation)
-        return experts.elect_leader([*claims, own]) == own
+        return experts.elect_leader([*candidates, own]) == own
 
     def lease_held_by_peer(self) -> bool:
-        """Tell whether a live peer has the lease of expert maps."""
+        """Return whether a live peer has the lease on expert maps."""
         heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
-        return any(heartbeat.generation for heartbeat in heartbeats)
+        return any(heartbeat.lease_generation for heartbeat in heartbeats)
 
     def leaves_store_to_peers(self) -> bool:
-        """Tell whether peers of this domain ask the store for this one."""
+        """Return whether peers of this domain read the store for this one."""
         return not store_readers.reads_store(
-            self._reader(), self._other_readers()
+            self._own_reader_candidate(), self._peer_reader_candidates()
         )
 
-    def reader_rank(self) -> int:
-        """Return how many processes ask the store before this one."""
+    def reader_index(self) -> int:
+        """Return the number of store readers that come before this process.
+
+        With 0 this process polls the store every few seconds; the reads of
+        other readers may wait longer.
+        """
         return store_readers.reader_index(
-            self._reader(), self._other_readers()
+            self._own_reader_candidate(), self._peer_reader_candidates()
         )
 
-    def _reader(self) -> store_readers.ReaderCandidate:
+    def _own_reader_candidate(self) -> store_readers.ReaderCandidate:
         return store_readers.ReaderCandidate(
             self._incarnation,
             not self.store_health.failing,
             self._settings.domain,
         )
 
-    def _other_readers(self) -> list[store_readers.ReaderCandidate]:
+    def _peer_reader_candidates(self) -> list[store_readers.ReaderCandidate]:
         return [
             store_readers.ReaderCandidate(
                 heartbeat.incarnation, heartbeat.reads_store, heartbeat.domain
             )
-            for heartbeat in self._live_heartbeats(_DUTY_PEER_TIMEOUT)
+            for heartbeat in self._live_heartbeats(_ACTIVE_PEER_TIMEOUT)
         ]
 
     def _live_heartbeats(
         self, timeout: datetime.timedelta
     ) -> list[messages.Heartbeat]:
-        """Return the newest news of peers that may have the duty."""
+        """Return the newest heartbeats of live peers that are not leaving."""
         return [
             peer.heartbeat
             for peer in self.peers.live(timeout)
             if peer.heartbeat and not peer.heartbeat.leaving
         ]
 
-    def apply_desired(self, tail: platform.ReadResult, newest: bool) -> None:
-        """Take over records of the operator."""
-        del newest
-        for record in tail.records:
+    def apply_desired(
+        self, result: platform.ReadResult, is_snapshot: bool
+    ) -> None:
+        """Apply records of the operator's topic: the desired state."""
+        del is_snapshot
+        for record in result.records:
             if record.key != platform.DESIRED_STATE_KEY or not record.value:
                 continue
             if (
                 self._edge_state.desired is None
                 and not self._may_adopt_initial()
             ):
-                self._initial_desired = self._checked(record.value)
+                self._initial_desired = self._valid_or_initial(record.value)
             else:
                 self._adopt(record.value, urgent=True)
 
-    def apply_backends(self, tail: platform.ReadResult, newest: bool) -> None:
-        """Take over records of backend servers."""
-        contact = self._edge_state.bounds.contact
-        away = self.store_health.failed_within(contact)
-        if newest:
-            self._edge_state.backends.replace(tail, store_was_away=away)
+    def apply_backends(
+        self, result: platform.ReadResult, is_snapshot: bool
+    ) -> None:
+        """Apply records of the list of backend servers.
+
+        :param is_snapshot: whether ``result`` replaces the whole list.
+        """
+        recovery = self._edge_state.bounds.store_recovery_time
+        away = self.store_health.failed_within(recovery)
+        if is_snapshot:
+            self._edge_state.backends.replace(result, store_was_away=away)
         else:
-            self._edge_state.backends.apply(tail, store_was_away=away)
-        if tail.records:
+            self._edge_state.backends.apply(result, store_was_away=away)
+        if result.records:
             self.peers.schedule_send()
 
-    def _checked(self, record: bytes) -> bytes:
-        """Return a record of the desired state if it can be read."""
+    def _valid_or_initial(self, record: bytes) -> bytes:
+        """Return a record if valid, otherwise the initial one so far."""
         try:
             platform.decode_desired(record)
         except errors.ChangeError as exc:
-            logging.error("desired state kept out", extra={"why": str(exc)})
+            logging.error(
+                "invalid desired state ignored", extra={"why": str(exc)}
+            )
             return self._initial_desired
         return record
 
     def _adopt(self, record: bytes, *, urgent: bool) -> None:
-        """Put a desired state in force.
+        """Adopt a desired state unless it is invalid or not newer.
 
-        :param urgent: whether nobody else may know of it yet.
+        :param urgent: whether to tell other failure domains at once, as no
+            peer may have it yet.
         """
         try:
             state = platform.decode_desired(record)
         except errors.ChangeError as exc:
-            logging.error("desired state kept out", extra={"why": str(exc)})
+            logging.error(
+                "invalid desired state ignored", extra={"why": str(exc)}
+            )
             return
         if self._edge_state.adopt(state, record):
             self.peers.schedule_send(urgent=urgent)
 
-    def _make_heartbeat(self, known: list[str]) -> messages.Heartbeat:
+    def _make_heartbeat(
+        self, known_addresses: list[str]
+    ) -> messages.Heartbeat:
         _, port = address.split_host_port(self._settings.listen.state)
         return messages.Heartbeat(
             node=self._settings.node,
@@ -299,23 +331,23 @@
             domain=self._settings.domain,
             state_port=port,
             leaving=self._leaving,
-            version=self._edge_state.version,
+            desired_version=self._edge_state.version,
             backends_end=self._edge_state.backends.end,
-            running={
+            running_requests={
                 str(key): count
                 for key, count in self._edge_state.loads.own_requests().items()
             },
-            known_addresses=known,
-            started_ms=0 if self.is_unfit() else self._started_ms,
+            known_addresses=known_addresses,
+            started_ms=0 if self.is_unfit_to_lead() else self._started_ms,
             broken_backends=[str(key) for key in self.seen_broken_backends()],
-            generation=self.lease_generation() or 0,
+            lease_generation=self.lease_generation() or 0,
             reads_store=not self.store_health.failing
             and self.can_claim_lease(),
             workspace_uses=self._edge_state.workspace_usage.own_counts(),
             desired_age_ms=self._store_answer_age_ms(platform.OPERATOR_TOPIC),
             backends_age_ms=self._store_answer_age_ms(platform.BACKENDS_TOPIC),
             slow_backends=[str(key) for key in self.seen_slow_backends()],
-            suspects=self._suspect_gossip.outgoing(),
+            suspects=self._suspect_gossip.next_suspects(),
             leaving_backends=[
                 str(key)
                 for key in self._edge_state.backends.leaving_by_answer_only()
@@ -323,9 +355,12 @@
         )
 
     def _store_answer_age_ms(self, topic: str) -> int:
-        """Return how long ago the store answered; -1 if too long ago."""
-        age = self.answers.own_answer_age(topic)
-        if age is None or age > messages.MAX_AGE_MS * _MS:
+        """Return the age of the store's last answer in milliseconds.
+
+        :returns: -1 if it has never answered, or too long ago to report.
+        """
+        age = self.store_contact.own_answer_age(topic)
+        if age is None or age > messages.MAX_STORE_ANSWER_AGE_MS * _MS:
             return -1
         return int(age / _MS)
 
@@ -335,12 +370,12 @@
             return
         running = {
             desired.BackendKey(key): count
-            for key, count in heartbeat.running.items()
+            for key, count in heartbeat.running_requests.items()
         }
         self._on_peer_era(positions.Position(heartbeat.backends_end))
-        near = heartbeat.domain == self._settings.domain
+        same_domain = heartbeat.domain == self._settings.domain
         self._edge_state.loads.record_peer_requests(
-            heartbeat.node, running, same_domain=near
+            heartbeat.node, running, same_domain=same_domain
         )
         self._edge_state.workspace_usage.apply_peer_counts(
             heartbeat.node, heartbeat.workspace_uses
@@ -354,34 +389,44 @@
             self._edge_state.backends.note_leaving_answer(
                 desired.BackendKey(name)
             )
-        self.on_peer_generation(experts.Generation(heartbeat.generation))
-        self._lags[platform.OPERATOR_TOPIC].note_known(heartbeat.version)
-        self._lags[platform.BACKENDS_TOPIC].note_known(heartbeat.backends_end)
+        self.on_peer_generation(experts.Generation(heartbeat.lease_generation))
+        self._lags[platform.OPERATOR_TOPIC].note_available(
+            heartbeat.desired_version
+        )
+        self._lags[platform.BACKENDS_TOPIC].note_available(
+            heartbeat.backends_end
+        )
         for topic, age_ms in (
             (platform.OPERATOR_TOPIC, heartbeat.desired_age_ms),
             (platform.BACKENDS_TOPIC, heartbeat.backends_age_ms),
         ):
             if age_ms >= 0:
-                self.answers.record_peer_answer(topic, age_ms * _MS)
+                self.store_contact.record_peer_answer(topic, age_ms * _MS)
 
     def _on_new_era(self, era: positions.Era, before: positions.Era) -> None:
-        """Have written again what the store may have lost of ours.
+        """Write again what the store may have lost.
 
-        It comes back from a copy some seconds old: what stood there for long
-        is in it, so that few processes call.
+        The store has come back from an older copy, which lacks the newest
+        records. To keep calls few, only processes that registered lately
+        register again, and only the first reader writes crash suspects again.
         """
         if era <= (self._era or 0):
             return
         self._era = era
-        logging.warning("store is a copy", extra={"era": era, "was": before})
+        logging.warning(
+            "store restored from older copy", extra={"era": era, "was": before}
+        )
         self._edge_state.metrics.count_store_copy()
         since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
         self._registration.register_again_if_done_since(since)
-        if not self.reader_rank():
-            self._suspect_store.save_again(since)
+        if not self.reader_index():
+            self._suspect_store.save_changed_since(since)
 
     def _on_peer_era(self, end: positions.Position) -> None:
-        """Note the era of a peer's news; few processes ask the store."""
+        """Handle the era in a peer's heartbeat.
+
+        A process that does not read the store learns of a new era this way.
+        """
         era = positions.era(end)
         known = max(self._era or 0, self._store.era)
         if self._era is None:
@@ -390,10 +435,10 @@
             self._on_new_era(era, positions.Era(known))
 
     async def _adopt_initial_desired(self) -> None:
-        """Adopt what the store told first, unless a peer has a newer one.
+        """Adopt the store's desired state, unless a peer has a newer one.
 
-        The store may have come back from a copy a moment ago; who has heard
-        of a later version must not serve by an earlier one.
+        The store may just have come back from an older copy. A process that
+        learned from a peer of a newer version must not serve by an older one.
         """
         while not self._may_adopt_initial():
             await asyncio.sleep(_INITIAL_CHECK_INTERVAL_S)
@@ -401,10 +446,11 @@
             self._adopt(self._initial_desired, urgent=True)
 
     def _may_adopt_initial(self) -> bool:
+        """Return whether the store's desired state may be adopted now."""
         age = self._clock.monotonic() - self._started_at
-        alone = not self.peers.count()
+        knows_no_peer = not self.peers.count()
         if (
-            alone
+            knows_no_peer
             or self._edge_state.desired is not None
             or age >= _INITIAL_WAIT_FOR_NEWER
         ):
@@ -413,17 +459,17 @@
             peer.heartbeat for peer in self.peers.live() if peer.heartbeat
         ]
         newest = max(
-            (heartbeat.version for heartbeat in heartbeats), default=0
+            (heartbeat.desired_version for heartbeat in heartbeats), default=0
         )
         if not newest:
-            # Nobody that was heard knows one; others may be heard yet.
+            # No peer heard so far has one; heartbeats of others may come.
             return bool(self._initial_desired) and age >= _INITIAL_LISTEN_TIME
         if not self._initial_desired:
             return False
         return newest <= platform.decode_desired(self._initial_desired).version
 
     def lag(self, topic: str) -> datetime.timedelta:
-        """Return since when this process knows of news that it lacks."""
+        """Return for how long this process has been behind in a topic."""
         own = {
             platform.OPERATOR_TOPIC: self._edge_state.version,
             platform.BACKENDS_TOPIC: int(self._edge_state.backends.end),
@@ -431,6 +477,6 @@
         return self._lags[topic].age(own[topic])
 
     def on_store_answer(self, topic: str) -> None:
-        """Note that the store has told all that it has of a topic."""
-        self.answers.record_answer(topic)
+        """Record that the store has answered a read of a topic."""
+        self.store_contact.record_answer(topic)
         self._lags[topic].restart()
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a process follows at the store, and how long its reads wait."""
+"""The topics that an edge process follows, and how long its reads wait."""
 
 from collections.abc import Callable
 import datetime
@@ -11,28 +11,29 @@
 from lugcross.edge import topic_follower
 from lugcross import platform
 
-#: Shortest time between two reads of the desired state, for storms.
+#: Shortest time between two reads of the desired state, which limits the rate
+#: of reads while it changes often.
 _DESIRED_MIN_INTERVAL = datetime.timedelta(milliseconds=100)
-#: Shortest time between two reads of the backend servers, as a part of the
-#: bound within which a leaving one must get nothing new. Many of them change
-#: one after the other when a service is released: at a bound of 4 s a read
-#: that waits was woken 2.5 times a second with 0.4 s, and 1.25 with this.
+#: Shortest time between two reads of the list of backend servers, as a
+#: fraction of the time for which a leaving one may be used. When a service is
+#: rolled out many of them change one after another; each change would
+#: otherwise wake a read.
 _BACKENDS_MIN_INTERVAL_RATIO = 0.2
 
 
-def followers(
+def make_followers(
     store: platform.StoreClient,
     edge_state: edge_state_lib.EdgeState,
     state_sync: state_sync_lib.StateSync,
 ) -> list[topic_follower.TopicFollower]:
     """Return the followers of the desired state and the backend servers.
 
-    Bounds are asked for at each read: settings may be read anew.
+    The bounds are looked up at each read, as settings can be reloaded.
     """
 
     def follower(
         topic: str,
-        on_tail: topic_follower.TailHandler,
+        on_read: topic_follower.ReadHandler,
         bound: Callable[[], datetime.timedelta],
         min_interval: Callable[[], datetime.timedelta],
     ) -> topic_follower.TopicFollower:
@@ -40,36 +41,36 @@
             return long_poll.wait_time(
                 peers=len(state_sync.peers.live()),
                 bound=bound(),
-                contact=edge_state.bounds.contact,
+                contact=edge_state.bounds.store_recovery_time,
                 gap=min_interval(),
             )
 
         def poll_wait() -> datetime.timedelta:
             return (
                 long_poll.STANDBY_WAIT
-                if state_sync.reader_rank()
+                if state_sync.reader_index()
                 else first_reader_wait()
             )
 
         def is_late() -> bool:
             return long_poll.must_read_store(state_sync.lag(topic), bound())
 
-        def is_restart_due() -> bool:
-            age = state_sync.answers.newest_answer_age(topic)
+        def should_restart_read() -> bool:
+            age = state_sync.store_contact.newest_answer_age(topic)
             return is_late() or long_poll.is_overdue(
-                age, first_reader_wait(), state_sync.reader_rank()
+                age, first_reader_wait(), state_sync.reader_index()
             )
 
         return topic_follower.TopicFollower(
             store,
             topic,
-            on_tail,
+            on_read,
             state_sync.store_health,
             min_interval=min_interval,
             poll_wait=poll_wait,
-            is_restart_due=is_restart_due,
+            should_restart_read=should_restart_read,
             on_answer=functools.partial(state_sync.on_store_answer, topic),
-            is_idle=lambda: (
+            should_pause=lambda: (
                 state_sync.leaves_store_to_peers() and not is_late()
             ),
         )
@@ -78,13 +79,15 @@
         follower(
             platform.OPERATOR_TOPIC,
             state_sync.apply_desired,
-            lambda: edge_state.bounds.change,
+            lambda: edge_state.bounds.max_change_time,
             lambda: _DESIRED_MIN_INTERVAL,
         ),
         follower(
             platform.BACKENDS_TOPIC,
             state_sync.apply_backends,
-            lambda: edge_state.bounds.drain,
-            lambda: edge_state.bounds.drain * _BACKENDS_MIN_INTERVAL_RATIO,
+            lambda: edge_state.bounds.max_drain_time,
+            lambda: (
+                edge_state.bounds.max_drain_time * _BACKENDS_MIN_INTERVAL_RATIO
+            ),
         ),
     ]
--- a/testing/edge/test_leader_candidates.py
+++ b/testing/edge/test_leader_candidates.py
@@ -54,12 +54,12 @@
             domain="d1",
             state_port=1,
             leaving=leaving,
-            version=0,
+            desired_version=0,
             backends_end=0,
-            running={},
+            running_requests={},
             known_addresses=[],
             started_ms=started_ms,
-            generation=generation,
+            lease_generation=generation,
             reads_store=reads_store,
         )
         data = cbor2.dumps(msgspec.to_builtins(heartbeat))
@@ -139,9 +139,9 @@
             domain=domain,
             state_port=1,
             leaving=False,
-            version=0,
+            desired_version=0,
             backends_end=0,
-            running={},
+            running_requests={},
             known_addresses=[],
             reads_store=reads_store,
         )
@@ -177,10 +177,11 @@
         ids.Offset(0), "i-1", edge_rig.backend_entry("s", "10.0.0.1:80")
     )
     empty = platform.ReadResult(end=ids.Offset(0), records=())
-    node.state_sync.apply_backends(empty, newest=False)
+    node.state_sync.apply_backends(empty, is_snapshot=False)
     assert not scheduled
     node.state_sync.apply_backends(
-        platform.ReadResult(end=ids.Offset(1), records=(row,)), newest=False
+        platform.ReadResult(end=ids.Offset(1), records=(row,)),
+        is_snapshot=False,
     )
     assert scheduled
 
--- a/testing/support/crash_rig.py
+++ b/testing/support/crash_rig.py
@@ -430,7 +430,7 @@
         crash_times = self.crash_times(body, exclude_nodes=exclude_nodes)
         if len(crash_times) < 3:
             return 0
-        contact: datetime.timedelta = edge_rig.BOUNDS.contact
+        contact: datetime.timedelta = edge_rig.BOUNDS.store_recovery_time
         since = crash_times[2] + contact.total_seconds()
         return sum(
             one.at > since and one.node not in exclude_nodes
