--- a/testing/test_constants.py
+++ b/testing/test_constants.py
@@ -1,9 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What decides is named, explained, and of no one deployment."""
+"""Constants have a unit, comments tell no tuning, code no deployment."""
 
 import ast
+import io
 import pathlib
 import re
+import tokenize
 
 import pytest
 
@@ -11,11 +13,24 @@
 
 ROOT = pathlib.Path(lugcross.__file__).parent
 #: Packages whose constants decide where users run.
-PACKAGES = ("edge", "experts")
+PACKAGES = (
+    "edge",
+    "experts",
+    "routing",
+    "shares",
+    "crash_suspects",
+    "membership",
+)
 MODULES = sorted(
-    path for name in PACKAGES for path in (ROOT / name).glob("*.py")
+    path for name in PACKAGES for path in (ROOT / name).rglob("*.py")
 )
 EVERYTHING = sorted(ROOT.rglob("*.py"))
+
+
+def _module_id(path: pathlib.Path) -> str:
+    return path.relative_to(ROOT).as_posix()
+
+
 #: Names of deployments, of their services and of their kinds of requests.
 NAMES = re.compile(
     r"kstp|peticiona|obrador|bsas|capataz|planilla|modelo|registro"
@@ -24,39 +39,276 @@
     re.IGNORECASE,
 )
 
+#: Words of a name that tell the unit of a number.
+UNIT_WORDS = frozenset(
+    """S MS BYTES BITS CHARS PER COUNT RATIO FRACTION FACTOR WEIGHT
+    PERCENTILE LEVEL PORT""".split()
+)
+#: A count named by what is counted: ``MAX_IDLE_CONNECTIONS``,
+#: ``CRASHES_TO_REFUSE``.
+COUNT_NAME = re.compile(
+    r"^_?(?:(?:MAX|MIN)_(?:[A-Z]+_)*[A-Z]{2,}(?<![SUI])S(?:_[A-Z]+)*"
+    r"|[A-Z]{2,}(?<![SUI])S_(?:TO|BEFORE)_[A-Z_]+)$"
+)
+#: Calls whose result is a number.
+NUMERIC_CALLS = frozenset({"int", "float", "round", "len", "min", "max"})
+#: Calls that tell the type of their result although in lower case.
+TYPED_CALLS = frozenset({"timedelta", "compile"})
 
-def _constants(path: pathlib.Path) -> list[tuple[str, int]]:
-    """Return each constant with a value of its own, and its line."""
+#: Statements that a value was measured, tried, tuned or chosen.
+TUNING = re.compile(
+    r"(?<!\bis )(?<!\bare )(?<!\bbe )\bmeasured\b"
+    r"|\b(?:by|from|after|see) (?:a |the )?measurements?\b"
+    r"|\b(?:fine-|un|re)?tun(?:ed|ing)\b"
+    r"|\b(?:values?|defaults?|figures?|numbers?|constants?|limits?|bounds?"
+    r"|thresholds?|factors?|ratios?|fractions?|weights?|intervals?|timeouts?"
+    r"|it|this|these|\d[\d.]*(?: ?[a-z]{1,2})?)"
+    r" (?:was|were|has been|have been)"
+    r" (?:\w+ly )?(?:chosen|tried|picked|selected|derived)\b"
+    r"|\b(?:chosen|tried|picked|selected)"
+    r" (?:on (?!the )|out\b|after\b|because\b|experimentally|by experiment)"
+    r"|\btried (?:with|at) \d|\bchosen, not\b|\bnot (?:chosen|calculated)\b"
+    r"|\bby trial\b|\btrial and error\b|\bempirical(?:ly)?\b"
+    r"|\bexperiment(?:s|ed|ally)?\b|\bbenchmark(?:s|ed)?\b",
+    re.IGNORECASE,
+)
+#: Words that tell of a run, its figures or its machine.
+RUN_WORDS = re.compile(
+    r"\bin virtual time\b|\bsimulat(?:ed|ions?)\b"
+    r"|\b\w+ plays\b|\b\d+ (?:runs|seeds|soaks)\b"
+    r"|\b(?:mean|median|average)s? of \w+ (?:seeds|runs)\b"
+    r"|\([^()]*\b(?:logged|calculated|recorded)\b[^()]*\)"
+    r"|\brecorded (?:counts|runs|traffic)\b"
+    r"|\bC?Python \d|\b(?:one|\d+) cores?\b"
+    r"|\b(?:instead of|rather than) \d[\d.]*(?: ?(?:s|ms|%))?\b",
+    re.IGNORECASE,
+)
+#: A figure of more than one digit; years and units of size aside.
+FIGURE = re.compile(r"(?<![\w.*=/-])(?!1970)(?:\d*\.\d+|\d{2,})(?![\w*])")
+#: Figures in one sentence from which on it is taken for the table of a run.
+MIN_TABLE_FIGURES = 4
+#: What only tells of the past: no participle of a present perfect or passive.
+PAST = re.compile(
+    r"(?<!\bhas )(?<!\bhave )(?<!\bis )(?<!\bare )(?<!\bbe )(?<!\bbeen )"
+    r"(?<!\bjust )(?<!\balready )(?<!\bthat )(?<!\bwhich )"
+    r"\b(?:was|were|had|got|took|gave|cost|fell|rose|grew|came|went|ran"
+    r"|stood|kept|made|left|served|ended|refused|answered|dropped|failed"
+    r"|arrived|reached|turned|increased|decreased|raised|lowered|deadlocked"
+    r"|lost (?=\w+ \d|\d))\b",
+    re.IGNORECASE,
+)
+
+
+def _tells_of_a_run(text: str) -> bool:
+    """Tell whether a sentence gives a figure for what happened once.
+
+    One or two figures for what happens always, in the present tense, may be
+    a reason; many of them are the table of a run.
+    """
+    figures = len(FIGURE.findall(text))
+    return bool(
+        RUN_WORDS.search(text)
+        or (figures and PAST.search(text))
+        or figures >= MIN_TABLE_FIGURES
+    )
+
+
+def _constants(tree: ast.Module) -> list[tuple[str, ast.expr, int]]:
+    """Return name, value and line of each constant of modules and classes."""
     found = []
-    for node in ast.parse(path.read_text()).body:
-        if not isinstance(node, ast.Assign):
+    bodies = [tree.body]
+    bodies += [n.body for n in ast.walk(tree) if isinstance(n, ast.ClassDef)]
+    for node in (node for body in bodies for node in body):
+        if isinstance(node, ast.Assign):
+            targets = node.targets
+        elif isinstance(node, ast.AnnAssign) and node.value is not None:
+            targets = [node.target]
+        else:
             continue
-        name = node.targets[0]
-        decides = isinstance(node.value, ast.Constant | ast.Call)
-        if isinstance(name, ast.Name) and name.id.isupper() and decides:
-            found.append((name.id, node.lineno))
+        for target in targets:
+            if isinstance(target, ast.Name) and target.id.isupper():
+                assert node.value is not None
+                found.append((target.id, node.value, node.lineno))
     return found
 
 
-def _is_explained(lines: list[str], number: int) -> bool:
-    return lines[number - 2].startswith("#")
+def _has_bare_number(value: ast.expr, known: dict[str, ast.expr]) -> bool:
+    """Tell whether a value is, or holds, what its type does not explain.
 
+    What is not recognised counts as a bare number.
+    """
+    match value:
+        case ast.Constant():
+            return isinstance(value.value, int | float | complex) and (
+                not isinstance(value.value, bool)
+            )
+        case ast.JoinedStr():
+            return False
+        case ast.UnaryOp():
+            return _has_bare_number(value.operand, known)
+        case ast.BinOp():
+            return _has_bare_number(value.left, known) and _has_bare_number(
+                value.right, known
+            )
+        case ast.Tuple() | ast.List() | ast.Set():
+            return any(_has_bare_number(one, known) for one in value.elts)
+        case ast.Dict():
+            return any(_has_bare_number(one, known) for one in value.values)
+        case ast.Name():
+            return value.id not in known or _has_bare_number(
+                known[value.id], known
+            )
+        case ast.Attribute():
+            # A member of an enum, such as ``http.HTTPStatus.OK``.
+            owner = ast.unparse(value.value).rpartition(".")[2]
+            return not owner[:1].isupper() or owner.isupper()
+        case ast.Call():
+            name = ast.unparse(value.func).rpartition(".")[2]
+            if name in ("frozenset", "tuple", "set", "dict"):
+                return any(_has_bare_number(one, known) for one in value.args)
+            return name not in TYPED_CALLS and (
+                name in NUMERIC_CALLS or not name[:1].isupper()
+            )
+        case _:
+            return True
 
-#: Units, which explain themselves.
-UNITS = {"_MS"}
 
+def _names_a_unit(name: str) -> bool:
+    return bool(
+        UNIT_WORDS.intersection(name.split("_")) or COUNT_NAME.match(name)
+    )
 
-@pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_every_constant_says_where_it_comes_from(path: pathlib.Path) -> None:
-    lines = path.read_text().splitlines()
-    bare = [
-        name
-        for name, number in _constants(path)
-        if name not in UNITS and not _is_explained(lines, number)
+
+def _without_unit(source: str) -> list[str]:
+    """Return the constants of a module that have no unit, with their lines."""
+    constants = _constants(ast.parse(source))
+    known = {name: value for name, value, _ in constants}
+    return [
+        f"{line}: {name}"
+        for name, value, line in constants
+        if _has_bare_number(value, known) and not _names_a_unit(name)
     ]
-    assert not bare
 
 
-@pytest.mark.parametrize("path", EVERYTHING, ids=lambda path: path.stem)
+def _comments(source: str) -> list[tuple[int, str]]:
+    """Return each block of comment lines, joined, and its first line."""
+    found: list[tuple[int, str]] = []
+    last = 0
+    for token in tokenize.generate_tokens(io.StringIO(source).readline):
+        if token.type != tokenize.COMMENT:
+            continue
+        line = token.start[0]
+        text = token.string.lstrip("#: ")
+        if found and line == last + 1:
+            found[-1] = (found[-1][0], f"{found[-1][1]} {text}")
+        else:
+            found.append((line, text))
+        last = line
+    return found
+
+
+def _docstrings(source: str) -> list[tuple[int, str]]:
+    """Return each string that stands alone as a statement, and its line."""
+    return [
+        (node.lineno, " ".join(node.value.value.split()))
+        for node in ast.walk(ast.parse(source))
+        if isinstance(node, ast.Expr)
+        and isinstance(node.value, ast.Constant)
+        and isinstance(node.value.value, str)
+    ]
+
+
+def _tuning_stories(source: str) -> list[str]:
+    """Return what comments and docstrings tell of tuning and of runs."""
+    return [
+        f"{line}: {sentence}"
+        for line, text in _comments(source) + _docstrings(source)
+        for sentence in re.split(r"(?<=\w[.])\s|(?<=\W[.])\s|\s:param ", text)
+        if TUNING.search(sentence) or _tells_of_a_run(sentence)
+    ]
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "_TIMEOUT = 0.4",
+        "_BURST: Final = 3",
+        "_SIZE = 4 * 1024",
+        "_BUCKETS = (0.1, 0.2)",
+        "_LIMITS = {'head': 16}",
+        "_WAIT = float('inf')",
+        "_UNKNOWN = read_limit()",
+        "_STATUS = -1",
+        "class Limits:\n    DEPTH = 3",
+    ],
+)
+def test_a_bare_number_without_unit_is_found(line: str) -> None:
+    assert _without_unit(line)
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "_TIMEOUT_S = 0.4",
+        "_TIMEOUT = datetime.timedelta(seconds=0.4) * 2",
+        "MAX_RECORD_BYTES = 16 * 1024",
+        "_BUCKETS_S = (0.1, 0.2)",
+        "_MAX_IDLE_CONNECTIONS = 6",
+        "CRASHES_TO_REFUSE = 3",
+        "KEY = b'maps'",
+        "_NAME = re.compile('a')",
+        "_STATUS = http.HTTPStatus.OK",
+        "_FIRST = experts.Rank(0)",
+    ],
+)
+def test_a_unit_or_a_type_is_enough(line: str) -> None:
+    assert not _without_unit(line)
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "Longest wait; measured, see the notes.",
+        "Both defaults were chosen on a day's counts.",
+        "Tuned for links of one region.",
+        "0.3 was tried and is too short.",
+        "With 8, five of 70 requests were refused.",
+        "Half of them were late (seven processes in virtual time).",
+        "Of 16 servers five got 269 of 375 attempts.",
+        "A body of 2 MB takes 5 ms (CPython 3.11).",
+        "It takes 3 s instead of 0.4 s.",
+    ],
+)
+def test_a_story_of_tuning_is_found(text: str) -> None:
+    assert _tuning_stories(f"# {text}\n")
+    assert _tuning_stories(f'"""{text}"""\n')
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "Chosen by the caller.",
+        "There is none if each server was tried.",
+        "The gap is measured from the last event.",
+        "When it started, in milliseconds since 1970.",
+        "A lost packet is sent again after 0.2 s.",
+    ],
+)
+def test_a_plain_reason_is_no_story(text: str) -> None:
+    assert not _tuning_stories(f"# {text}\n")
+    assert not _tuning_stories(f'"""{text}"""\n')
+
+
+@pytest.mark.parametrize("path", MODULES, ids=_module_id)
+def test_every_constant_has_a_unit(path: pathlib.Path) -> None:
+    assert not _without_unit(path.read_text())
+
+
+@pytest.mark.parametrize("path", EVERYTHING, ids=_module_id)
+def test_no_comment_tells_of_tuning(path: pathlib.Path) -> None:
+    assert not _tuning_stories(path.read_text())
+
+
+@pytest.mark.parametrize("path", EVERYTHING, ids=_module_id)
 def test_code_names_no_deployment(path: pathlib.Path) -> None:
     assert not NAMES.findall(path.read_text())
