--- a/src/lugcross/app.py
+++ b/src/lugcross/app.py
@@ -39,8 +39,9 @@
         self.name = name
         self._hooks: list[Hook] = []
         self._running: list[Hook] = []
-        # Its put may interrupt itself. An Event's set may not: a second
-        # SIGTERM during the first one's deadlocked 4 of 200 stops.
+        # SimpleQueue.put is reentrant, Event.set is not: a second SIGTERM
+        # that arrives while the handler of the first sets an Event can
+        # deadlock the process.
         self._stop_requests: queue.SimpleQueue[str] = queue.SimpleQueue()
 
     def add(self, hook: Hook) -> None:
