--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -196,13 +196,13 @@
         if found is None:
             return None
         snapshot = edge_state.load_snapshot(
-            SERVICE, min_busy=found.min_requests
+            SERVICE, min_requests=found.min_requests
         )
         space = desired.Workspace(name=ids.WorkspaceName(name))
-        requester = edge_state.requester(ROUTE, SERVICE, space)
+        admission_request = edge_state.admission_request(ROUTE, SERVICE, space)
         if not self.by_workspace:
-            requester = admission.Requester()
-        verdict = admission.refusal_reason(snapshot, FULL, requester)
+            admission_request = admission.AdmissionRequest()
+        verdict = admission.refusal_reason(snapshot, FULL, admission_request)
         return found.best.backend.key if verdict is None else None
 
     def _end(
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -12,7 +12,7 @@
 MAX_REQUESTS_PER_PLAIN_SLOT = 3.0
 #: Part of what is full for others at which a service is full for those
 #: that were refused before; a few requests of each process below it.
-RETRY_CAPACITY_FRACTION = 0.8
+CALLER_RETRY_CAPACITY_FRACTION = 0.8
 #: Part of what is full for the most urgent requests by which a service is
 #: full sooner for each kind that is less urgent, and the most for all: what
 #: is urgent finds places free in a burst, and nothing else is starved.
@@ -31,16 +31,17 @@
 
     :param servers: backend servers that may be used.
     :param slots: slots of all of them.
-    :param busy: requests that all of them probably have.
-    :param min_busy: requests of the least busy one that was looked at.
-    :param unreported: requests that peers have probably sent and not told yet.
+    :param requests: requests that all of them probably have.
+    :param min_requests: requests of the least busy one that was looked at.
+    :param unreported_requests: estimate of what peers have sent since their last
+        heartbeat.
     """
 
     servers: int
     slots: int
-    busy: int
-    min_busy: int
-    unreported: float
+    requests: int
+    min_requests: int
+    unreported_requests: float
 
     def has_free_slot(self) -> bool:
         """Tell whether a slot is free as far as known.
@@ -49,28 +50,30 @@
         moment lets one request wait for the next, which comes within a part
         of a second.
         """
-        free_of_all = self.busy < self.slots
-        return free_of_all and self.min_busy * self.servers < self.slots
+        free_of_all = self.requests < self.slots
+        return free_of_all and self.min_requests * self.servers < self.slots
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Requester:
+class AdmissionRequest:
     """Who asks for a place.
 
-    :param claim: its workspace's; none where keys are not used.
-    :param is_retry: whether the request was refused before.
+    :param workspace_use: its workspace's; none where keys are not used.
+    :param is_caller_retry: whether the request was refused before.
     :param more_urgent_priorities: how many kinds of requests of the service
         are more urgent.
     """
 
-    claim: shares.WorkspaceUse | None = None
-    is_retry: bool = False
+    workspace_use: shares.WorkspaceUse | None = None
+    is_caller_retry: bool = False
     more_urgent_priorities: int = 0
 
 
 def refusal_reason(
-    snapshot: LoadSnapshot, max_per_server: float, requester: Requester
+    snapshot: LoadSnapshot,
+    max_per_server: float,
+    admission_request: AdmissionRequest,
 ) -> str | None:
     """Return why a request should come back later, or none.
 
@@ -93,21 +96,23 @@
 
     :param max_per_server: requests that one server may have at once.
     """
-    claim = requester.claim
+    workspace_use = admission_request.workspace_use
     capacity = max_per_server * snapshot.servers
     free = (
-        _capacity_for(snapshot, capacity, requester)
-        - snapshot.busy
-        - snapshot.unreported
+        _capacity_for(snapshot, capacity, admission_request)
+        - snapshot.requests
+        - snapshot.unreported_requests
     )
-    has_free_place = free >= 1.0 and snapshot.min_busy < max(
+    has_free_place = free >= 1.0 and snapshot.min_requests < max(
         max_per_server, 1.0
     )
-    if has_free_place and (claim is None or claim.may_take_place(free)):
+    if has_free_place and (
+        workspace_use is None or workspace_use.may_take_place(free)
+    ):
         return None
     if (
-        claim is not None
-        and claim.is_within_share(capacity)
+        workspace_use is not None
+        and workspace_use.is_within_share(capacity)
         and snapshot.has_free_slot()
     ):
         return None
@@ -117,12 +122,19 @@
 
 
 def _capacity_for(
-    snapshot: LoadSnapshot, capacity: float, requester: Requester
+    snapshot: LoadSnapshot,
+    capacity: float,
+    admission_request: AdmissionRequest,
 ) -> float:
     """Return how many requests the service may have if this one is let in."""
-    fraction = RETRY_CAPACITY_FRACTION if requester.is_retry else 1.0
+    fraction = (
+        CALLER_RETRY_CAPACITY_FRACTION
+        if admission_request.is_caller_retry
+        else 1.0
+    )
     fraction -= min(
-        RESERVED_FRACTION_PER_PRIORITY * requester.more_urgent_priorities,
+        RESERVED_FRACTION_PER_PRIORITY
+        * admission_request.more_urgent_priorities,
         _MAX_RESERVED_FRACTION,
     )
     if fraction == 1.0:
@@ -132,14 +144,14 @@
 
 #: Part of the longest time seen at which a request counts as one that
 #: comes back: a first one loses no more than its way here.
-_RETRY_TIME_LEFT_FRACTION = 0.95
+_CALLER_RETRY_TIME_LEFT_FRACTION = 0.95
 #: Part of what lies between the longest time and a new one by which the
 #: longest comes down, so that shorter deadlines are learned in time.
 _DECAY_FRACTION = 0.02
 
 
 @final
-class RetryDetector:
+class CallerRetryDetector:
     """Tells requests that were refused before by the time they have left.
 
     Callers count their time from their first attempt, and those of one
@@ -147,15 +159,20 @@
     """
 
     def __init__(self) -> None:
-        self._longest = datetime.timedelta()
+        self._longest_time_left = datetime.timedelta()
 
-    def is_retry(self, time_left: datetime.timedelta | None) -> bool:
+    def is_caller_retry(self, time_left: datetime.timedelta | None) -> bool:
         """Tell whether a request has probably been refused before."""
         if time_left is None:
             return False
-        if time_left >= self._longest:
-            self._longest = time_left
+        if time_left >= self._longest_time_left:
+            self._longest_time_left = time_left
             return False
-        is_retry = time_left < self._longest * _RETRY_TIME_LEFT_FRACTION
-        self._longest -= (self._longest - time_left) * _DECAY_FRACTION
-        return is_retry
+        is_caller_retry = (
+            time_left
+            < self._longest_time_left * _CALLER_RETRY_TIME_LEFT_FRACTION
+        )
+        self._longest_time_left -= (
+            self._longest_time_left - time_left
+        ) * _DECAY_FRACTION
+        return is_caller_retry
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -79,7 +79,9 @@
         self._retry_budgets: dict[
             ids.ServiceName, routing.WindowedRetryBudget
         ] = {}
-        self._retry_detectors: dict[str, admission.RetryDetector] = {}
+        self._caller_retry_detectors: dict[
+            str, admission.CallerRetryDetector
+        ] = {}
         self._concurrency_limits: dict[
             ids.ServiceName, concurrency_limit_lib.ConcurrencyLimit
         ] = {}
@@ -228,19 +230,19 @@
         )
 
     def load_snapshot(
-        self, service: ids.ServiceName, *, min_busy: int = 0
+        self, service: ids.ServiceName, *, min_requests: int = 0
     ) -> admission.LoadSnapshot:
         """Return the load of ``service`` as it looks from here.
 
-        :param min_busy: requests of the least busy server looked at.
+        :param min_requests: requests of the least busy server looked at.
         """
         servers = self.serving(service)
         return admission.LoadSnapshot(
             servers=len(servers),
             slots=servers.slots,
-            busy=self.loads.requests_at_all(servers.keys),
-            min_busy=min_busy,
-            unreported=self.loads.unreported_requests(service),
+            requests=self.loads.requests_at_all(servers.keys),
+            min_requests=min_requests,
+            unreported_requests=self.loads.unreported_requests(service),
         )
 
     def max_requests_per_server(
@@ -260,31 +262,33 @@
         slots = [one.slots for one in self.backends.usable(service)]
         return admission.MAX_REQUESTS_PER_PLAIN_SLOT * min(slots, default=1)
 
-    def requester(
+    def admission_request(
         self,
         route: desired.Route,
         service: ids.ServiceName,
         workspace: desired.Workspace | None,
         *,
-        is_retry: bool = False,
-    ) -> admission.Requester:
+        is_caller_retry: bool = False,
+    ) -> admission.AdmissionRequest:
         """Return who asks for a place of ``service``.
 
-        :param is_retry: whether the request was refused before.
+        :param is_caller_retry: whether the request was refused before.
         """
-        claim = None
+        workspace_use = None
         priority = route.priority
         if workspace is not None:
-            claim = self.workspace_usage.claim(service, workspace.name)
+            workspace_use = self.workspace_usage.use_of(
+                service, workspace.name
+            )
             if workspace.priority is not None:
                 priority = workspace.priority
         state = self.desired
         more_urgent_priorities = (
             state.priorities_ahead(service, priority) if state else 0
         )
-        return admission.Requester(
-            claim=claim,
-            is_retry=is_retry,
+        return admission.AdmissionRequest(
+            workspace_use=workspace_use,
+            is_caller_retry=is_caller_retry,
             more_urgent_priorities=more_urgent_priorities,
         )
 
@@ -296,10 +300,12 @@
             service, concurrency_limit_lib.ConcurrencyLimit()
         )
 
-    def retry_detector(self, route: str) -> admission.RetryDetector:
+    def caller_retry_detector(
+        self, route: str
+    ) -> admission.CallerRetryDetector:
         """Return what tells requests of ``route`` that come back."""
-        return self._retry_detectors.setdefault(
-            route, admission.RetryDetector()
+        return self._caller_retry_detectors.setdefault(
+            route, admission.CallerRetryDetector()
         )
 
     def observe_pause(
@@ -352,12 +358,12 @@
         usual = self._choose_among(servers, tried)
         free = {
             one.key: one
-            for one, busy in zip(
+            for one, requests in zip(
                 servers,
                 self.loads.requests_at_each(one.key for one in servers),
                 strict=True,
             )
-            if busy < one.slots
+            if requests < one.slots
             and one.key not in tried
             and not self.loads.is_ejected(one.key)
         }
@@ -376,7 +382,9 @@
         servers: Sequence[desired.Backend],
         tried: Collection[desired.BackendKey],
     ) -> backend_choice.BackendChoice | None:
-        busy = self.loads.requests_at_each(one.key for one in servers)
+        request_counts = self.loads.requests_at_each(
+            one.key for one in servers
+        )
         candidates = [
             backend_choice.Candidate(
                 backend=one,
@@ -387,7 +395,7 @@
                     one.key
                 ),
             )
-            for one, count in zip(servers, busy, strict=True)
+            for one, count in zip(servers, request_counts, strict=True)
         ]
         return backend_choice.choose_backend(
             candidates, home=self._own_domain, tried=tried, rng=self._rng
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -79,11 +79,11 @@
         were told so seconds later than they could have been.
         """
         self._refuse_crash_suspect()
-        is_retry = self._edge_state.retry_detector(
+        is_caller_retry = self._edge_state.caller_retry_detector(
             self._checked.route.name
-        ).is_retry(self._checked.caller_head.time_left)
+        ).is_caller_retry(self._checked.caller_head.time_left)
         found = self._choose_backend()
-        reason = self._refusal_reason(found, is_retry=is_retry)
+        reason = self._refusal_reason(found, is_caller_retry=is_caller_retry)
         if found is None or reason is not None:
             raise self._refused_error(found, reason)
         return found.best.backend
@@ -108,20 +108,24 @@
         )
 
     def _refusal_reason(
-        self, found: backend_choice.BackendChoice | None, *, is_retry: bool
+        self,
+        found: backend_choice.BackendChoice | None,
+        *,
+        is_caller_retry: bool,
     ) -> str | None:
         checked = self._checked
         edge_state = self._edge_state
         return admission.refusal_reason(
             edge_state.load_snapshot(
-                checked.service, min_busy=found.min_requests if found else 0
+                checked.service,
+                min_requests=found.min_requests if found else 0,
             ),
             edge_state.max_requests_per_server(checked.route, checked.service),
-            edge_state.requester(
+            edge_state.admission_request(
                 checked.route,
                 checked.service,
                 checked.workspace,
-                is_retry=is_retry,
+                is_caller_retry=is_caller_retry,
             ),
         )
 
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -143,8 +143,8 @@
                 "version": checked.desired_version,
                 "servers": snapshot.servers,
                 "resting": len(self._edge_state.backoffs.servers()),
-                "busy": snapshot.busy,
-                "unseen": round(snapshot.unreported, 1),
+                "busy": snapshot.requests,
+                "unseen": round(snapshot.unreported_requests, 1),
                 "full": round(
                     self._edge_state.max_requests_per_server(
                         checked.route, checked.service
@@ -177,7 +177,7 @@
         """Return for a log line what the request's workspace may have."""
         if checked.workspace_name is None:
             return {}
-        claim = self._edge_state.workspace_usage.claim(
+        workspace_use = self._edge_state.workspace_usage.use_of(
             checked.service, checked.workspace_name
         )
         places = (
@@ -188,6 +188,6 @@
         )
         return {
             "workspace": checked.workspace_name,
-            "use": claim.in_progress,
-            "share": round(claim.fair_share(places), 1),
+            "use": workspace_use.in_progress,
+            "share": round(workspace_use.fair_share(places), 1),
         }
--- a/src/lugcross/edge/workspace_usage.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -95,7 +95,7 @@
         for service, counts in counts_by_service.items():
             self._tally(service).set_peer_counts(node, counts)
 
-    def claim(
+    def use_of(
         self, service: ids.ServiceName, space: ids.WorkspaceName
     ) -> shares.WorkspaceUse:
         """Return what a workspace has of a service, and may have."""
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -27,8 +27,8 @@
     ms_per_sequence=0.5,
 )
 MAX_PAUSE = datetime.timedelta(milliseconds=120)
-FIRST = admission.Requester()
-RETRY = admission.Requester(is_retry=True)
+FIRST = admission.AdmissionRequest()
+CALLER_RETRY = admission.AdmissionRequest(is_caller_retry=True)
 SECOND = datetime.timedelta(seconds=1)
 
 
@@ -80,52 +80,60 @@
     usual = {
         "servers": 4,
         "slots": 24,
-        "busy": 0,
-        "min_busy": 0,
-        "unreported": 0.0,
+        "requests": 0,
+        "min_requests": 0,
+        "unreported_requests": 0.0,
     }
     return admission.LoadSnapshot(**(usual | fields))
 
 
 def test_full_service_refuses():
     assert (
-        admission.refusal_reason(_load_snapshot(busy=15), 4.0, FIRST) is None
+        admission.refusal_reason(_load_snapshot(requests=15), 4.0, FIRST)
+        is None
     )
-    assert admission.refusal_reason(_load_snapshot(busy=16), 4.0, FIRST)
+    assert admission.refusal_reason(_load_snapshot(requests=16), 4.0, FIRST)
 
 
 def test_last_places_are_kept_for_first_requests():
-    snapshot = _load_snapshot(busy=13)
+    snapshot = _load_snapshot(requests=13)
     assert admission.refusal_reason(snapshot, 4.0, FIRST) is None
-    assert admission.refusal_reason(snapshot, 4.0, RETRY)
+    assert admission.refusal_reason(snapshot, 4.0, CALLER_RETRY)
 
 
 def test_nobody_is_kept_out_while_half_of_the_slots_are_free():
     assert (
-        admission.refusal_reason(_load_snapshot(busy=11), 3.0, RETRY) is None
+        admission.refusal_reason(
+            _load_snapshot(requests=11), 3.0, CALLER_RETRY
+        )
+        is None
+    )
+    assert admission.refusal_reason(
+        _load_snapshot(requests=12), 3.0, CALLER_RETRY
     )
-    assert admission.refusal_reason(_load_snapshot(busy=12), 3.0, RETRY)
 
 
 def test_requests_that_peers_have_not_told_yet_count():
-    snapshot = _load_snapshot(busy=8, unreported=14.0)
+    snapshot = _load_snapshot(requests=8, unreported_requests=14.0)
     assert admission.refusal_reason(snapshot, 4.0, FIRST)
 
 
 def test_request_with_less_time_left_has_been_refused_before():
-    detector = admission.RetryDetector()
+    detector = admission.CallerRetryDetector()
     full = datetime.timedelta(seconds=8)
-    assert not detector.is_retry(full)
-    assert not detector.is_retry(full - datetime.timedelta(milliseconds=20))
-    assert detector.is_retry(full - datetime.timedelta(seconds=1))
-    assert not detector.is_retry(None)
+    assert not detector.is_caller_retry(full)
+    assert not detector.is_caller_retry(
+        full - datetime.timedelta(milliseconds=20)
+    )
+    assert detector.is_caller_retry(full - datetime.timedelta(seconds=1))
+    assert not detector.is_caller_retry(None)
 
 
 def test_shorter_deadlines_are_learned_as_usual_in_time():
-    detector = admission.RetryDetector()
-    detector.is_retry(datetime.timedelta(seconds=8))
+    detector = admission.CallerRetryDetector()
+    detector.is_caller_retry(datetime.timedelta(seconds=8))
     shorter = datetime.timedelta(seconds=5)
-    told = [detector.is_retry(shorter) for _ in range(200)]
+    told = [detector.is_caller_retry(shorter) for _ in range(200)]
     assert told[0] and not told[-1]
 
 
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -27,7 +27,7 @@
     large: bool
     workspace: str
     since: datetime.timedelta
-    is_retry: bool = False
+    is_caller_retry: bool = False
 
     @property
     def work(self) -> datetime.timedelta:
@@ -42,7 +42,9 @@
         self.now = datetime.timedelta()
         self.running_until: list[datetime.timedelta] = []
         self.retries: list[tuple[datetime.timedelta, Request]] = []
-        self.retry_detectors: dict[str, admission.RetryDetector] = {}
+        self.caller_retry_detectors: dict[
+            str, admission.CallerRetryDetector
+        ] = {}
         self.sent: collections.Counter[tuple[str, bool, str]] = (
             collections.Counter()
         )
@@ -81,27 +83,29 @@
 
     def _send(self, one: Request) -> None:
         left = TIMEOUT - (self.now - one.since)
-        detector = self.retry_detectors.setdefault(
-            one.route, admission.RetryDetector()
+        detector = self.caller_retry_detectors.setdefault(
+            one.route, admission.CallerRetryDetector()
         )
         snapshot = admission.LoadSnapshot(
             servers=SERVERS,
             slots=SERVERS * SLOTS_PER_SERVER,
-            busy=len(self.running_until),
-            min_busy=len(self.running_until) // SERVERS,
-            unreported=0.0,
+            requests=len(self.running_until),
+            min_requests=len(self.running_until) // SERVERS,
+            unreported_requests=0.0,
         )
         verdict = admission.refusal_reason(
             snapshot,
             SLOTS_PER_SERVER,
-            admission.Requester(is_retry=detector.is_retry(left)),
+            admission.AdmissionRequest(
+                is_caller_retry=detector.is_caller_retry(left)
+            ),
         )
         if verdict is None:
             self.running_until.append(self.now + one.work)
             self.served[self._class_of(one)] += 1
-        elif not one.is_retry:
+        elif not one.is_caller_retry:
             wait = datetime.timedelta(seconds=self.rng.uniform(0.7, 1.6))
-            again = dataclasses.replace(one, is_retry=True)
+            again = dataclasses.replace(one, is_caller_retry=True)
             self.retries.append((self.now + wait, again))
 
 
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -105,9 +105,9 @@
     st.floats(0.5, 4.0),
 )
 def test_who_may_have_one_more_may_have_fewer(use, room, weight):
-    claim = shares.WorkspaceUse(in_progress=use, weight=weight)
+    workspace_use = shares.WorkspaceUse(in_progress=use, weight=weight)
     less = shares.WorkspaceUse(in_progress=max(0, use - 1), weight=weight)
-    assert less.may_take_place(room) or not claim.may_take_place(room)
+    assert less.may_take_place(room) or not workspace_use.may_take_place(room)
 
 
 @given(
@@ -137,17 +137,17 @@
     there.request_started(SERVICE, SPACE_A)
     here.apply_peer_counts("n2", there.own_counts())
     here.request_started(SERVICE, SPACE_B)
-    assert here.claim(SERVICE, SPACE_A).in_progress == 2
-    assert here.claim(SERVICE, SPACE_A).total_weight == 2.0
+    assert here.use_of(SERVICE, SPACE_A).in_progress == 2
+    assert here.use_of(SERVICE, SPACE_A).total_weight == 2.0
     here.apply_peer_counts("n2", {})
-    assert here.claim(SERVICE, SPACE_A).in_progress == 0
+    assert here.use_of(SERVICE, SPACE_A).in_progress == 0
 
 
 def test_weight_of_the_settings_counts():
     found = _workspace_usage(a=3.0)
     found.request_started(SERVICE, SPACE_B)
-    assert found.claim(SERVICE, SPACE_A).fair_share(40.0) == 30.0
-    assert found.claim(SERVICE, SPACE_B).fair_share(40.0) == 40.0
+    assert found.use_of(SERVICE, SPACE_A).fair_share(40.0) == 30.0
+    assert found.use_of(SERVICE, SPACE_B).fair_share(40.0) == 40.0
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf")], ids=str)
@@ -169,16 +169,20 @@
 def test_number_that_nobody_knows_changes_nothing():
     found = _workspace_usage()
     found.apply_peer_counts("n2", {12345: 9})
-    assert found.claim(SERVICE, SPACE_A).in_progress == 0
+    assert found.use_of(SERVICE, SPACE_A).in_progress == 0
 
 
-def _requester(**fields) -> admission.Requester:
-    return admission.Requester(**fields)
+def _admission_request(**fields) -> admission.AdmissionRequest:
+    return admission.AdmissionRequest(**fields)
 
 
-def _load_snapshot(busy: int) -> admission.LoadSnapshot:
+def _load_snapshot(requests: int) -> admission.LoadSnapshot:
     return admission.LoadSnapshot(
-        servers=16, slots=96, busy=busy, min_busy=busy // 16, unreported=0.0
+        servers=16,
+        slots=96,
+        requests=requests,
+        min_requests=requests // 16,
+        unreported_requests=0.0,
     )
 
 
@@ -186,23 +190,32 @@
     below = shares.WorkspaceUse(in_progress=1, total_weight=10.0)
     over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     full = _load_snapshot(64)
-    assert admission.refusal_reason(full, 4.0, _requester(claim=below)) is None
-    assert admission.refusal_reason(full, 4.0, _requester(claim=over))
+    assert (
+        admission.refusal_reason(
+            full, 4.0, _admission_request(workspace_use=below)
+        )
+        is None
+    )
+    assert admission.refusal_reason(
+        full, 4.0, _admission_request(workspace_use=over)
+    )
     slots_taken = _load_snapshot(96)
-    assert admission.refusal_reason(slots_taken, 4.0, _requester(claim=below))
+    assert admission.refusal_reason(
+        slots_taken, 4.0, _admission_request(workspace_use=below)
+    )
 
 
 def test_refusal_tells_a_surge_from_a_full_service():
     over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     assert "its workspace" in (
         admission.refusal_reason(
-            _load_snapshot(62), 4.0, _requester(claim=over)
+            _load_snapshot(62), 4.0, _admission_request(workspace_use=over)
         )
         or ""
     )
     assert "every backend" in (
         admission.refusal_reason(
-            _load_snapshot(64), 4.0, _requester(claim=over)
+            _load_snapshot(64), 4.0, _admission_request(workspace_use=over)
         )
         or ""
     )
@@ -210,14 +223,16 @@
 
 def test_what_is_less_urgent_goes_first_out_of_a_full_service():
     nearly = _load_snapshot(61)
-    assert admission.refusal_reason(nearly, 4.0, _requester()) is None
+    assert admission.refusal_reason(nearly, 4.0, _admission_request()) is None
     assert admission.refusal_reason(
-        nearly, 4.0, _requester(more_urgent_priorities=1)
+        nearly, 4.0, _admission_request(more_urgent_priorities=1)
     )
     # Never below half of the slots, however many kinds are more urgent.
     assert (
         admission.refusal_reason(
-            _load_snapshot(47), 3.0, _requester(more_urgent_priorities=9)
+            _load_snapshot(47),
+            3.0,
+            _admission_request(more_urgent_priorities=9),
         )
         is None
     )
