--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -349,7 +349,7 @@
         while (data := await conn.read_data()) is not None:
             events = splitter.feed(data)
             if events:
-                last = self._observe_pause(last)
+                last = self._observe_event_gap(last)
             if after:
                 events = [
                     one
@@ -364,13 +364,15 @@
         await self._answer_writer.finish(answer)
         return None
 
-    def _observe_pause(
+    def _observe_event_gap(
         self, last: clock_lib.Instant | None
     ) -> clock_lib.Instant:
         now = self._clock.monotonic()
         limit = self._checked.route.max_event_gap
         if last is not None and limit is not None:
-            self._edge_state.observe_pause(self._backend, now - last, limit)
+            self._edge_state.observe_event_gap(
+                self._backend, now - last, limit
+            )
         return now
 
     def _health(self) -> routing.BackendHealth:
--- a/src/lugcross/edge/concurrency_limit.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -23,27 +23,27 @@
 #: Part of the longest pause in time that a mean pass may take. Passes
 #: that read long prompts take longer, and one late pause makes a whole
 #: stream late; measured, see docs/design/0005-platform.md.
-_MEAN_PAUSE_FRACTION = 0.77
+_MEAN_GAP_FRACTION = 0.77
 #: Least part of the slots that is used, whatever was learned: below half
 #: of them the service would refuse what its idle places could do.
 _MIN_SLOT_FRACTION = 0.5
 #: Part of the slots that is used before any pause was seen.
-_INITIAL_SLOT_FRACTION = 0.67
+_DEFAULT_SLOT_FRACTION = 0.67
 #: Times the engine's own figure that a request may add to a pass: with the
 #: experts' work spread as badly as was seen. What is more is no request's.
 _MAX_REQUEST_COST_FACTOR = 4.0
 #: Requests at an engine below which no count is in time: half of the engines
 #: would be idle.
-_MIN_IN_TIME_REQUESTS = 0.5
+_MIN_REACHABLE_REQUESTS = 0.5
 #: Part of the least count used that must be in time again to go back to
 #: it, so that not each pass that is a little shorter changes the count.
-_RECOVERY_FACTOR = 0.6
+_RECOVERY_FRACTION = 0.6
 #: Times the longest pause in time that a pass may take while none is in time:
 #: a usual stream of some twenty events still ends well before its deadline.
-_LATE_PAUSE_FACTOR = 3.0
+_RELAXED_GAP_FACTOR = 3.0
 #: Pauses past this many times the longest in time come of a fault, not
 #: of load, and teach nothing.
-_FAULT_PAUSE_FACTOR = 4.0
+_FAULT_GAP_FACTOR = 4.0
 _MS = datetime.timedelta(milliseconds=1)
 
 
@@ -52,46 +52,46 @@
     """What the pauses of one service's streams have taught."""
 
     def __init__(self) -> None:
-        self._per_request_ms: float | None = None
+        self._request_cost_ms: float | None = None
         #: Part of a pass that no request explains.
-        self._unexplained_ms: float | None = None
+        self._constant_excess_ms: float | None = None
         #: Whether no count of requests was in time when last asked.
-        self._none_in_time = False
-        self._passes = pass_times.PassDetector()
+        self._event_gap_unreachable = False
+        self._pass_detector = pass_times.PassDetector()
 
-    def observe_pause(
+    def observe_event_gap(
         self,
-        pause: datetime.timedelta,
+        gap: datetime.timedelta,
         now: clock_lib.Instant,
         *,
         engine: desired.EngineSpec,
         mean_requests: float,
-        max_pause: datetime.timedelta,
+        max_event_gap: datetime.timedelta,
     ) -> None:
         """Learn from one pause between two events.
 
         :param mean_requests: mean requests at an engine at that time.
         :param max_pause: longest pause that is in time.
         """
-        if pause > max_pause * _FAULT_PAUSE_FACTOR or mean_requests <= 0:
+        if gap > max_event_gap * _FAULT_GAP_FACTOR or mean_requests <= 0:
             return
-        if not self._passes.is_new_pass(pause, now):
+        if not self._pass_detector.is_new_pass(gap, now):
             return
-        extra_ms = max(0.0, pause / _MS - _fixed_pass_ms(engine))
+        extra_ms = max(0.0, gap / _MS - _fixed_pass_ms(engine))
         count = max(1.0, mean_requests)
-        seen_ms = extra_ms / count
-        max_ms = _max_request_ms(engine)
-        if max_ms:
-            seen_ms = min(seen_ms, max_ms)
-        self._per_request_ms = _smoothed(self._per_request_ms, seen_ms)
-        self._unexplained_ms = _smoothed(
-            self._unexplained_ms, extra_ms - seen_ms * count
+        observed_ms = extra_ms / count
+        max_cost_ms = _max_request_cost_ms(engine)
+        if max_cost_ms:
+            observed_ms = min(observed_ms, max_cost_ms)
+        self._request_cost_ms = _smoothed(self._request_cost_ms, observed_ms)
+        self._constant_excess_ms = _smoothed(
+            self._constant_excess_ms, extra_ms - observed_ms * count
         )
 
     def max_requests_per_engine(
         self,
         engine: desired.EngineSpec,
-        max_pause: datetime.timedelta | None,
+        max_event_gap: datetime.timedelta | None,
         *,
         has_slow_rank: bool = False,
     ) -> float:
@@ -110,38 +110,38 @@
 
         :param has_slow_rank: whether a rank is known to hold its group back.
         """
-        per_request_ms = self._per_request_ms
-        if per_request_ms is None or max_pause is None:
-            return engine.slots * _INITIAL_SLOT_FRACTION
-        request_ms = max(per_request_ms, engine.ms_per_sequence, 0.001)
-        fixed_ms = _fixed_pass_ms(engine) + (self._unexplained_ms or 0.0)
-        in_time = (
-            max_pause / _MS * _MEAN_PAUSE_FRACTION - fixed_ms
-        ) / request_ms
-        least = engine.slots * _MIN_SLOT_FRACTION
+        request_cost_ms = self._request_cost_ms
+        if request_cost_ms is None or max_event_gap is None:
+            return engine.slots * _DEFAULT_SLOT_FRACTION
+        request_cost_ms = max(request_cost_ms, engine.ms_per_sequence, 0.001)
+        fixed_ms = _fixed_pass_ms(engine) + (self._constant_excess_ms or 0.0)
+        max_requests = (
+            max_event_gap / _MS * _MEAN_GAP_FRACTION - fixed_ms
+        ) / request_cost_ms
+        min_requests = engine.slots * _MIN_SLOT_FRACTION
         threshold = (
-            least * _RECOVERY_FACTOR
-            if self._none_in_time
-            else _MIN_IN_TIME_REQUESTS
+            min_requests * _RECOVERY_FRACTION
+            if self._event_gap_unreachable
+            else _MIN_REACHABLE_REQUESTS
         )
-        self._none_in_time = has_slow_rank and in_time < threshold
-        if self._none_in_time:
-            in_time = (
-                max_pause / _MS * _LATE_PAUSE_FACTOR - fixed_ms
-            ) / request_ms
-        return min(float(engine.slots), max(least, in_time))
+        self._event_gap_unreachable = has_slow_rank and max_requests < threshold
+        if self._event_gap_unreachable:
+            max_requests = (
+                max_event_gap / _MS * _RELAXED_GAP_FACTOR - fixed_ms
+            ) / request_cost_ms
+        return min(float(engine.slots), max(min_requests, max_requests))
 
 
-def _smoothed(mean_ms: float | None, seen_ms: float) -> float:
+def _smoothed(mean_ms: float | None, observed_ms: float) -> float:
     """Return what is learned once one more pass was seen."""
     return (
-        seen_ms
+        observed_ms
         if mean_ms is None
-        else mean_ms + _NEW_PASS_WEIGHT * (seen_ms - mean_ms)
+        else mean_ms + _NEW_PASS_WEIGHT * (observed_ms - mean_ms)
     )
 
 
-def _max_request_ms(engine: desired.EngineSpec) -> float:
+def _max_request_cost_ms(engine: desired.EngineSpec) -> float:
     """Return what one request adds to a pass at most; 0 if not known."""
     return (
         engine.steps_per_pass
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -24,7 +24,7 @@
 from lugcross.edge import connection_pool
 from lugcross.edge import crash_tracker as crash_tracker_lib
 from lugcross.edge import desired_history as desired_history_lib
-from lugcross.edge import eligible_servers
+from lugcross.edge import eligible_servers as eligible_servers_lib
 from lugcross.edge import metrics as metrics_lib
 from lugcross.edge import retry_policy
 from lugcross.edge import server_backoffs as server_backoffs_lib
@@ -40,7 +40,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True)
-class _CachedServing:
+class _CachedEligibleServers:
     """The servers of a service, and what they were put together from.
 
     :param excluded: sets of servers that were left out.
@@ -48,7 +48,7 @@
 
     listed: tuple[desired.Backend, ...]
     excluded: tuple[frozenset[desired.BackendKey], ...]
-    serving: eligible_servers.EligibleServers
+    servers: eligible_servers_lib.EligibleServers
 
     def is_current(
         self,
@@ -86,13 +86,13 @@
             ids.ServiceName, concurrency_limit_lib.ConcurrencyLimit
         ] = {}
         #: Called with each pause between two events of a stream.
-        self.on_pause: Callable[
+        self.on_event_gap: Callable[
             [desired.BackendKey, datetime.timedelta], None
-        ] = lambda key, pause: None
+        ] = lambda key, gap: None
         #: How many peers may exist, set by whoever listens to them.
         self.count_known_peers: Callable[[], int] = lambda: 0
         self.desired: desired.DesiredState | None = None
-        self.records = desired_history_lib.DesiredHistory()
+        self.desired_history = desired_history_lib.DesiredHistory()
         self.backends = backends_lib.Backends(
             clock, drain=lambda: self.bounds.drain
         )
@@ -112,7 +112,9 @@
         self.crash_tracker.exempt_requests = _cleared_requests(
             settings.suspects
         )
-        self._serving: dict[ids.ServiceName, _CachedServing] = {}
+        self._eligible_servers: dict[
+            ids.ServiceName, _CachedEligibleServers
+        ] = {}
 
     def software_versions(self, service: ids.ServiceName) -> frozenset[str]:
         """Return the versions that servers of ``service`` run now."""
@@ -131,7 +133,7 @@
         if held is not None and state.version <= held.version:
             return False
         self.desired = state
-        self.records.add(record)
+        self.desired_history.add(record)
         self.workspace_usage.set_names(state.services, state.workspace_names())
         logging.info(
             "desired state",
@@ -157,31 +159,33 @@
                 slack=bounds.repeat_slack,
             )
 
-    def engine(self, service: ids.ServiceName) -> desired.EngineSpec | None:
+    def engine_spec(
+        self, service: ids.ServiceName
+    ) -> desired.EngineSpec | None:
         """Return how the engines of ``service`` work, if it has any."""
         if self.desired is None:
             return None
         found = self.desired.services.get(service)
         return found.engine if found else None
 
-    def serving(
+    def eligible_servers(
         self, service: ids.ServiceName
-    ) -> eligible_servers.EligibleServers:
+    ) -> eligible_servers_lib.EligibleServers:
         """Return the servers of ``service`` that new requests may go to."""
         listed = self.backends.usable(service)
         broken = self.broken_group_servers.servers()
         resting = self.backoffs.servers()
         slow = self.slow_servers.servers()
-        held = self._serving.get(service)
-        if held and held.is_current(listed, (broken, resting, slow)):
-            return held.serving
+        cached = self._eligible_servers.get(service)
+        if cached and cached.is_current(listed, (broken, resting, slow)):
+            return cached.servers
         out = broken | resting
         usable = [one for one in listed if one.key not in out]
-        usable = eligible_servers.without_slow(usable, slow)
-        found = eligible_servers.split_by_domain(
+        usable = eligible_servers_lib.without_slow(usable, slow)
+        found = eligible_servers_lib.split_by_domain(
             usable, own_domain=self._own_domain
         )
-        self._serving[service] = _CachedServing(
+        self._eligible_servers[service] = _CachedEligibleServers(
             listed, (broken, resting, slow), found
         )
         return found
@@ -236,7 +240,7 @@
 
         :param min_requests: requests of the least busy server looked at.
         """
-        servers = self.serving(service)
+        servers = self.eligible_servers(service)
         return admission.LoadSnapshot(
             servers=len(servers),
             slots=servers.slots,
@@ -249,7 +253,7 @@
         self, route: desired.Route, service: ids.ServiceName
     ) -> float:
         """Return how many requests one server of ``service`` may have."""
-        engine = self.engine(service)
+        engine = self.engine_spec(service)
         if engine is not None:
             slow = self.slow_servers.servers()
             return self.concurrency_limit(service).max_requests_per_engine(
@@ -308,28 +312,28 @@
             route, admission.CallerRetryDetector()
         )
 
-    def observe_pause(
+    def observe_event_gap(
         self,
         backend: desired.Backend,
-        pause: datetime.timedelta,
-        max_pause: datetime.timedelta,
+        gap: datetime.timedelta,
+        max_event_gap: datetime.timedelta,
     ) -> None:
         """Learn from a pause between two events of a stream."""
-        self.on_pause(backend.key, pause)
+        self.on_event_gap(backend.key, gap)
         service = backend.service
-        engine = self.engine(service)
+        engine = self.engine_spec(service)
         if engine is None:
             return
-        servers = self.serving(service)
+        servers = self.eligible_servers(service)
         if not servers:
             return
-        self.concurrency_limit(service).observe_pause(
-            pause,
+        self.concurrency_limit(service).observe_event_gap(
+            gap,
             self._clock.monotonic(),
             engine=engine,
             mean_requests=self.loads.requests_at_all(servers.keys)
             / len(servers),
-            max_pause=max_pause,
+            max_event_gap=max_event_gap,
         )
 
     def choose_backend(
@@ -342,7 +346,7 @@
         All servers are looked at only where those drawn are all tried or
         ejected.
         """
-        servers = self.serving(service)
+        servers = self.eligible_servers(service)
         found = self._choose_among(servers.sample(self._rng), tried)
         if found is None or found.best.ejected:
             return self._choose_among(servers.all, tried)
@@ -354,7 +358,7 @@
         tried: Collection[desired.BackendKey],
     ) -> backend_choice.BackendChoice | None:
         """Return where a suspect should go, apart from other suspects."""
-        servers = self.serving(checked.service).all
+        servers = self.eligible_servers(checked.service).all
         usual = self._choose_among(servers, tried)
         free = {
             one.key: one
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -71,7 +71,7 @@
         self._on_group_state_change = on_group_state_change
         self._node = node
         self._edge_state = edge_state
-        edge_state.on_pause = self._note_pause
+        edge_state.on_event_gap = self._note_pause
         self._clock = clock
         self._leadership = leadership
         self._sleep = sleep
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -61,7 +61,7 @@
         """Return what this process knows beyond ``req``."""
         state = self._edge_state.desired
         newer = state is not None and state.version > req.version
-        records = self._edge_state.records
+        records = self._edge_state.desired_history
         sends_plain = newer and req.digest is None
         patch = records.patch(req.digest) if newer and req.digest else None
         sends_compressed = newer and req.digest is not None and patch is None
@@ -138,7 +138,7 @@
 
     async def _request(self, host: str, port: int) -> bool:
         """Ask a peer and take over what it tells; tell whether it did."""
-        records = self._edge_state.records
+        records = self._edge_state.desired_history
         base = records.newest
         req = messages.StateRequest(
             self._edge_state.version,
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -26,7 +26,7 @@
     step_ms=5.0,
     ms_per_sequence=0.5,
 )
-MAX_PAUSE = datetime.timedelta(milliseconds=120)
+MAX_EVENT_GAP = datetime.timedelta(milliseconds=120)
 FIRST = admission.AdmissionRequest()
 CALLER_RETRY = admission.AdmissionRequest(is_caller_retry=True)
 SECOND = datetime.timedelta(seconds=1)
@@ -138,41 +138,41 @@
 
 
 @given(st.floats(10, 400), st.floats(1, 6))
-def test_learned_limit_stays_between_half_and_all_slots(pause_ms, load):
+def test_learned_limit_stays_between_half_and_all_slots(gap_ms, load):
     learned = concurrency_limit.ConcurrencyLimit()
     for num in range(50):
-        learned.observe_pause(
-            datetime.timedelta(milliseconds=pause_ms),
+        learned.observe_event_gap(
+            datetime.timedelta(milliseconds=gap_ms),
             num * SECOND,
             engine=ENGINE,
             mean_requests=load,
-            max_pause=MAX_PAUSE,
+            max_event_gap=MAX_EVENT_GAP,
         )
-    assert 3.0 <= learned.max_requests_per_engine(ENGINE, MAX_PAUSE) <= 6.0
+    assert 3.0 <= learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP) <= 6.0
 
 
 def _observe_pass(
     learned: concurrency_limit.ConcurrencyLimit,
     num: int,
-    pause_ms: float,
+    gap_ms: float,
     *,
     streams: int = 3,
 ) -> float:
     """Let one pass go by that some streams feel."""
     for _ in range(streams):
-        learned.observe_pause(
-            datetime.timedelta(milliseconds=pause_ms),
+        learned.observe_event_gap(
+            datetime.timedelta(milliseconds=gap_ms),
             num * SECOND,
             engine=ENGINE,
             mean_requests=4.0,
-            max_pause=MAX_PAUSE,
+            max_event_gap=MAX_EVENT_GAP,
         )
-    return learned.max_requests_per_engine(ENGINE, MAX_PAUSE)
+    return learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
 
 
-def _max_requests_after(pause_ms: float) -> float:
+def _max_requests_after(gap_ms: float) -> float:
     learned = concurrency_limit.ConcurrencyLimit()
-    return [_observe_pass(learned, num, pause_ms) for num in range(300)][-1]
+    return [_observe_pass(learned, num, gap_ms) for num in range(300)][-1]
 
 
 def test_longer_pauses_leave_room_for_fewer_requests():
@@ -188,9 +188,9 @@
         concurrency_limit.ConcurrencyLimit(),
         concurrency_limit.ConcurrencyLimit(),
     )
-    for num, pause_ms in enumerate((60.0, 80.0, 70.0)):
-        alone = _observe_pass(one, num, pause_ms, streams=1)
-        assert _observe_pass(many, num, pause_ms, streams=9) == alone
+    for num, gap_ms in enumerate((60.0, 80.0, 70.0)):
+        alone = _observe_pass(one, num, gap_ms, streams=1)
+        assert _observe_pass(many, num, gap_ms, streams=9) == alone
 
 
 def test_jump_of_passes_is_followed_within_three():
@@ -211,22 +211,22 @@
     :param slowness: of the slowest rank, by pass.
     """
     learned = concurrency_limit.ConcurrencyLimit()
-    max_requests = [learned.max_requests_per_engine(ENGINE, MAX_PAUSE)]
+    max_requests = [learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)]
     for num, times in enumerate(slowness):
-        pause_ms = (
+        gap_ms = (
             ENGINE.steps_per_pass * ENGINE.step_ms * times
             + 10.0 * max_requests[-1]
         )
-        learned.observe_pause(
-            datetime.timedelta(milliseconds=pause_ms),
+        learned.observe_event_gap(
+            datetime.timedelta(milliseconds=gap_ms),
             num * SECOND,
             engine=ENGINE,
             mean_requests=max_requests[-1],
-            max_pause=MAX_PAUSE,
+            max_event_gap=MAX_EVENT_GAP,
         )
         max_requests.append(
             learned.max_requests_per_engine(
-                ENGINE, MAX_PAUSE, has_slow_rank=times > 1.0
+                ENGINE, MAX_EVENT_GAP, has_slow_rank=times > 1.0
             )
         )
     return max_requests[1:]
@@ -253,18 +253,21 @@
     """A group that has just formed reads many prompts in its first passes."""
     learned = concurrency_limit.ConcurrencyLimit()
     for num in range(20):
-        learned.observe_pause(
+        learned.observe_event_gap(
             datetime.timedelta(milliseconds=200),
             num * SECOND,
             engine=ENGINE,
             mean_requests=3.0,
-            max_pause=MAX_PAUSE,
+            max_event_gap=MAX_EVENT_GAP,
         )
     assert (
-        learned.max_requests_per_engine(ENGINE, MAX_PAUSE) == ENGINE.slots / 2
+        learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
+        == ENGINE.slots / 2
     )
     assert (
-        learned.max_requests_per_engine(ENGINE, MAX_PAUSE, has_slow_rank=True)
+        learned.max_requests_per_engine(
+            ENGINE, MAX_EVENT_GAP, has_slow_rank=True
+        )
         == ENGINE.slots
     )
 
@@ -277,15 +280,15 @@
 
 def test_pause_of_a_fault_teaches_nothing():
     learned = concurrency_limit.ConcurrencyLimit()
-    before = learned.max_requests_per_engine(ENGINE, MAX_PAUSE)
-    learned.observe_pause(
+    before = learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
+    learned.observe_event_gap(
         datetime.timedelta(seconds=2),
         SECOND,
         engine=ENGINE,
         mean_requests=1.0,
-        max_pause=MAX_PAUSE,
+        max_event_gap=MAX_EVENT_GAP,
     )
-    assert learned.max_requests_per_engine(ENGINE, MAX_PAUSE) == before
+    assert learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP) == before
 
 
 @given(st.lists(st.integers(1, 60), max_size=12))
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -300,16 +300,16 @@
 def test_group_is_reported_broken_and_open_again():
     async def act(rig: Rig) -> None:
         await rig.rounds(2)
-        assert len(rig.edge_state.serving(SERVICE)) == RANK_COUNT
+        assert len(rig.edge_state.eligible_servers(SERVICE)) == RANK_COUNT
         rig.engines.is_open = False
         before = rig.notification_count
         await rig.rounds(1)
-        assert not rig.edge_state.serving(SERVICE)
+        assert not rig.edge_state.eligible_servers(SERVICE)
         assert len(rig.maps.servers_of_broken_groups()) == RANK_COUNT
         assert rig.notification_count > before
         rig.engines.is_open = True
         await rig.rounds(1)
-        assert len(rig.edge_state.serving(SERVICE)) == RANK_COUNT
+        assert len(rig.edge_state.eligible_servers(SERVICE)) == RANK_COUNT
 
     run(act)
 
@@ -406,7 +406,7 @@
         rig.leadership.leads = False
         await rig.rounds(1)
         assert not rig.maps.servers_of_broken_groups()
-        assert len(rig.edge_state.serving(SERVICE)) == RANK_COUNT
+        assert len(rig.edge_state.eligible_servers(SERVICE)) == RANK_COUNT
 
     run(act)
 
@@ -585,7 +585,7 @@
         """Let a stream get its next event."""
         pause = datetime.timedelta(milliseconds=pause_ms)
         self.rig.clock.advance(pause)
-        self.rig.edge_state.on_pause(desired.BackendKey("1"), pause)
+        self.rig.edge_state.on_event_gap(desired.BackendKey("1"), pause)
 
     async def short_rounds(self, count: int) -> None:
         """Let some passes go by, with a round at each."""
--- a/testing/edge/test_refusals.py
+++ b/testing/edge/test_refusals.py
@@ -9,16 +9,16 @@
 BACKEND_KEYS = [desired.BackendKey("i-0")]
 
 
-def _count_serving_calls(rig: edge_rig.Rig) -> list[None]:
+def _count_eligible_servers_calls(rig: edge_rig.Rig) -> list[None]:
     """Return a list that grows with each look for a place."""
     calls: list[None] = []
-    serving = rig.edge_state.serving
+    eligible_servers = rig.edge_state.eligible_servers
 
     def count(service: ids.ServiceName) -> list[desired.Backend]:
         calls.append(None)
-        return serving(service)
+        return eligible_servers(service)
 
-    rig.edge_state.serving = count
+    rig.edge_state.eligible_servers = count
     return calls
 
 
@@ -41,7 +41,7 @@
     async def act(rig: edge_rig.Rig) -> edge_rig.CallerAnswer:
         await rig.ask(time_left=5000)
         rig.edge_state.broken_group_servers.report("peer", BACKEND_KEYS)
-        calls = _count_serving_calls(rig)
+        calls = _count_eligible_servers_calls(rig)
         got = await rig.ask(time_left=4000)
         # One choice, one snapshot for the verdict, one for the log line.
         assert len(calls) <= 3
