--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -46,25 +46,25 @@
 
     def __init__(
         self,
-        exchange: http1.ResponseWriter,
+        response: http1.ResponseWriter,
         checked: checked_request.CheckedRequest,
         clock: clock_lib.Clock,
     ) -> None:
-        self._exchange = exchange
+        self._response = response
         self._clock = clock
         self.first_byte_at: clock_lib.Instant | None = None
         self.status = 0
         self._held_failure: tuple[http1.ResponseHead, bytes] | None = None
-        self.begun = False
+        self.started = False
         self.last_event_id = checked.caller_head.last_event_id
 
-    async def write_whole(
+    async def write_complete(
         self, answer: http1.ResponseHead, body: bytes
     ) -> None:
         """Give a whole answer."""
-        self._begin(answer)
+        self._mark_started(answer)
         headers = platform.headers_to_caller(answer.raw_headers)
-        await self._exchange.write_head(
+        await self._response.write_head(
             answer.status, headers, body, whole=True
         )
 
@@ -75,7 +75,7 @@
     async def write_held_failure(self) -> None:
         """Give the failure that was kept."""
         assert self._held_failure is not None
-        await self.write_whole(*self._held_failure)
+        await self.write_complete(*self._held_failure)
 
     async def write_events(
         self, answer: http1.ResponseHead, events: list[bytes]
@@ -86,24 +86,24 @@
             self.last_event_id = (
                 event_stream.event_id(event) or self.last_event_id
             )
-        if self.begun:
-            await self._exchange.write_data(data)
+        if self.started:
+            await self._response.write_data(data)
             return
-        self._begin(answer)
+        self._mark_started(answer)
         headers = platform.headers_to_caller(answer.raw_headers)
-        await self._exchange.write_head(answer.status, headers, data)
+        await self._response.write_head(answer.status, headers, data)
 
-    def _begin(self, answer: http1.ResponseHead) -> None:
-        self.begun = True
+    def _mark_started(self, answer: http1.ResponseHead) -> None:
+        self.started = True
         self.status = answer.status
         self.first_byte_at = self._clock.monotonic()
 
     async def finish(self, answer: http1.ResponseHead) -> None:
         """Mark a stream as whole."""
-        if not self.begun:
-            await self.write_whole(answer, b"")
+        if not self.started:
+            await self.write_complete(answer, b"")
             return
-        await self._exchange.finish()
+        await self._response.finish()
 
 
 @final
@@ -174,7 +174,7 @@
             if not self._health_reported:
                 # Its caller left, or its time was over: a server on trial
                 # would be left alone for good.
-                self._health().record_no_result()
+                self._backend_health().record_no_result()
             edge_state.loads.record_ended(self._backend.key)
             edge_state.workspace_usage.request_ended(
                 checked.service, checked.workspace_name
@@ -183,38 +183,40 @@
     async def _run_on(
         self, conn: http1.ClientConn
     ) -> retry_policy.AttemptOutcome | None:
-        whole = False
+        reusable = False
         try:
             self._send(conn)
-            event = await self._receive(conn)
-            whole = conn.reusable
+            outcome = await self._receive(conn)
+            reusable = conn.reusable
         except (http1.ConnectionBrokenError, _InvalidAnswerError) as exc:
-            ended = isinstance(exc, http1.ConnectionBrokenError)
-            self.connection_lost = ended and not self._unacknowledged
+            is_broken = isinstance(exc, http1.ConnectionBrokenError)
+            self.connection_lost = is_broken and not self._unacknowledged
             unacknowledged = "no byte of the request was acknowledged"
             self._report_failure(
                 unacknowledged if self._unacknowledged else str(exc)
             )
             return retry_policy.AttemptOutcome.BROKEN
         finally:
-            if whole:
+            if reusable:
                 self._edge_state.pool.release(
                     self._backend, conn, self._keep_alive
                 )
             else:
                 # The server notices, and stops working on the request.
                 conn.close()
-        return event
+        return outcome
 
     def _send(self, conn: http1.ClientConn) -> None:
         checked = self._checked
-        resumed = self._answer_writer.begun
-        left = checked.deadline - self._clock.monotonic() - _TRANSIT_MARGIN
+        resumed = self._answer_writer.started
+        time_left = (
+            checked.deadline - self._clock.monotonic() - _TRANSIT_MARGIN
+        )
         headers = platform.headers_to_backend(
             checked.req.raw_headers,
             backend=self._backend.id,
             workspace=checked.workspace_name,
-            time_left=left,
+            time_left=time_left,
             body_bytes=None
             if checked.req.body is None
             else len(checked.req.body),
@@ -230,21 +232,21 @@
     async def _receive(
         self, conn: http1.ClientConn
     ) -> retry_policy.AttemptOutcome | None:
-        answer, head = await self._receive_acknowledged(conn)
+        answer, head = await self._receive_with_ack_timeout(conn)
         self._keep_alive = head.keep_alive
         self._edge_state.apply_answer_head(self._backend, head)
         if head.not_executed:
             await conn.read_body()
-            return self._handle_not_run(head)
+            return self._handle_not_executed(head)
         self._check_answer(head)
         types = [v for n, v in answer.headers if n == b"content-type"]
         streams = bool(types) and types[0].startswith(_EVENT_STREAM_TYPE)
         if head.success and streams:
-            self._health().record_answer_started()
+            self._backend_health().record_answer_started()
             return await self._forward_events(conn, answer)
-        return await self._forward_whole(conn, answer, head)
+        return await self._forward_complete(conn, answer, head)
 
-    async def _receive_acknowledged(
+    async def _receive_with_ack_timeout(
         self, conn: http1.ClientConn
     ) -> tuple[http1.ResponseHead, platform.BackendResponseHead]:
         """Return the answer to this request, unless it was not heard.
@@ -252,13 +254,13 @@
         Where it cannot go elsewhere, as what must not be repeated and may
         have run, its answer is waited for to the end.
         """
-        look = asyncio.get_running_loop().call_later(
+        ack_timer = asyncio.get_running_loop().call_later(
             ACK_TIMEOUT.total_seconds(), self._close_if_unacknowledged, conn
         )
         try:
             return await self._matching_answer(conn)
         finally:
-            look.cancel()
+            ack_timer.cancel()
 
     def _close_if_unacknowledged(self, conn: http1.ClientConn) -> None:
         if not conn.nothing_acknowledged() or not self._may_resend():
@@ -291,7 +293,7 @@
             await conn.read_body()
             conn.expect_another_response(self._checked.req.method)
 
-    def _handle_not_run(
+    def _handle_not_executed(
         self, head: platform.BackendResponseHead
     ) -> retry_policy.AttemptOutcome:
         if head.wrong_instance:
@@ -299,7 +301,7 @@
                 self._backend.key, "another life has its address"
             )
         elif head.retry_after is None:
-            self._health().record_refusal(self._clock.monotonic())
+            self._backend_health().record_refusal(self._clock.monotonic())
         return retry_policy.AttemptOutcome.NOT_RUN
 
     def _check_answer(self, head: platform.BackendResponseHead) -> None:
@@ -315,7 +317,7 @@
         ):
             raise _InvalidAnswerError("a success without the request's id")
 
-    async def _forward_whole(
+    async def _forward_complete(
         self,
         conn: http1.ClientConn,
         answer: http1.ResponseHead,
@@ -331,9 +333,9 @@
             self._answer_writer.hold_failure(answer, body)
             return retry_policy.AttemptOutcome.FAILED
         self._report_success()
-        if self._answer_writer.begun:
+        if self._answer_writer.started:
             raise _InvalidAnswerError("not a stream, where one was to go on")
-        await self._answer_writer.write_whole(answer, body)
+        await self._answer_writer.write_complete(answer, body)
         return None
 
     async def _forward_events(
@@ -342,14 +344,14 @@
         splitter = event_stream.EventSplitter()
         after = (
             self._answer_writer.last_event_id
-            if self._answer_writer.begun
+            if self._answer_writer.started
             else ""
         )
-        last: clock_lib.Instant | None = None
+        previous_at: clock_lib.Instant | None = None
         while (data := await conn.read_data()) is not None:
             events = splitter.feed(data)
             if events:
-                last = self._observe_event_gap(last)
+                previous_at = self._observe_event_gap(previous_at)
             if after:
                 events = [
                     one
@@ -365,26 +367,28 @@
         return None
 
     def _observe_event_gap(
-        self, last: clock_lib.Instant | None
+        self, previous_at: clock_lib.Instant | None
     ) -> clock_lib.Instant:
         now = self._clock.monotonic()
         limit = self._checked.route.max_event_gap
-        if last is not None and limit is not None:
+        if previous_at is not None and limit is not None:
             self._edge_state.observe_event_gap(
-                self._backend, now - last, limit
+                self._backend, now - previous_at, limit
             )
         return now
 
-    def _health(self) -> routing.BackendHealth:
+    def _backend_health(self) -> routing.BackendHealth:
         return self._edge_state.loads.health(self._backend.key)
 
     def _report_success(self) -> None:
         self._health_reported = True
-        self._health().record_success()
+        self._backend_health().record_success()
 
     def _report_failure(self, why: str) -> None:
         self._health_reported = True
-        ejected = self._health().record_failure(self._clock.monotonic())
+        ejected = self._backend_health().record_failure(
+            self._clock.monotonic()
+        )
         logging.info(
             "backend server failed",
             extra={
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -134,7 +134,9 @@
             return False
         self.desired = state
         self.desired_history.add(record)
-        self.workspace_usage.set_names(state.services, state.workspace_names())
+        self.workspace_usage.set_known_workspaces(
+            state.services, state.workspace_names()
+        )
         logging.info(
             "desired state",
             extra={
@@ -421,14 +423,14 @@
         return found
 
     def spend_retry(
-        self, service: ids.ServiceName, event: retry_policy.AttemptOutcome
+        self, service: ids.ServiceName, outcome: retry_policy.AttemptOutcome
     ) -> bool:
         """Take one repeat of ``service`` from the budget, if it has one.
 
         A refusal often comes from all servers at once, and its caller can
         come back; a broken answer is lost, so that more is kept for it.
         """
-        refused = event is retry_policy.AttemptOutcome.NOT_RUN
+        refused = outcome is retry_policy.AttemptOutcome.NOT_RUN
         return self.retry_budget(service).try_spend(
             self._clock.monotonic(),
             usable_ratio=_REFUSED_BUDGET_FRACTION if refused else 1.0,
--- a/src/lugcross/edge/request_errors.py
+++ b/src/lugcross/edge/request_errors.py
@@ -62,19 +62,19 @@
 
 
 def overloaded(
-    what: str, left: datetime.timedelta, rng: random.Random
+    what: str, time_left: datetime.timedelta, rng: random.Random
 ) -> RequestError:
     """Return a refusal of a request that no server has a place for.
 
     :param left: time that its caller will still wait.
     """
-    most = max(MIN_RETRY_AFTER, left * _OVERLOADED_SPREAD_FRACTION)
+    most = max(MIN_RETRY_AFTER, time_left * _OVERLOADED_SPREAD_FRACTION)
     wait = MIN_RETRY_AFTER + (most - MIN_RETRY_AFTER) * rng.random()
     return _not_run(what, wait)
 
 
 def all_backing_off(
-    rest: datetime.timedelta, rng: random.Random
+    backoff: datetime.timedelta, rng: random.Random
 ) -> RequestError:
     """Return a refusal while all servers rest, or have rested just now.
 
@@ -83,21 +83,23 @@
 
     :param rest: time until then; 0 if it has.
     """
-    wait = max(MIN_RETRY_AFTER, rest) + MIN_RETRY_AFTER * rng.random()
+    wait = max(MIN_RETRY_AFTER, backoff) + MIN_RETRY_AFTER * rng.random()
     return _not_run("every backend server has asked for rest", wait)
 
 
-def unavailable(what: str, left: datetime.timedelta) -> RequestError:
+def unavailable(what: str, time_left: datetime.timedelta) -> RequestError:
     """Return a refusal of a request that the servers refused themselves.
 
     :param left: time that its caller will still wait.
     """
     return _not_run(
-        what, max(MIN_RETRY_AFTER, left * _UNAVAILABLE_WAIT_FRACTION)
+        what, max(MIN_RETRY_AFTER, time_left * _UNAVAILABLE_WAIT_FRACTION)
     )
 
 
-def crash_suspect(ended: int, retry_after: datetime.timedelta) -> RequestError:
+def crash_suspect(
+    crash_count: int, retry_after: datetime.timedelta
+) -> RequestError:
     """Return a refusal of a request under which servers have ended.
 
     :param ended: how many.
@@ -105,7 +107,7 @@
     """
     return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
-        f"{ended} backend servers have ended while they ran this request",
+        f"{crash_count} backend servers have ended while they ran this request",
         remedy="change the request, or have the operator clear it",
         retry_after=retry_after,
     )
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -33,7 +33,7 @@
         self,
         edge_state: edge_state_lib.EdgeState,
         clock: clock_lib.Clock,
-        exchange: http1.ResponseWriter,
+        response: http1.ResponseWriter,
         checked: checked_request.CheckedRequest,
         on_change: Callable[[], None],
         rng: random.Random,
@@ -44,13 +44,13 @@
         self._checked = checked
         self._on_change = on_change
         self._answer_writer = attempt_lib.AnswerWriter(
-            exchange, checked, clock
+            response, checked, clock
         )
-        self._tried: set[desired.BackendKey] = set()
+        self._tried_backends: set[desired.BackendKey] = set()
         #: Whether the last attempt's server ended its connection.
         self._connection_lost = False
         #: When the last attempt was sent.
-        self._sent_at = checked.req.received_at
+        self._attempt_sent_at = checked.req.received_at
         self._state = retry_policy.RequestState(
             repeatable=checked.route.repeatable,
             max_attempts=checked.route.max_attempts,
@@ -85,7 +85,7 @@
         found = self._choose_backend()
         reason = self._refusal_reason(found, is_caller_retry=is_caller_retry)
         if found is None or reason is not None:
-            raise self._refused_error(found, reason)
+            raise self._refusal_error(found, reason)
         return found.best.backend
 
     def _refuse_crash_suspect(self) -> None:
@@ -101,10 +101,10 @@
             is not crash_suspects.SuspectStatus.REFUSED
         ):
             return
-        ends = tracker.counted_crashes(self._checked)
+        crashes = tracker.counted_crashes(self._checked)
         self._edge_state.metrics.count_suspect_refused(self._checked.service)
         raise request_errors.crash_suspect(
-            len(ends), tracker.time_until_expiry(ends)
+            len(crashes), tracker.time_until_expiry(crashes)
         )
 
     def _refusal_reason(
@@ -129,51 +129,51 @@
             ),
         )
 
-    def _refused_error(
+    def _refusal_error(
         self, found: backend_choice.BackendChoice | None, reason: str | None
     ) -> request_errors.RequestError:
         if found is not None:
             return request_errors.overloaded(
                 reason or "", self._time_left(), self._rng
             )
-        rest = self._edge_state.remaining_backoff(self._checked.service)
-        if rest is not None:
-            return self._all_resting_error(rest)
+        backoff = self._edge_state.remaining_backoff(self._checked.service)
+        if backoff is not None:
+            return self._all_backing_off_error(backoff)
         if self._edge_state.backends.usable(self._checked.service):
             return request_errors.unavailable(
                 "its groups of ranks are broken", self._time_left()
             )
         return request_errors.not_ready("no backend server is known")
 
-    def _all_resting_error(
-        self, rest: datetime.timedelta
+    def _all_backing_off_error(
+        self, backoff: datetime.timedelta
     ) -> request_errors.RequestError:
         """Return the refusal while all servers rest or are on trial."""
         self._edge_state.metrics.count_backoff_refused(self._checked.service)
-        return request_errors.all_backing_off(rest, self._rng)
+        return request_errors.all_backing_off(backoff, self._rng)
 
     async def _send_until_answered(self, first: desired.Backend) -> None:
         backend = first
         while True:
-            self._tried.add(backend.key)
-            event = await self._send(backend)
-            if event is None:
+            self._tried_backends.add(backend.key)
+            outcome = await self._send(backend)
+            if outcome is None:
                 self._log_answer(backend)
                 return
             self._edge_state.metrics.count_attempt(
-                self._checked.service, event.value
+                self._checked.service, outcome.value
             )
-            self._state = retry_policy.state_after(self._state, event)
-            await self._check_if_backend_ended(event, backend)
+            self._state = retry_policy.state_after(self._state, outcome)
+            await self._check_for_crash(outcome, backend)
             found = self._choose_backend()
             action = retry_policy.next_action(
                 self._state,
-                event,
-                another=found is not None and self._spend_repeat(event),
+                outcome,
+                another=found is not None and self._spend_retry(outcome),
             )
-            self._log_attempt(event, backend, action)
+            self._log_attempt(outcome, backend, action)
             if action is not retry_policy.Action.RETRY or found is None:
-                await self._finish_unanswered(action, event)
+                await self._finish_unanswered(action, outcome)
                 return
             backend = found.best.backend
 
@@ -190,30 +190,30 @@
             new_connection=self._is_suspect(),
         )
         self._on_change()
-        self._sent_at = self._clock.monotonic()
+        self._attempt_sent_at = self._clock.monotonic()
         try:
-            event = await attempt.run()
+            outcome = await attempt.run()
         finally:
             self._on_change()
         self._connection_lost = attempt.connection_lost
-        if event in (None, retry_policy.AttemptOutcome.FAILED):
+        if outcome in (None, retry_policy.AttemptOutcome.FAILED):
             self._edge_state.crash_tracker.record_completion(
-                self._checked, backend, self._sent_at
+                self._checked, backend, self._attempt_sent_at
             )
-        begun = self._answer_writer.begun
-        self._state = dataclasses.replace(self._state, answer_started=begun)
-        return event
+        started = self._answer_writer.started
+        self._state = dataclasses.replace(self._state, answer_started=started)
+        return outcome
 
-    async def _check_if_backend_ended(
-        self, event: retry_policy.AttemptOutcome, backend: desired.Backend
+    async def _check_for_crash(
+        self, outcome: retry_policy.AttemptOutcome, backend: desired.Backend
     ) -> None:
         """Find out whether a server has ended under this request."""
         if (
-            event is retry_policy.AttemptOutcome.BROKEN
+            outcome is retry_policy.AttemptOutcome.BROKEN
             and self._connection_lost
         ):
             await self._edge_state.crash_tracker.record_broken_attempt(
-                self._checked, backend, self._sent_at
+                self._checked, backend, self._attempt_sent_at
             )
 
     def _may_resend(self) -> bool:
@@ -226,54 +226,55 @@
             and self._choose_backend() is not None
         )
 
-    def _spend_repeat(self, event: retry_policy.AttemptOutcome) -> bool:
+    def _spend_retry(self, outcome: retry_policy.AttemptOutcome) -> bool:
         """Take one repeat from the budget, unless it would be the first.
 
         Only what arrived at a backend server counts against it.
         """
         if not retry_policy.may_send(self._state):
             return False
-        broke = event is retry_policy.AttemptOutcome.BROKEN
+        broke = outcome is retry_policy.AttemptOutcome.BROKEN
         if not self._edge_state.crash_tracker.may_retry(
             self._checked, broke=broke
         ):
             return False
         if not self._state.attempts_sent:
             return True
-        return self._edge_state.spend_retry(self._checked.service, event)
+        return self._edge_state.spend_retry(self._checked.service, outcome)
 
     def _choose_backend(self) -> backend_choice.BackendChoice | None:
         if self._is_suspect():
             return self._edge_state.choose_backend_for_suspect(
-                self._checked, self._tried
+                self._checked, self._tried_backends
             )
         return self._edge_state.choose_backend(
-            self._checked.service, self._tried
+            self._checked.service, self._tried_backends
         )
 
     def _is_suspect(self) -> bool:
-        standing = self._edge_state.crash_tracker.status(self._checked)
-        return standing is crash_suspects.SuspectStatus.SUSPECT
+        status = self._edge_state.crash_tracker.status(self._checked)
+        return status is crash_suspects.SuspectStatus.SUSPECT
 
     async def _finish_unanswered(
-        self, action: retry_policy.Action, event: retry_policy.AttemptOutcome
+        self, action: retry_policy.Action, outcome: retry_policy.AttemptOutcome
     ) -> None:
         if action is retry_policy.Action.PASS_ON:
             await self._answer_writer.write_held_failure()
         elif action is retry_policy.Action.ABORT_ANSWER:
             raise request_errors.answer_interrupted("the answer broke off")
         elif action is retry_policy.Action.REFUSE:
-            rest = self._edge_state.remaining_backoff(self._checked.service)
-            if rest:
-                raise self._all_resting_error(rest)
+            backoff = self._edge_state.remaining_backoff(self._checked.service)
+            if backoff:
+                raise self._all_backing_off_error(backoff)
             raise request_errors.unavailable(
-                f"no backend server ran it ({event.value})", self._time_left()
+                f"no backend server ran it ({outcome.value})",
+                self._time_left(),
             )
         else:
             raise request_errors.outcome_unknown("a backend server broke off")
 
     def _raise_timeout(self) -> None:
-        if self._answer_writer.begun:
+        if self._answer_writer.started:
             raise request_errors.answer_interrupted("its time is over")
         raise request_errors.timed_out()
 
@@ -311,7 +312,7 @@
 
     def _log_attempt(
         self,
-        event: retry_policy.AttemptOutcome,
+        outcome: retry_policy.AttemptOutcome,
         backend: desired.Backend,
         action: retry_policy.Action,
     ) -> None:
@@ -320,7 +321,7 @@
             extra={
                 "request": self._checked.caller_head.attempt_id,
                 "backend": backend.key,
-                "event": event.value,
+                "event": outcome.value,
                 "action": action.value,
                 "sent": self._state.attempts_sent,
             },
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -46,30 +46,30 @@
         self._rng = rng
 
     async def handle(
-        self, exchange: http1.ResponseWriter, req: http1.Request
+        self, response: http1.ResponseWriter, req: http1.Request
     ) -> None:
         """Answer one request."""
         head = platform.parse_caller_request_head(req.headers)
         checked: checked_request.CheckedRequest | None = None
         try:
-            checked = self._make_plan(req, head)
+            checked = self._check_request(req, head)
             await request_forwarder.RequestForwarder(
                 self._edge_state,
                 self._clock,
-                exchange,
+                response,
                 checked,
                 self._on_change,
                 self._rng,
             ).run()
         except request_errors.RequestError as exc:
             self._log_refusal(head, checked, exc)
-            if exchange.head_written:
+            if response.head_written:
                 return
-            await exchange.write_head(
+            await response.write_head(
                 exc.status, exc.headers(), exc.body(), whole=True
             )
 
-    def _make_plan(
+    def _check_request(
         self, req: http1.Request, head: platform.CallerRequestHead
     ) -> checked_request.CheckedRequest:
         if self._is_stopping():
@@ -134,10 +134,10 @@
             self._edge_state.metrics.count_workspace_refused(
                 service, checked.workspace_name
             )
-        inputs: dict[str, object] = {}
+        load_fields: dict[str, object] = {}
         if checked is not None:
             snapshot = self._edge_state.load_snapshot(checked.service)
-            inputs = {
+            load_fields = {
                 "service": checked.service,
                 "route": checked.route.name,
                 "version": checked.desired_version,
@@ -165,7 +165,7 @@
                 "why": exc.what,
                 "same": checked.logged_fingerprint if checked else None,
                 "retry_after_ms": None if wait is None else round(wait / _MS),
-                **inputs,
+                **load_fields,
             },
         )
 
@@ -180,7 +180,7 @@
         workspace_use = self._edge_state.workspace_usage.use_of(
             checked.service, checked.workspace_name
         )
-        places = (
+        capacity = (
             self._edge_state.max_requests_per_server(
                 checked.route, checked.service
             )
@@ -189,5 +189,5 @@
         return {
             "workspace": checked.workspace_name,
             "use": workspace_use.in_progress,
-            "share": round(workspace_use.fair_share(places), 1),
+            "share": round(workspace_use.fair_share(capacity), 1),
         }
--- a/src/lugcross/edge/workspace_usage.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Requests in progress by workspace, here and at all peers."""
+"""Requests in progress by workspace, in this process and its peers."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -13,125 +13,129 @@
 from lugcross import ids
 from lugcross import shares
 
-#: Age at which what a peer told counts no more, as for servers' loads.
+#: Age at which the counts of a peer are dropped, as for server loads.
 _PEER_COUNTS_MAX_AGE = datetime.timedelta(seconds=1.5)
-#: Workspaces that one datagram tells of, heaviest first; a process with 15
-#: requests a second of two seconds each has no more in progress at once.
-_MAX_WORKSPACES_TOLD = 32
+#: Workspaces in one heartbeat; those with the most requests are sent.
+_MAX_WORKSPACES_SENT = 32
 
 
 @final
 class WorkspaceUsage:
-    """What each workspace has in progress of each service.
+    """Counts of requests in progress by service and workspace.
 
-    Peers tell them by number, which takes five bytes a workspace where names
-    would take a dozen and more. Of 250 workspaces and 5 services two have the
-    same number with a chance of 2 in 10,000; they would share one share.
+    Heartbeats identify a service and workspace by a hash of five bytes or
+    less instead of their names. Two workspaces whose hashes collide share one
+    fair share.
     """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
-        self._tallies: dict[
+        self._counts_by_service: dict[
             ids.ServiceName, fleet_counts_lib.FleetCounts[ids.WorkspaceName]
         ] = {}
-        self._names: dict[int, tuple[ids.ServiceName, ids.WorkspaceName]] = {}
-        #: Weights other than 1, by workspace.
+        self._names_by_hash: dict[
+            int, tuple[ids.ServiceName, ids.WorkspaceName]
+        ] = {}
+        #: Weights by workspace name; a workspace that is absent has 1.
         self.weights: Mapping[str, float] = {}
 
-    def set_names(
+    def set_known_workspaces(
         self,
         services: Iterable[ids.ServiceName],
         workspaces: Iterable[ids.WorkspaceName],
     ) -> None:
-        """Learn which workspaces and services there are."""
-        spaces = set(workspaces)
-        self._names = {
-            workspace_number(service, space): (service, space)
+        """Set the names that hashes in heartbeats are resolved to."""
+        unique_workspaces = set(workspaces)
+        self._names_by_hash = {
+            usage_hash(service, workspace): (service, workspace)
             for service in services
-            for space in spaces
+            for workspace in unique_workspaces
         }
 
     def request_started(
-        self, service: ids.ServiceName, space: ids.WorkspaceName | None
+        self, service: ids.ServiceName, workspace: ids.WorkspaceName | None
     ) -> None:
-        """Note that a request of ``space`` was sent from here."""
-        if space is not None:
-            self._tally(service).add(space, 1)
+        """Count a request that this process sends for ``workspace``."""
+        if workspace is not None:
+            self._counts(service).add(workspace, 1)
 
     def request_ended(
-        self, service: ids.ServiceName, space: ids.WorkspaceName | None
+        self, service: ids.ServiceName, workspace: ids.WorkspaceName | None
     ) -> None:
-        """Note that a request of ``space`` sent from here is over."""
-        if space is not None:
-            self._tally(service).add(space, -1)
+        """Stop counting a request that this process sent."""
+        if workspace is not None:
+            self._counts(service).add(workspace, -1)
 
     def own_counts(self) -> dict[int, int]:
-        """Return what to tell peers: requests in progress, by number."""
+        """Return this process's counts for its heartbeat, by usage hash."""
         found = {
-            workspace_number(service, space): count
-            for service, tally in self._tallies.items()
-            for space, count in tally.own().items()
+            usage_hash(service, workspace): count
+            for service, counts in self._counts_by_service.items()
+            for workspace, count in counts.own().items()
         }
-        if len(found) <= _MAX_WORKSPACES_TOLD:
+        if len(found) <= _MAX_WORKSPACES_SENT:
             return found
         heaviest = heapq.nlargest(
-            _MAX_WORKSPACES_TOLD, found, key=found.__getitem__
+            _MAX_WORKSPACES_SENT, found, key=found.__getitem__
         )
-        return {number: found[number] for number in heaviest}
+        return {one: found[one] for one in heaviest}
 
     def apply_peer_counts(
-        self, node: str, counts_by_number: Mapping[int, int]
+        self, node: str, counts_by_hash: Mapping[int, int]
     ) -> None:
-        """Take over what a peer has in progress, by number."""
+        """Replace the counts of peer ``node`` by those of its heartbeat."""
         counts_by_service: dict[
             ids.ServiceName, dict[ids.WorkspaceName, int]
-        ] = {service: {} for service in self._tallies}
-        for number, count in counts_by_number.items():
-            # One that is not known is of a desired state yet to come.
-            named = self._names.get(number)
-            if named is not None:
-                service, space = named
-                counts_by_service.setdefault(service, {})[space] = count
+        ] = {service: {} for service in self._counts_by_service}
+        for hash_, count in counts_by_hash.items():
+            # The peer may have a newer desired state, with more workspaces.
+            names = self._names_by_hash.get(hash_)
+            if names is not None:
+                service, workspace = names
+                counts_by_service.setdefault(service, {})[workspace] = count
         for service, counts in counts_by_service.items():
-            self._tally(service).set_peer_counts(node, counts)
+            self._counts(service).set_peer_counts(node, counts)
 
     def use_of(
-        self, service: ids.ServiceName, space: ids.WorkspaceName
+        self, service: ids.ServiceName, workspace: ids.WorkspaceName
     ) -> shares.WorkspaceUse:
-        """Return what a workspace has of a service, and may have."""
-        sums = self._tally(service).sums()
-        workspaces = len(sums) + (space not in sums)
+        """Return the workspace's use and weight at ``service``."""
+        sums = self._counts(service).sums()
+        workspaces = len(sums) + (workspace not in sums)
         extra_weight = sum(
             weight - 1.0
             for name, weight in self.weights.items()
-            if name in sums or name == space
+            if name in sums or name == workspace
         )
         return shares.WorkspaceUse(
-            in_progress=sums.get(space, 0),
-            weight=self.weights.get(space, 1.0),
+            in_progress=sums.get(workspace, 0),
+            weight=self.weights.get(workspace, 1.0),
             total_weight=workspaces + extra_weight,
         )
 
     def counts_by_service(
         self,
     ) -> dict[ids.ServiceName, Mapping[ids.WorkspaceName, int]]:
-        """Return all that is in progress; not to be changed or kept."""
-        return {name: one.sums() for name, one in self._tallies.items()}
+        """Return the counts of all processes.
+
+        The inner mappings are live views: neither change nor keep them.
+        """
+        return {
+            name: one.sums() for name, one in self._counts_by_service.items()
+        }
 
-    def _tally(
+    def _counts(
         self, service: ids.ServiceName
     ) -> fleet_counts_lib.FleetCounts[ids.WorkspaceName]:
-        found = self._tallies.get(service)
+        found = self._counts_by_service.get(service)
         if found is None:
             found = fleet_counts_lib.FleetCounts(
                 self._clock, max_age=_PEER_COUNTS_MAX_AGE
             )
-            self._tallies[service] = found
+            self._counts_by_service[service] = found
         return found
 
 
-def workspace_number(
-    service: ids.ServiceName, space: ids.WorkspaceName
-) -> int:
-    """Return the number by which peers tell of a workspace's requests."""
-    return zlib.crc32(f"{service}\0{space}".encode())
+def usage_hash(service: ids.ServiceName, workspace: ids.WorkspaceName) -> int:
+    """Return the hash that identifies a service and workspace on the wire."""
+    return zlib.crc32(f"{service}\0{workspace}".encode())
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -126,7 +126,7 @@
 
 def _workspace_usage(**weights: float) -> workspace_usage.WorkspaceUsage:
     found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
-    found.set_names([SERVICE], [SPACE_A, SPACE_B])
+    found.set_known_workspaces([SERVICE], [SPACE_A, SPACE_B])
     found.weights = weights
     return found
 
