--- a/src/lugcross/edge/__init__.py
+++ b/src/lugcross/edge/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Entry program that speaks to backend servers directly, without agents."""
+"""Entry process that sends requests to backend servers without agents."""
 
 from lugcross.edge.app import Edge
 from lugcross.edge.settings import Settings
--- a/src/lugcross/edge/event_stream.py
+++ b/src/lugcross/edge/event_stream.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Events of a stream: split where one ends, told apart by their ids."""
+"""Server-sent events: splitting of a byte stream, and event ids."""
 
 from typing import final
 
-#: End of an event, as HTML's server-sent events have it.
+#: End of an event, as in HTML's server-sent events.
 _EVENT_END = b"\n\n"
 #: Field that holds the id of an event.
 _ID_FIELD = b"id:"
@@ -11,10 +11,10 @@
 
 @final
 class EventSplitter:
-    """Cuts the bytes of a stream into whole events.
+    """Splits the bytes of a stream into complete events.
 
-    A backend server may stop anywhere; passing on only whole events lets
-    another one go on where the last of them ended.
+    A backend server may fail in the middle of an event. Since only complete
+    events are forwarded, another server can resume after the last of them.
     """
 
     def __init__(self) -> None:
@@ -22,13 +22,15 @@
 
     @property
     def incomplete(self) -> bytes:
-        """Bytes of an event whose end has not come yet."""
+        """Bytes after the last complete event."""
         return self._incomplete
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the events that ``data`` completes, in order."""
-        *whole, self._incomplete = (self._incomplete + data).split(_EVENT_END)
-        return [event + _EVENT_END for event in whole]
+        *complete, self._incomplete = (self._incomplete + data).split(
+            _EVENT_END
+        )
+        return [event + _EVENT_END for event in complete]
 
 
 def event_id(event: bytes) -> str:
@@ -40,9 +42,10 @@
 
 
 def has_later_id(event: bytes, last_id: str) -> bool:
-    """Tell whether an event's id is past ``last_id``.
+    """Tell whether an event comes after the one with ``last_id``.
 
-    After a resume, what the caller already has must not come twice.
+    Used to drop events that the caller already has after a resume. An event
+    whose id is missing or not a number counts as later.
     """
     found = event_id(event)
     if found.isdigit() and last_id.isdigit():
--- a/src/lugcross/edge/long_poll.py
+++ b/src/lugcross/edge/long_poll.py
@@ -1,99 +1,106 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How long a read waits at the store for news."""
+"""Durations of long polls: reads that wait at the store for new records."""
 
 import datetime
 
-#: Longest wait for the answer to a read past its wait for news: it is ready
-#: then and takes some milliseconds, 0.2 s where the store is fifty times
-#: slower.
+#: Longest time for the answer to arrive once the poll's wait has ended.
 ANSWER_TIMEOUT = datetime.timedelta(seconds=1)
-#: Longest wait; each read is priced, and one that ends is made anew.
+#: Longest wait of a process that reads for its failure domain.
 _MAX_WAIT = datetime.timedelta(seconds=4)
-#: Part of a bound on news that a read may wait: at times the store does
-#: not wake a read that came just before the change.
-_WAIT_FRACTION_OF_BOUND = 0.5
-#: Kept clear for what follows a read that hung: the next one, and half a
-#: second in which peers see that they are behind and ask.
+#: Wait as a fraction of the allowed lag. The store may fail to wake a poll
+#: that arrived just before a change, so the next poll must still be in time.
+_WAIT_FRACTION_OF_MAX_LAG = 0.5
+#: Time reserved after a hung poll for the next one, and for peers to notice
+#: that they are behind and to ask for what they miss.
 _CATCH_UP_TIME = datetime.timedelta(seconds=0.5)
-#: Longest wait of a read of which others are sure to hear: the store allows
-#: 30 s, and a read is answered at once when there is news.
+#: Wait of a process that does not read for its failure domain; the store
+#: allows 30 s.
 STANDBY_WAIT = datetime.timedelta(seconds=20)
-#: Time by which each further process waits longer before it takes over: the
-#: first to do so has its answer then.
-_TAKEOVER_STEP = datetime.timedelta(milliseconds=150)
-#: Most processes that take over one after the other; the rest with the last.
+#: Delay by which each further process takes over reading later than the one
+#: before it, which has its answer by then.
+_TAKEOVER_DELAY_STEP = datetime.timedelta(milliseconds=150)
+#: Processes that take over one after the other; all others do so together
+#: with the last of them.
 _MAX_TAKEOVER_STEPS = 4
-#: Live peers that are enough to hear of each change.
+#: Live peers with which this process is sure to hear of each change.
 _MIN_LIVE_PEERS = 2
 
-#: Part of a bound on news after which a process that knows of news and has
-#: not got them from peers reads them itself: late enough for two of them to
-#: answer, and early enough for a call that is slow.
-_LATE_FRACTION_OF_BOUND = 0.3
+#: Fraction of the allowed lag after which a process reads the store itself:
+#: late enough for two peers to answer, early enough for a slow read.
+_DIRECT_READ_FRACTION_OF_MAX_LAG = 0.3
 
 
 def must_read_store(
-    lag: datetime.timedelta, bound: datetime.timedelta
+    lag: datetime.timedelta, max_lag: datetime.timedelta
 ) -> bool:
-    """Tell whether news must come from the store, whatever peers do.
+    """Tell whether this process must read the store instead of its peers.
 
-    One process in a failure domain reads for all. Where it is dead, frozen,
-    cut off or its link is full, each of the others would wait for it, and for
-    the next one that it takes for the best: up to 3.4 s instead of 0.4 s.
+    One process reads for its failure domain. While that process is dead,
+    frozen or cut off, the others would otherwise wait for it, and then for
+    its successor.
 
-    :param lag: how long the news are known to be there.
-    :param bound: time within which the news must be acted on.
+    :param lag: time since this process learned that there are new records.
+    :param max_lag: time within which new records must be in force.
     """
-    return lag > bound * _LATE_FRACTION_OF_BOUND
+    return lag > max_lag * _DIRECT_READ_FRACTION_OF_MAX_LAG
 
 
 def wait_time(
     *,
-    peers: int,
-    bound: datetime.timedelta,
-    contact: datetime.timedelta,
-    gap: datetime.timedelta,
+    live_peers: int,
+    max_lag: datetime.timedelta,
+    store_recovery_time: datetime.timedelta,
+    min_interval: datetime.timedelta,
 ) -> datetime.timedelta:
-    """Return how long a read may wait for news.
+    """Return how long a poll may wait for new records.
 
-    A read whose connection went silent, maybe just before it was sent,
-    shows it only when its wait and the time for an answer are over. That
-    must leave time to catch up before the store counts as sound again, since
-    all processes' connections may go silent together: with waits of 4 s the
-    last of seven processes then had a change after up to 9.8 s, where the
-    store counts as sound after 3 s (192 plays in virtual time).
+    A poll on a connection that went silent fails only when its wait and the
+    answer timeout have passed. The connections of all processes may go silent
+    together, so there must be time left to catch up before the store counts
+    as healthy again.
 
-    :param peers: live processes, who tell what is new.
-    :param bound: time within which the news must be acted on.
-    :param contact: time after which the store counts as sound again.
-    :param gap: rest between two reads.
+    :param live_peers: peers that pass on new records.
+    :param max_lag: time within which new records must be in force.
+    :param store_recovery_time: time without a failure after which the store
+        counts as healthy again.
+    :param min_interval: shortest time between two reads.
     """
-    short_wait = bound * _WAIT_FRACTION_OF_BOUND
-    if peers < _MIN_LIVE_PEERS:
-        return short_wait
+    default_wait = max_lag * _WAIT_FRACTION_OF_MAX_LAG
+    if live_peers < _MIN_LIVE_PEERS:
+        return default_wait
     return min(
         _MAX_WAIT,
-        max(short_wait, contact - ANSWER_TIMEOUT - gap - _CATCH_UP_TIME),
+        max(
+            default_wait,
+            store_recovery_time
+            - ANSWER_TIMEOUT
+            - min_interval
+            - _CATCH_UP_TIME,
+        ),
     )
 
 
 def is_overdue(
-    age: datetime.timedelta | None, base_wait: datetime.timedelta, rank: int
+    newest_answer_age: datetime.timedelta | None,
+    first_reader_wait: datetime.timedelta,
+    reader_rank: int,
 ) -> bool:
-    """Tell whether a read that still waits should be made anew at once.
+    """Tell whether a waiting poll should be cancelled and sent again.
 
-    All of the fleet's connections to the store may have gone silent. As long
-    as anyone is answered in time nobody needs to find out.
+    It should be once the store has answered no process for longer than the
+    first reader's poll takes: the fleet's connections to the store may have
+    gone silent.
 
-    :param age: how long ago the store last answered anyone.
-    :param base_wait: how long the reads of the first process wait.
-    :param rank: how many processes ask before this one.
+    :param newest_answer_age: time since the store last answered any process;
+        none if that is not known.
+    :param first_reader_wait: wait of the polls of the first reader.
+    :param reader_rank: number of processes that take over before this one.
     """
-    if age is None:
+    if newest_answer_age is None:
         return False
     return (
-        age
-        > base_wait
+        newest_answer_age
+        > first_reader_wait
         + ANSWER_TIMEOUT
-        + min(rank, _MAX_TAKEOVER_STEPS) * _TAKEOVER_STEP
+        + min(reader_rank, _MAX_TAKEOVER_STEPS) * _TAKEOVER_DELAY_STEP
     )
--- a/src/lugcross/edge/store_contact.py
+++ b/src/lugcross/edge/store_contact.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""When the store last answered anyone of the fleet, as far as heard.
+"""Times of the store's last answers to this process and to its peers.
 
-Each process that reads a topic tells how long ago it was answered. As long
-as one of them is answered every few seconds, the others need not ask again
-to know that they miss nothing: their reads may wait long.
+Each process that reads a topic sends the age of its last answer in its
+heartbeats. While any of them is answered every few seconds, the others know
+that they miss nothing, and their long polls may wait longer.
 """
 
 from typing import final
@@ -13,7 +13,7 @@
 
 @final
 class StoreContact:
-    """Moments of the newest answers about each topic."""
+    """Times of the newest answers, by topic."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
@@ -21,27 +21,27 @@
         self._newest_answers: dict[str, clock_lib.Instant] = {}
 
     def record_answer(self, topic: str) -> None:
-        """Note that the store has answered this process."""
+        """Record that the store has just answered this process."""
         now = self._clock.monotonic()
         self._own_answers[topic] = self._newest_answers[topic] = now
 
     def record_peer_answer(self, topic: str, age: clock_lib.Instant) -> None:
-        """Take over how long ago a peer was answered."""
+        """Record that the store answered a peer ``age`` ago."""
         at = self._clock.monotonic() - age
         self._newest_answers[topic] = max(
             at, self._newest_answers.get(topic, at)
         )
 
     def own_answer_age(self, topic: str) -> clock_lib.Instant | None:
-        """Return how long ago this process was answered, if ever."""
+        """Return the age of the last answer to this process, if any."""
         return self._age(self._own_answers, topic)
 
     def newest_answer_age(self, topic: str) -> clock_lib.Instant | None:
-        """Return how long ago anyone was answered, if that is known."""
+        """Return the age of the last answer to any process, if known."""
         return self._age(self._newest_answers, topic)
 
     def _age(
-        self, moments: dict[str, clock_lib.Instant], topic: str
+        self, answers: dict[str, clock_lib.Instant], topic: str
     ) -> clock_lib.Instant | None:
-        at = moments.get(topic)
+        at = answers.get(topic)
         return None if at is None else self._clock.monotonic() - at
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -38,10 +38,10 @@
     ) -> topic_follower.TopicFollower:
         def first_reader_wait() -> datetime.timedelta:
             return long_poll.wait_time(
-                peers=len(state_sync.peers.live()),
-                bound=bound(),
-                contact=edge_state.bounds.contact,
-                gap=min_interval(),
+                live_peers=len(state_sync.peers.live()),
+                max_lag=bound(),
+                store_recovery_time=edge_state.bounds.contact,
+                min_interval=min_interval(),
             )
 
         def poll_wait() -> datetime.timedelta:
--- a/testing/edge/test_long_poll.py
+++ b/testing/edge/test_long_poll.py
@@ -10,15 +10,15 @@
 from lugcross.edge import long_poll
 
 ANSWER_TIMEOUT_S = long_poll.ANSWER_TIMEOUT.total_seconds()
-GAP = datetime.timedelta(seconds=0.4)
+MIN_INTERVAL = datetime.timedelta(seconds=0.4)
 
 
 def _wait_s(peers: int, bound_s: float, contact_s: float) -> float:
     wait = long_poll.wait_time(
-        peers=peers,
-        bound=datetime.timedelta(seconds=bound_s),
-        contact=datetime.timedelta(seconds=contact_s),
-        gap=GAP,
+        live_peers=peers,
+        max_lag=datetime.timedelta(seconds=bound_s),
+        store_recovery_time=datetime.timedelta(seconds=contact_s),
+        min_interval=MIN_INTERVAL,
     )
     return wait.total_seconds()
 
