--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Whether a request is worth sending now, judged before any work."""
+"""Admission control: whether a request is sent now or refused."""
 
 import dataclasses
 import datetime
@@ -7,34 +7,31 @@
 
 from lugcross import shares
 
-#: Requests per slot at which a service without engines is full; its work
-#: is short, so that a short queue is served in time.
+#: Requests per slot at which a service without engines is full. Its requests
+#: are short, so a short queue is served in time.
 MAX_REQUESTS_PER_PLAIN_SLOT = 3.0
-#: Part of what is full for others at which a service is full for those
-#: that were refused before; a few requests of each process below it.
+#: Fraction of the capacity that is open to callers' retries.
 CALLER_RETRY_CAPACITY_FRACTION = 0.8
-#: Part of what is full for the most urgent requests by which a service is
-#: full sooner for each kind that is less urgent, and the most for all: what
-#: is urgent finds places free in a burst, and nothing else is starved.
+#: Fraction of the capacity that is closed to a request for each more urgent
+#: priority, so that urgent requests find room in a burst.
 RESERVED_FRACTION_PER_PRIORITY = 0.05
-#: Most of what is kept from those that are less urgent, however many kinds.
+#: Limit of that fraction, so that no priority is starved.
 _MAX_RESERVED_FRACTION = 0.15
-#: Part of the slots up to which nobody is kept out: what is idle past that
-#: would serve no one better.
+#: Fraction of the slots that is open to every request.
 _MIN_SLOT_FRACTION = 0.5
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadSnapshot:
-    """A service's load as it looks from one process.
-
-    :param servers: backend servers that may be used.
-    :param slots: slots of all of them.
-    :param requests: requests that all of them probably have.
-    :param min_requests: requests of the least busy one that was looked at.
-    :param unreported_requests: estimate of what peers have sent since their last
-        heartbeat.
+    """Load of a service, as one process estimates it.
+
+    :param servers: number of eligible backend servers.
+    :param slots: slots of all eligible servers.
+    :param requests: requests in progress at all eligible servers.
+    :param min_requests: requests at the least busy server of the sample.
+    :param unreported_requests: estimate of the requests that peers have sent
+        since their last heartbeat.
     """
 
     servers: int
@@ -44,25 +41,24 @@
     unreported_requests: float
 
     def has_free_slot(self) -> bool:
-        """Tell whether a slot is free as far as known.
+        """Tell whether a slot is free, unreported requests aside.
 
-        What is unseen does not count: a server that has no slot for the
-        moment lets one request wait for the next, which comes within a part
-        of a second.
+        If they have taken it, the request waits at its server for the next
+        free slot, which takes a fraction of a second.
         """
-        free_of_all = self.requests < self.slots
-        return free_of_all and self.min_requests * self.servers < self.slots
+        has_free_total = self.requests < self.slots
+        return has_free_total and self.min_requests * self.servers < self.slots
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class AdmissionRequest:
-    """Who asks for a place.
+    """What admission looks at in a request.
 
-    :param workspace_use: its workspace's; none where keys are not used.
-    :param is_caller_retry: whether the request was refused before.
-    :param more_urgent_priorities: how many kinds of requests of the service
-        are more urgent.
+    :param workspace_use: use of its workspace; none where keys are not used.
+    :param is_caller_retry: whether the caller retries a refused request.
+    :param more_urgent_priorities: number of priorities in use at the service
+        that are more urgent than the request's.
     """
 
     workspace_use: shares.WorkspaceUse | None = None
@@ -75,24 +71,21 @@
     max_per_server: float,
     admission_request: AdmissionRequest,
 ) -> str | None:
-    """Return why a request should come back later, or none.
+    """Return why a request is refused for now, or none if it is admitted.
 
-    Under lasting overload someone is refused, whoever goes first. One
-    that comes back is late already: a place given to it is worth less to
-    its caller than to one that can still be served in time, and would
-    make that one come back late in turn. So the last places are kept for
-    those that ask for the first time, and some more for what is urgent.
+    Under lasting overload some requests must be refused. A caller's retry has
+    little time left, so a slot is worth less to it than to a new request,
+    which would become late in turn. Part of the capacity is therefore closed
+    to callers' retries, and another part to less urgent requests.
 
-    A workspace that asks for more than its share goes first out of a full
-    service (:mod:`lugcross.shares.dynamic_limit`). One that asks for less is
-    given what the others have taken of its share, up to the slots: their
-    streams end within seconds, and until then all passes take a little
-    longer. Of a surge to 7.5 times the usual, the others were served 0.98 of
-    the time, 0.50 with no look at workspaces (seven processes in virtual
-    time).
+    In a full service a workspace that exceeds its share is refused first
+    (:mod:`lugcross.shares.dynamic_limit`). A workspace below its share is
+    admitted even to a full service while there are free slots: the streams
+    of the workspaces that exceed their shares end within seconds, and passes
+    take slightly longer until then.
 
-    What peers have sent since they last told counts, as far as it can be
-    estimated (:mod:`lugcross.edge.unreported_requests`).
+    Unreported requests of peers are estimated, see
+    :mod:`lugcross.edge.unreported_requests`.
 
     :param max_per_server: requests that one server may have at once.
     """
@@ -117,7 +110,7 @@
     ):
         return None
     if has_free_place:
-        return "its workspace has more than its share of a full service"
+        return "the workspace exceeds its fair share of a full service"
     return "every backend server is full"
 
 
@@ -126,7 +119,7 @@
     capacity: float,
     admission_request: AdmissionRequest,
 ) -> float:
-    """Return how many requests the service may have if this one is let in."""
+    """Return how many requests of this kind the service may have at once."""
     fraction = (
         CALLER_RETRY_CAPACITY_FRACTION
         if admission_request.is_caller_retry
@@ -142,27 +135,27 @@
     return max(capacity * fraction, snapshot.slots * _MIN_SLOT_FRACTION)
 
 
-#: Part of the longest time seen at which a request counts as one that
-#: comes back: a first one loses no more than its way here.
+#: A request with less than this fraction of the longest time left counts as
+#: a retry. First attempts lose only their network latency.
 _CALLER_RETRY_TIME_LEFT_FRACTION = 0.95
-#: Part of what lies between the longest time and a new one by which the
-#: longest comes down, so that shorter deadlines are learned in time.
+#: Fraction by which the longest time left approaches a shorter one at each
+#: request, so that the detector follows callers that shorten their timeouts.
 _DECAY_FRACTION = 0.02
 
 
 @final
 class CallerRetryDetector:
-    """Tells requests that were refused before by the time they have left.
+    """Detects callers' retries on one route by the time that they have left.
 
-    Callers count their time from their first attempt, and those of one
-    route mostly start with the same.
+    A caller's deadline counts from its first attempt, and most callers of a
+    route start with the same timeout.
     """
 
     def __init__(self) -> None:
         self._longest_time_left = datetime.timedelta()
 
     def is_caller_retry(self, time_left: datetime.timedelta | None) -> bool:
-        """Tell whether a request has probably been refused before."""
+        """Record a request; tell whether it is probably a caller's retry."""
         if time_left is None:
             return False
         if time_left >= self._longest_time_left:
--- a/src/lugcross/edge/concurrency_limit.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How many requests an engine may write for at once, learned from pauses.
-
-All engines of a group advance in one pass, and each pass gives every
-stream one event. A pass takes a fixed time and some more for each request
-that writes; how much more depends on how evenly the experts' work is
-spread, which only the pauses between events show. Where passes take longer
-than all requests together explain, something else holds the group back, such
-as a slow rank: that part stays, however few requests there are.
+"""Concurrency limit of an engine, learned from the gaps between events.
+
+All engines of a rank group advance in one pass, and each pass gives every
+stream one event. A pass takes a fixed time and further time for each request.
+The cost of a request depends on the skew of the experts' load, which only the
+gaps between events show. Where passes take longer than the requests can
+explain, something else slows the group down, such as a slow rank. That part of
+the pass time does not depend on the number of requests.
 """
 
 import datetime
@@ -16,46 +16,45 @@
 from lugcross import desired
 from lugcross.edge import pass_times
 
-#: Weight of one pass against what was learned before: half of a jump is
-#: followed after two passes, and one pass that reads a long prompt, a third
-#: longer than others, changes what is full by a tenth.
+#: Weight of a new pass in the moving averages. A jump is followed within a
+#: few passes, while one pass that reads a long prompt changes little.
 _NEW_PASS_WEIGHT = 0.3
-#: Part of the longest pause in time that a mean pass may take. Passes
-#: that read long prompts take longer, and one late pause makes a whole
-#: stream late; measured, see docs/design/0005-platform.md.
+#: Fraction of the route's maximum event gap that a mean pass may take. Passes
+#: that read long prompts take longer, and one late event makes its whole
+#: stream late.
 _MEAN_GAP_FRACTION = 0.77
-#: Least part of the slots that is used, whatever was learned: below half
-#: of them the service would refuse what its idle places could do.
+#: Fraction of the slots that is always used.
 _MIN_SLOT_FRACTION = 0.5
-#: Part of the slots that is used before any pause was seen.
+#: Fraction of the slots that is used before the first gap is observed.
 _DEFAULT_SLOT_FRACTION = 0.67
-#: Times the engine's own figure that a request may add to a pass: with the
-#: experts' work spread as badly as was seen. What is more is no request's.
+#: Cost of a request relative to the engine's specification at the worst skew
+#: of the experts' load. Any further pass time is not due to requests.
 _MAX_REQUEST_COST_FACTOR = 4.0
-#: Requests at an engine below which no count is in time: half of the engines
-#: would be idle.
+#: Requests per engine below which the maximum event gap cannot be kept by any
+#: useful limit.
 _MIN_REACHABLE_REQUESTS = 0.5
-#: Part of the least count used that must be in time again to go back to
-#: it, so that not each pass that is a little shorter changes the count.
+#: Fraction of the lowest limit that must be possible again before the maximum
+#: event gap counts as reachable; avoids a change at each shorter pass.
 _RECOVERY_FRACTION = 0.6
-#: Times the longest pause in time that a pass may take while none is in time:
-#: a usual stream of some twenty events still ends well before its deadline.
+#: Factor on the maximum event gap while it cannot be kept. Streams are late
+#: then, but typical ones still end well before their deadlines.
 _RELAXED_GAP_FACTOR = 3.0
-#: Pauses past this many times the longest in time come of a fault, not
-#: of load, and teach nothing.
+#: Gaps longer than this multiple of the maximum event gap are due to faults
+#: and are ignored.
 _FAULT_GAP_FACTOR = 4.0
 _MS = datetime.timedelta(milliseconds=1)
 
 
 @final
 class ConcurrencyLimit:
-    """What the pauses of one service's streams have taught."""
+    """Concurrency limit of the engines of one service."""
 
     def __init__(self) -> None:
         self._request_cost_ms: float | None = None
-        #: Part of a pass that no request explains.
+        #: Pass time beyond the specification that is not due to requests.
         self._constant_excess_ms: float | None = None
-        #: Whether no count of requests was in time when last asked.
+        #: Whether a slow rank made the maximum event gap impossible to keep
+        #: when the limit was last computed.
         self._event_gap_unreachable = False
         self._pass_detector = pass_times.PassDetector()
 
@@ -68,10 +67,10 @@
         mean_requests: float,
         max_event_gap: datetime.timedelta,
     ) -> None:
-        """Learn from one pause between two events.
+        """Update the averages with the gap between two events.
 
-        :param mean_requests: mean requests at an engine at that time.
-        :param max_pause: longest pause that is in time.
+        :param mean_requests: current mean of the requests per engine.
+        :param max_event_gap: longest gap that the route allows.
         """
         if gap > max_event_gap * _FAULT_GAP_FACTOR or mean_requests <= 0:
             return
@@ -97,18 +96,17 @@
     ) -> float:
         """Return how many requests one engine may have at once.
 
-        Where no count is in time, as many are taken as end well before their
-        deadline: half of the slots would make all of them late just the
-        same, and refuse the rest for nothing. One of 63 ranks that is four
-        times slower makes a pass take 170 ms with half of the slots (logged)
-        and 195 with all, where 120 are in time: 70 in 100 more requests are
-        served (calculated).
+        While a slow rank makes the maximum event gap impossible to keep, the
+        limit admits as many requests as can end well before their deadlines.
+        A lower limit would refuse requests without making the others timely.
 
-        That goes for slow ranks only, which are known: the first passes of a
-        group that has just formed read many prompts and are as long, and with
-        all slots given at once they would be longer.
+        This requires a rank that is known to be slow. The first passes of a
+        new group read many prompts and are as long, and a higher limit would
+        make them longer still.
 
-        :param has_slow_rank: whether a rank is known to hold its group back.
+        :param max_event_gap: longest gap that the route allows, if any.
+        :param has_slow_rank: whether a rank of the service is known to be
+            slow.
         """
         request_cost_ms = self._request_cost_ms
         if request_cost_ms is None or max_event_gap is None:
@@ -124,7 +122,9 @@
             if self._event_gap_unreachable
             else _MIN_REACHABLE_REQUESTS
         )
-        self._event_gap_unreachable = has_slow_rank and max_requests < threshold
+        self._event_gap_unreachable = (
+            has_slow_rank and max_requests < threshold
+        )
         if self._event_gap_unreachable:
             max_requests = (
                 max_event_gap / _MS * _RELAXED_GAP_FACTOR - fixed_ms
@@ -133,7 +133,7 @@
 
 
 def _smoothed(mean_ms: float | None, observed_ms: float) -> float:
-    """Return what is learned once one more pass was seen."""
+    """Return the moving average with one more observation."""
     return (
         observed_ms
         if mean_ms is None
@@ -142,7 +142,7 @@
 
 
 def _max_request_cost_ms(engine: desired.EngineSpec) -> float:
-    """Return what one request adds to a pass at most; 0 if not known."""
+    """Return the most that one request adds to a pass; 0 if not known."""
     return (
         engine.steps_per_pass
         * engine.ms_per_sequence
@@ -151,4 +151,5 @@
 
 
 def _fixed_pass_ms(engine: desired.EngineSpec) -> float:
+    """Return the duration of a pass without requests."""
     return engine.steps_per_pass * engine.step_ms
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -207,7 +207,7 @@
 
 def test_refusal_tells_a_surge_from_a_full_service():
     over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
-    assert "its workspace" in (
+    assert "exceeds its fair share" in (
         admission.refusal_reason(
             _load_snapshot(62), 4.0, _admission_request(workspace_use=over)
         )
