--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One attempt at one backend server, and the answer that comes of it."""
+"""One attempt of a request at one backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,29 +19,30 @@
 from lugcross import platform
 from lugcross import routing
 
-#: Time within which a peer's host acknowledges a request. Many round trips
-#: within a region, and one packet that is lost and sent again after 0.2 s.
-#: A repeatable request to a host that was cut off is answered elsewhere
-#: after 0.3 s instead of being given up at the end of its time.
+#: Time within which the backend server's host must acknowledge a byte of the
+#: request: many round trips within a region and one retransmission, which
+#: takes 0.2 s. Without it, only its deadline ends a request to a host that is
+#: cut off.
 ACK_TIMEOUT = datetime.timedelta(seconds=0.3)
-#: What a backend server gets less than there is, so that its own answer
-#: at the deadline still arrives before ours is due.
+#: Time by which a backend server's deadline precedes the caller's, so that
+#: the server's answer at its deadline still arrives in time.
 _TRANSIT_MARGIN = datetime.timedelta(milliseconds=20)
-#: Type of an answer that comes in events.
 _EVENT_STREAM_TYPE = b"text/event-stream"
 
 
 class _InvalidAnswerError(Exception):
-    """An answer that cannot be the one to this request."""
+    """An answer that is malformed or belongs to another request."""
 
 
 @final
 class AnswerWriter:
-    """What the caller was given, over all attempts.
+    """Writes the answer to the caller; shared by all attempts of a request.
 
-    :ivar begun: whether the caller has part of the answer.
-    :ivar first_byte_at: when the first part was given.
-    :ivar last_event_id: id of the last event that was given.
+    :ivar started: whether part of the answer has been written.
+    :ivar first_byte_at: when the first part was written; none before.
+    :ivar status: status of the answer; 0 before it is started.
+    :ivar last_event_id: id of the last event that was written; before that,
+        the one that the caller resumes after, if any.
     """
 
     def __init__(
@@ -61,7 +62,7 @@
     async def write_complete(
         self, answer: http1.ResponseHead, body: bytes
     ) -> None:
-        """Give a whole answer."""
+        """Write a complete answer."""
         self._mark_started(answer)
         headers = platform.headers_to_caller(answer.raw_headers)
         await self._response.write_head(
@@ -69,18 +70,18 @@
         )
 
     def hold_failure(self, answer: http1.ResponseHead, body: bytes) -> None:
-        """Keep a failure, for the case that there is nothing better."""
+        """Keep a failed answer, to be written if no other attempt succeeds."""
         self._held_failure = (answer, body)
 
     async def write_held_failure(self) -> None:
-        """Give the failure that was kept."""
+        """Write the failed answer that was kept last."""
         assert self._held_failure is not None
         await self.write_complete(*self._held_failure)
 
     async def write_events(
         self, answer: http1.ResponseHead, events: list[bytes]
     ) -> None:
-        """Give events; before the first of them the head."""
+        """Write events, preceded by the head if the answer is not started."""
         data = b"".join(events)
         for event in events:
             self.last_event_id = (
@@ -99,7 +100,7 @@
         self.first_byte_at = self._clock.monotonic()
 
     async def finish(self, answer: http1.ResponseHead) -> None:
-        """Mark a stream as whole."""
+        """End a stream regularly."""
         if not self.started:
             await self.write_complete(answer, b"")
             return
@@ -108,13 +109,15 @@
 
 @final
 class Attempt:
-    """Sends a request to one backend server and passes its answer on.
-
-    :param may_resend: tells whether it may go to another one if it breaks
-        here.
-    :param new_connection: whether it must not be sent to a server that has
-        ended already: nothing may speak against a request that never ran
-        there.
+    """Sends a request to one backend server and forwards its answer.
+
+    :param may_resend: tells whether the request may go to another server if
+        this attempt breaks.
+    :param new_connection: whether to open a new connection. A crash suspect
+        needs one: on an idle connection to a server that has already crashed
+        it would be blamed for a crash without having run.
+    :ivar connection_lost: whether the server or its host closed the
+        connection before the answer was complete.
     """
 
     def __init__(
@@ -137,15 +140,17 @@
         self._answer_writer = answer_writer
         self._keep_alive: datetime.timedelta | None = None
         self._unacknowledged = False
-        #: Whether the attempt told how the server is.
+        #: Whether the attempt has reported a result to the server's health.
         self._health_reported = False
-        #: Whether the server, or its host, ended the connection.
         self.connection_lost = False
 
     async def run(self) -> retry_policy.AttemptOutcome | None:
-        """Return none once the caller has the whole answer.
+        """Send the request and forward the answer.
 
-        :raises http1.CallerDisconnectedError: when nobody reads it.
+        :returns: none if the caller has the complete answer, otherwise why
+            it has not.
+        :raises http1.CallerDisconnectedError: when the caller has closed its
+            connection.
         """
         edge_state = self._edge_state
         checked = self._checked
@@ -165,15 +170,15 @@
                 self._report_failure(str(exc))
                 return retry_policy.AttemptOutcome.UNREACHED
             if edge_state.backoffs.is_active(self._backend.key):
-                # It has asked while this one waited for its connection, for
-                # up to 0.4 s: as many as waited would reach it.
+                # The server asked for a backoff while this attempt waited
+                # for its connection; many others may have waited with it.
                 edge_state.pool.release(self._backend, conn, None)
                 return retry_policy.AttemptOutcome.UNREACHED
             return await self._run_on(conn)
         finally:
             if not self._health_reported:
-                # Its caller left, or its time was over: a server on trial
-                # would be left alone for good.
+                # The caller disconnected or the deadline passed. Without a
+                # result a server on probation would never leave it.
                 self._backend_health().record_no_result()
             edge_state.loads.record_ended(self._backend.key)
             edge_state.workspace_usage.request_ended(
@@ -191,9 +196,10 @@
         except (http1.ConnectionBrokenError, _InvalidAnswerError) as exc:
             is_broken = isinstance(exc, http1.ConnectionBrokenError)
             self.connection_lost = is_broken and not self._unacknowledged
-            unacknowledged = "no byte of the request was acknowledged"
             self._report_failure(
-                unacknowledged if self._unacknowledged else str(exc)
+                "no byte of the request was acknowledged"
+                if self._unacknowledged
+                else str(exc)
             )
             return retry_policy.AttemptOutcome.BROKEN
         finally:
@@ -202,7 +208,7 @@
                     self._backend, conn, self._keep_alive
                 )
             else:
-                # The server notices, and stops working on the request.
+                # Closing tells the server to stop working on the request.
                 conn.close()
         return outcome
 
@@ -249,10 +255,11 @@
     async def _receive_with_ack_timeout(
         self, conn: http1.ClientConn
     ) -> tuple[http1.ResponseHead, platform.BackendResponseHead]:
-        """Return the answer to this request, unless it was not heard.
+        """Return the head of the answer to this request.
 
-        Where it cannot go elsewhere, as what must not be repeated and may
-        have run, its answer is waited for to the end.
+        If no byte of the request is acknowledged in time, the connection is
+        closed, but only if the request may go to another server. Otherwise
+        the answer is awaited until the deadline.
         """
         ack_timer = asyncio.get_running_loop().call_later(
             ACK_TIMEOUT.total_seconds(), self._close_if_unacknowledged, conn
@@ -272,7 +279,7 @@
     async def _matching_answer(
         self, conn: http1.ClientConn
     ) -> tuple[http1.ResponseHead, platform.BackendResponseHead]:
-        """Return the answer to this request, past any to earlier ones."""
+        """Return the head of the answer; skip answers to other requests."""
         while True:
             answer = await conn.read_head()
             head = platform.parse_backend_response_head(
@@ -281,14 +288,14 @@
             if head.attempt_id in ("", self._checked.caller_head.attempt_id):
                 return answer, head
             logging.warning(
-                "surplus answer skipped",
+                "answer to another request skipped",
                 extra={
                     "request": self._checked.caller_head.attempt_id,
                     "backend": self._backend.key,
                     "other": head.attempt_id,
                 },
             )
-            # Late, but the same server's word about itself.
+            # Its headers still describe the state of this server.
             self._edge_state.apply_answer_head(self._backend, head)
             await conn.read_body()
             conn.expect_another_response(self._checked.req.method)
@@ -306,16 +313,14 @@
 
     def _check_answer(self, head: platform.BackendResponseHead) -> None:
         if head.content_encoded:
-            raise _InvalidAnswerError(
-                "an encoded body is not the server's own"
-            )
+            raise _InvalidAnswerError("the answer has a content encoding")
         if head.success and not head.signed:
-            raise _InvalidAnswerError("a success without a signature")
+            raise _InvalidAnswerError("the answer has no signature")
         if (
             head.success
             and head.attempt_id != self._checked.caller_head.attempt_id
         ):
-            raise _InvalidAnswerError("a success without the request's id")
+            raise _InvalidAnswerError("the answer has no request id")
 
     async def _forward_complete(
         self,
@@ -328,13 +333,16 @@
         if failed or head.status in platform.NOT_EXECUTED_STATUSES:
             self._report_failure(f"status {head.status}")
             if head.status in platform.NOT_EXECUTED_STATUSES:
-                # Without a proof, the status would promise too much.
+                # The status means "not executed", but the header that
+                # proves it is missing.
                 return retry_policy.AttemptOutcome.BROKEN
             self._answer_writer.hold_failure(answer, body)
             return retry_policy.AttemptOutcome.FAILED
         self._report_success()
         if self._answer_writer.started:
-            raise _InvalidAnswerError("not a stream, where one was to go on")
+            raise _InvalidAnswerError(
+                "the answer to a resumed stream is no event stream"
+            )
         await self._answer_writer.write_complete(answer, body)
         return None
 
@@ -361,7 +369,9 @@
             if events:
                 await self._answer_writer.write_events(answer, events)
         if splitter.incomplete:
-            raise _InvalidAnswerError("the stream ended within an event")
+            raise _InvalidAnswerError(
+                "the stream ended in the middle of an event"
+            )
         self._report_success()
         await self._answer_writer.finish(answer)
         return None
--- a/src/lugcross/edge/connection_pool.py
+++ b/src/lugcross/edge/connection_pool.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Connections to backend servers, kept for the next request."""
+"""Pool of idle connections to backend servers."""
 
 import dataclasses
 import datetime
@@ -9,30 +9,29 @@
 from lugcross import desired
 from lugcross import http1
 
-#: Longest wait for a connection: a few round trips within a region; past
-#: it the host is cut off or its queue of connections is full.
+#: A few round trips within a region. A host that takes longer is unreachable
+#: or its listen backlog is full.
 _CONNECT_TIMEOUT_S = 0.4
-#: Rest after which a connection is not used again where the server tells
-#: no time of its own. Short: one that the server has just closed costs a
-#: request whose fate is unknown.
+#: Idle time after which a connection is not reused, where the server sends no
+#: ``Keep-Alive`` timeout. A request on a connection that the server has just
+#: closed has an unknown outcome.
 _MAX_IDLE = datetime.timedelta(seconds=4)
-#: The same for what must not be repeated. The server may have forgotten the
-#: connection, or it may have gone silent, and then whether the request ran
-#: is not known; a new connection costs some milliseconds.
+#: The same for requests that must not be repeated: a new connection is cheap
+#: compared with an unknown outcome.
 _MAX_IDLE_NOT_REPEATABLE = datetime.timedelta(seconds=1)
-#: What is kept clear of the time that a server tells.
+#: Safety margin before the end of the server's ``Keep-Alive`` timeout.
 _KEEP_ALIVE_MARGIN = datetime.timedelta(seconds=1)
-#: Idle connections kept to one server.
+#: Idle connections to one server.
 _MAX_IDLE_CONNECTIONS = 6
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class _IdleConnection:
-    """One kept connection.
+    """An idle connection.
 
     :param idle_since: when its last answer ended.
-    :param expires_at: when it is used no more.
+    :param expires_at: time from which on it is not reused.
     """
 
     conn: http1.ClientConn
@@ -42,7 +41,7 @@
 
 @final
 class ConnectionPool:
-    """Idle connections by backend server; newest first."""
+    """Idle connections by backend server; the newest is reused first."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
@@ -55,12 +54,13 @@
         not_repeatable: bool = False,
         new: bool = False,
     ) -> http1.ClientConn:
-        """Return a connection to ``backend``.
+        """Return an idle connection to ``backend``, or a new one.
 
-        :param not_repeatable: whether what is sent on it must not be repeated.
-        :param new: whether it must be a new one, which shows that the
-            server lives.
-        :raises http1.NoConnectionError: when none came up.
+        :param not_repeatable: whether it is for a request that must not be
+            repeated.
+        :param new: whether to open a new connection in any case, which
+            shows that the server is running.
+        :raises http1.NoConnectionError: when no connection can be opened.
         """
         idle = [] if new else self._idle.get(backend.key, [])
         now = self._clock.monotonic()
@@ -69,7 +69,7 @@
                 not_repeatable
                 and now - idle[-1].idle_since > _MAX_IDLE_NOT_REPEATABLE
             ):
-                # All others have rested longer.
+                # All others have been idle for longer.
                 break
             one = idle.pop()
             usable = not one.conn.closing and not one.conn.has_unread_data
@@ -86,9 +86,10 @@
         conn: http1.ClientConn,
         keep_alive: datetime.timedelta | None,
     ) -> None:
-        """Keep a connection for the next request, if it can be.
+        """Return a connection to the pool; close it if it is not reusable.
 
-        :param keep_alive: how long the server said that it keeps it.
+        :param keep_alive: the server's ``Keep-Alive`` timeout; none if it
+            sent none.
         """
         idle = self._idle.setdefault(backend.key, [])
         lifetime = (
@@ -107,16 +108,19 @@
         idle.append(_IdleConnection(conn, now, now + lifetime))
 
     def close_idle(self, key: desired.BackendKey) -> None:
-        """Close what is idle to a server whose connection went silent.
+        """Close all idle connections to a server that stopped responding.
 
-        Its other connections were open then, too: each would cost one more
-        request the time until that is noticed.
+        Each of them would delay one more request until it is noticed that
+        the connection is dead.
         """
         for one in self._idle.pop(key, []):
             one.conn.close()
 
     def close_unusable(self, known: set[desired.BackendKey]) -> None:
-        """Close what has rested too long or whose server is gone."""
+        """Close connections that are expired or whose server is not known.
+
+        :param known: keys of the servers that still exist.
+        """
         now = self._clock.monotonic()
         for key, idle in list(self._idle.items()):
             kept = []
@@ -132,5 +136,5 @@
                 del self._idle[key]
 
     def close(self) -> None:
-        """Close all that is idle."""
+        """Close all idle connections."""
         self.close_unusable(set())
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What one process knows, in one place for those who decide by it."""
+"""State of an edge process that its decisions are based on."""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -34,16 +34,18 @@
 from lugcross import platform
 from lugcross import routing
 
-#: Part of the repeat budget that refused requests may use.
+#: Fraction of the retry budget that retries after refusals may use.
 _REFUSED_BUDGET_FRACTION = 0.5
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class _CachedEligibleServers:
-    """The servers of a service, and what they were put together from.
+    """Eligible servers of a service, and the inputs they were computed from.
 
-    :param excluded: sets of servers that were left out.
+    :param listed: usable servers of the service.
+    :param excluded: sets of servers that were excluded.
+    :param servers: the result.
     """
 
     listed: tuple[desired.Backend, ...]
@@ -55,14 +57,22 @@
         listed: tuple[desired.Backend, ...],
         excluded: tuple[frozenset[desired.BackendKey], ...],
     ) -> bool:
-        """Tell whether nothing of this has changed."""
+        """Tell whether the inputs are the same objects as before."""
         pairs = zip(self.excluded, excluded, strict=True)
         return self.listed is listed and all(a is b for a, b in pairs)
 
 
 @final
 class EdgeState:
-    """Desired state, backend servers, loads, connections and budgets."""
+    """Desired state, backend servers, loads, connections and budgets.
+
+    One per process; all its parts read and update it.
+
+    :ivar bounds: operator's limits; replaced when settings are reloaded.
+    :ivar on_event_gap: called with each gap between two events of a stream.
+    :ivar count_known_peers: returns how many peers may exist.
+    :ivar desired: desired state in force; none before the first.
+    """
 
     def __init__(
         self,
@@ -71,7 +81,6 @@
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
-        #: What the operators allow now; settings may be read anew.
         self.bounds = settings.bounds
         self._clock = clock
         self._rng = rng
@@ -85,11 +94,9 @@
         self._concurrency_limits: dict[
             ids.ServiceName, concurrency_limit_lib.ConcurrencyLimit
         ] = {}
-        #: Called with each pause between two events of a stream.
         self.on_event_gap: Callable[
             [desired.BackendKey, datetime.timedelta], None
         ] = lambda key, gap: None
-        #: How many peers may exist, set by whoever listens to them.
         self.count_known_peers: Callable[[], int] = lambda: 0
         self.desired: desired.DesiredState | None = None
         self.desired_history = desired_history_lib.DesiredHistory()
@@ -117,20 +124,23 @@
         ] = {}
 
     def software_versions(self, service: ids.ServiceName) -> frozenset[str]:
-        """Return the versions that servers of ``service`` run now."""
+        """Return the software versions that servers of ``service`` run."""
         return frozenset(
             one.software_version for one in self.backends.usable(service)
         )
 
     @property
     def version(self) -> int:
-        """Version of the desired state in force; 0 without one."""
+        """Version of the desired state in force; 0 if there is none."""
         return self.desired.version if self.desired else 0
 
     def adopt(self, state: desired.DesiredState, record: bytes) -> bool:
-        """Put a desired state in force, unless it is not newer."""
-        held = self.desired
-        if held is not None and state.version <= held.version:
+        """Put a desired state in force if it is newer; tell whether it is.
+
+        :param record: its encoded form, kept for peers.
+        """
+        current = self.desired
+        if current is not None and state.version <= current.version:
             return False
         self.desired = state
         self.desired_history.add(record)
@@ -141,13 +151,13 @@
             "desired state",
             extra={
                 "version": state.version,
-                "before": held.version if held else None,
+                "before": current.version if current else None,
             },
         )
         return True
 
     def apply_settings(self, settings: settings_lib.Settings) -> None:
-        """Go by other bounds, shares and exemptions from now on."""
+        """Apply the bounds, shares and exemptions of reloaded settings."""
         bounds = settings.bounds
         self.bounds = bounds
         self.workspace_usage.weights = settings.shares.weights
@@ -164,7 +174,7 @@
     def engine_spec(
         self, service: ids.ServiceName
     ) -> desired.EngineSpec | None:
-        """Return how the engines of ``service`` work, if it has any."""
+        """Return the specification of the service's engines, if any."""
         if self.desired is None:
             return None
         found = self.desired.services.get(service)
@@ -176,42 +186,42 @@
         """Return the servers of ``service`` that new requests may go to."""
         listed = self.backends.usable(service)
         broken = self.broken_group_servers.servers()
-        resting = self.backoffs.servers()
+        backing_off = self.backoffs.servers()
         slow = self.slow_servers.servers()
         cached = self._eligible_servers.get(service)
-        if cached and cached.is_current(listed, (broken, resting, slow)):
+        if cached and cached.is_current(listed, (broken, backing_off, slow)):
             return cached.servers
-        out = broken | resting
-        usable = [one for one in listed if one.key not in out]
+        unavailable = broken | backing_off
+        usable = [one for one in listed if one.key not in unavailable]
         usable = eligible_servers_lib.without_slow(usable, slow)
         found = eligible_servers_lib.split_by_domain(
             usable, own_domain=self._own_domain
         )
         self._eligible_servers[service] = _CachedEligibleServers(
-            listed, (broken, resting, slow), found
+            listed, (broken, backing_off, slow), found
         )
         return found
 
     def remaining_backoff(
         self, service: ids.ServiceName
     ) -> datetime.timedelta | None:
-        """Return how long nobody serves ``service`` because servers rest.
+        """Return the time until the first server's backoff ends.
 
-        :returns: 0 if one does not rest, none if there is none or all that
-            there are belong to broken groups.
+        :returns: 0 if a server is not backing off; none if the service has no
+            servers outside broken rank groups.
         """
         listed = self.backends.usable(service)
-        whole = {
+        outside_broken_groups = {
             one.key for one in listed
         } - self.broken_group_servers.servers()
-        if whole - self.backoffs.servers():
+        if outside_broken_groups - self.backoffs.servers():
             return datetime.timedelta()
-        return self.backoffs.time_left(whole)
+        return self.backoffs.time_left(outside_broken_groups)
 
     def apply_answer_head(
         self, backend: desired.Backend, head: platform.BackendResponseHead
     ) -> None:
-        """Take over what a server says of itself beside its answer."""
+        """Apply the state that a server reports in its answer's headers."""
         key = backend.key
         if head.load is not None:
             self.loads.record_reported_load(key, head.load)
@@ -221,7 +231,7 @@
             return
         self.metrics.count_backoff_asked(backend.service)
         logging.info(
-            "backend server asks for rest",
+            "backend server asked for backoff",
             extra={
                 "request": head.attempt_id,
                 "backend": key,
@@ -238,9 +248,9 @@
     def load_snapshot(
         self, service: ids.ServiceName, *, min_requests: int = 0
     ) -> admission.LoadSnapshot:
-        """Return the load of ``service`` as it looks from here.
+        """Return this process's estimate of the load of ``service``.
 
-        :param min_requests: requests of the least busy server looked at.
+        :param min_requests: requests at the least busy server of the sample.
         """
         servers = self.eligible_servers(service)
         return admission.LoadSnapshot(
@@ -254,7 +264,7 @@
     def max_requests_per_server(
         self, route: desired.Route, service: ids.ServiceName
     ) -> float:
-        """Return how many requests one server of ``service`` may have."""
+        """Return how many requests one server may have at once."""
         engine = self.engine_spec(service)
         if engine is not None:
             slow = self.slow_servers.servers()
@@ -276,9 +286,10 @@
         *,
         is_caller_retry: bool = False,
     ) -> admission.AdmissionRequest:
-        """Return who asks for a place of ``service``.
+        """Return what admission looks at in a request to ``service``.
 
-        :param is_caller_retry: whether the request was refused before.
+        :param workspace: none where keys are not used.
+        :param is_caller_retry: whether the caller retries a refused request.
         """
         workspace_use = None
         priority = route.priority
@@ -301,7 +312,7 @@
     def concurrency_limit(
         self, service: ids.ServiceName
     ) -> concurrency_limit_lib.ConcurrencyLimit:
-        """Return what the pauses of the streams of ``service`` taught."""
+        """Return the concurrency limit of the service's engines."""
         return self._concurrency_limits.setdefault(
             service, concurrency_limit_lib.ConcurrencyLimit()
         )
@@ -309,7 +320,10 @@
     def caller_retry_detector(
         self, route: str
     ) -> admission.CallerRetryDetector:
-        """Return what tells requests of ``route`` that come back."""
+        """Return the detector of callers' retries on a route.
+
+        :param route: name of the route.
+        """
         return self._caller_retry_detectors.setdefault(
             route, admission.CallerRetryDetector()
         )
@@ -320,7 +334,10 @@
         gap: datetime.timedelta,
         max_event_gap: datetime.timedelta,
     ) -> None:
-        """Learn from a pause between two events of a stream."""
+        """Record the gap between two events of a stream.
+
+        :param max_event_gap: longest gap that the stream's route allows.
+        """
         self.on_event_gap(backend.key, gap)
         service = backend.service
         engine = self.engine_spec(service)
@@ -343,10 +360,12 @@
         service: ids.ServiceName,
         tried: Collection[desired.BackendKey],
     ) -> backend_choice.BackendChoice | None:
-        """Return where a request of ``service`` should go.
+        """Return the best server for a request, if there is any.
+
+        It is chosen from a random sample. If all servers of the sample have
+        been tried or are ejected, it is chosen from all eligible servers.
 
-        All servers are looked at only where those drawn are all tried or
-        ejected.
+        :param tried: servers that the request has been sent to.
         """
         servers = self.eligible_servers(service)
         found = self._choose_among(servers.sample(self._rng), tried)
@@ -359,9 +378,15 @@
         checked: checked_request.CheckedRequest,
         tried: Collection[desired.BackendKey],
     ) -> backend_choice.BackendChoice | None:
-        """Return where a suspect should go, apart from other suspects."""
+        """Return a server for a crash suspect, if there is any.
+
+        Suspects of the same crashes go to different servers where enough of
+        them have a free slot.
+
+        :param tried: servers that the request has been sent to.
+        """
         servers = self.eligible_servers(checked.service).all
-        usual = self._choose_among(servers, tried)
+        best_choice = self._choose_among(servers, tried)
         free = {
             one.key: one
             for one, requests in zip(
@@ -374,13 +399,13 @@
             and not self.loads.is_ejected(one.key)
         }
         key = self.crash_tracker.assign_server(checked, list(free))
-        if usual is None or key is None:
-            return usual
+        if best_choice is None or key is None:
+            return best_choice
         return backend_choice.BackendChoice(
             backend_choice.Candidate(
                 backend=free[key], requests=self.loads.requests_at(key)
             ),
-            usual.min_requests,
+            best_choice.min_requests,
         )
 
     def _choose_among(
@@ -410,7 +435,7 @@
     def retry_budget(
         self, service: ids.ServiceName
     ) -> routing.WindowedRetryBudget:
-        """Return this process's part of the repeats of ``service``."""
+        """Return this process's retry budget for ``service``."""
         found = self._retry_budgets.get(service)
         if found is None:
             bounds = self.bounds
@@ -425,10 +450,11 @@
     def spend_retry(
         self, service: ids.ServiceName, outcome: retry_policy.AttemptOutcome
     ) -> bool:
-        """Take one repeat of ``service`` from the budget, if it has one.
+        """Take one retry from the budget; tell whether there was one.
 
-        A refusal often comes from all servers at once, and its caller can
-        come back; a broken answer is lost, so that more is kept for it.
+        Part of the budget is reserved for broken attempts. Refusals often
+        come from all servers at once, and their callers can retry, while the
+        answer of a broken attempt is lost.
         """
         refused = outcome is retry_policy.AttemptOutcome.NOT_RUN
         return self.retry_budget(service).try_spend(
@@ -438,7 +464,7 @@
         )
 
     def forget_gone_backends(self) -> None:
-        """Forget what belongs to backend servers that are gone."""
+        """Drop connections, loads and suspicions that are out of date."""
         self.crash_tracker.drop_expired()
         known = {one.key for one in self.backends.all()}
         self.pool.close_unusable(known)
@@ -448,7 +474,7 @@
 def _cleared_requests(
     cfg: settings_lib.Suspects,
 ) -> frozenset[crash_suspects.Fingerprint]:
-    """Return the requests that the operators have cleared."""
+    """Return the fingerprints that the operator has cleared."""
     return frozenset(
         crash_suspects.Fingerprint(bytes.fromhex(one)) for one in cfg.cleared
     )
--- a/src/lugcross/edge/request_errors.py
+++ b/src/lugcross/edge/request_errors.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Answers of the system's own, where no backend server's can be given."""
+"""Error responses that this process generates itself."""
 
 import datetime
 import http
@@ -10,24 +10,24 @@
 from lugcross import errors
 from lugcross import platform
 
-#: When a caller should come back at the earliest: time for a few passes of
-#: an engine, in which places come free.
+#: Shortest ``Retry-After``: a few passes of an engine, in which slots become
+#: free.
 MIN_RETRY_AFTER = datetime.timedelta(milliseconds=700)
-#: Parts of the time left within which callers of a full service are told
-#: to come back, spread so that they do not all come at once.
+#: Fraction of the caller's remaining time over which the retries of refused
+#: callers are spread.
 _OVERLOADED_SPREAD_FRACTION = 0.2
-#: Part of the time left after which callers of a service whose servers
-#: all refuse should come back: as late as leaves time for an answer, since
-#: what broke them takes seconds to mend.
+#: Fraction of the caller's remaining time before its retry where all servers
+#: refuse: it takes seconds until they recover, and the retry must still leave
+#: time for an answer.
 _UNAVAILABLE_WAIT_FRACTION = 0.3
 
 
 @final
 class RequestError(errors.LugcrossError):
-    """A request that gets an answer of our own.
+    """A request that ends with an error response of this process.
 
-    :param status: 429 and 503 promise that it has not run.
-    :param retry_after: when to come back, if that makes sense.
+    :param status: 429 and 503 guarantee that the request has not run.
+    :param retry_after: delay before the caller's retry, if one makes sense.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self.retry_after = retry_after
 
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """Return the headers of the answer."""
+        """Return the headers of the response."""
         found = [(b"Content-Type", b"application/json")]
         if self.retry_after is not None:
             wait = f"{self.retry_after.total_seconds():.3f}".encode()
@@ -51,46 +51,48 @@
         return found
 
     def body(self) -> bytes:
-        """Return the body of the answer."""
+        """Return the JSON body of the response."""
         error = {"what": self.what, "remedy": self.remedy}
         return json.dumps({"error": error}).encode()
 
 
 def not_ready(what: str) -> RequestError:
-    """Return a refusal of a process that cannot serve now."""
+    """Return the refusal of a process that is not ready to serve."""
     return _not_run(what, MIN_RETRY_AFTER)
 
 
 def overloaded(
     what: str, time_left: datetime.timedelta, rng: random.Random
 ) -> RequestError:
-    """Return a refusal of a request that no server has a place for.
+    """Return the refusal of a request that no server has capacity for.
 
-    :param left: time that its caller will still wait.
+    :param time_left: time until the caller's deadline.
     """
-    most = max(MIN_RETRY_AFTER, time_left * _OVERLOADED_SPREAD_FRACTION)
-    wait = MIN_RETRY_AFTER + (most - MIN_RETRY_AFTER) * rng.random()
+    latest = max(MIN_RETRY_AFTER, time_left * _OVERLOADED_SPREAD_FRACTION)
+    wait = MIN_RETRY_AFTER + (latest - MIN_RETRY_AFTER) * rng.random()
     return _not_run(what, wait)
 
 
 def all_backing_off(
     backoff: datetime.timedelta, rng: random.Random
 ) -> RequestError:
-    """Return a refusal while all servers rest, or have rested just now.
+    """Return the refusal while all servers are backing off or being probed.
 
-    Callers come back once the first of them has rested, spread over a moment:
-    at once they would find only that one, which takes one request at first.
+    The retries of the callers are spread over a short time after the first
+    backoff ends: that server gets a single probe request first.
 
-    :param rest: time until then; 0 if it has.
+    :param backoff: time until the first backoff ends; 0 if it has ended.
     """
     wait = max(MIN_RETRY_AFTER, backoff) + MIN_RETRY_AFTER * rng.random()
-    return _not_run("every backend server has asked for rest", wait)
+    return _not_run(
+        "every backend server has asked this process to back off", wait
+    )
 
 
 def unavailable(what: str, time_left: datetime.timedelta) -> RequestError:
-    """Return a refusal of a request that the servers refused themselves.
+    """Return the refusal of a request that all servers refused.
 
-    :param left: time that its caller will still wait.
+    :param time_left: time until the caller's deadline.
     """
     return _not_run(
         what, max(MIN_RETRY_AFTER, time_left * _UNAVAILABLE_WAIT_FRACTION)
@@ -100,15 +102,16 @@
 def crash_suspect(
     crash_count: int, retry_after: datetime.timedelta
 ) -> RequestError:
-    """Return a refusal of a request under which servers have ended.
+    """Return the refusal of a request that has crashed backend servers.
 
-    :param ended: how many.
-    :param retry_after: time after which it may be tried anew.
+    :param crash_count: servers that crashed while they ran it.
+    :param retry_after: time until the suspicion expires.
     """
     return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
-        f"{crash_count} backend servers have ended while they ran this request",
-        remedy="change the request, or have the operator clear it",
+        f"{crash_count} backend servers have ended while they ran this "
+        "request",
+        remedy="change the request, or ask the operator to clear it",
         retry_after=retry_after,
     )
 
@@ -117,13 +120,13 @@
     return RequestError(
         http.HTTPStatus.SERVICE_UNAVAILABLE,
         what,
-        remedy="come back after the time in Retry-After",
+        remedy="send the request again after the time in Retry-After",
         retry_after=wait,
     )
 
 
 def no_route(host: str, path: str) -> RequestError:
-    """Return a refusal of a path that leads nowhere."""
+    """Return the refusal of a request that matches no route."""
     return RequestError(
         http.HTTPStatus.NOT_FOUND,
         f"no route for {host[:80]}{path[:80]}",
@@ -132,36 +135,40 @@
 
 
 def unknown_key() -> RequestError:
-    """Return a refusal of a key that no workspace has."""
+    """Return the refusal of an API key that belongs to no workspace."""
     return RequestError(
         http.HTTPStatus.UNAUTHORIZED,
-        "the key belongs to no workspace",
+        "the API key belongs to no workspace",
         remedy="ask the operator for a key",
     )
 
 
 def outcome_unknown(what: str) -> RequestError:
-    """Return an answer that promises nothing."""
+    """Return the response to a request that may or may not have run."""
     return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
         f"{what}; whether the request ran is not known",
-        remedy="ask again only if running it twice does no harm",
+        remedy="send the request again only if it is safe to run it twice",
     )
 
 
 def timed_out() -> RequestError:
-    """Return an answer to a request whose time is over."""
+    """Return the response to a request whose deadline has passed."""
     return RequestError(
         http.HTTPStatus.GATEWAY_TIMEOUT,
-        "there was no answer in time; whether the request ran is not known",
-        remedy="ask again only if running it twice does no harm",
+        "no answer before the deadline; whether the request ran is not known",
+        remedy="send the request again only if it is safe to run it twice",
     )
 
 
 def answer_interrupted(what: str) -> RequestError:
-    """Return why an answer that had begun is cut off."""
+    """Return the error by which a partly written answer is aborted.
+
+    It is only logged: the head of the answer has already been sent.
+    """
     return RequestError(
         http.HTTPStatus.BAD_GATEWAY,
         what,
-        remedy="ask again, from the last event where that is allowed",
+        remedy="send the request again, from the last event where the "
+        "route allows it",
     )
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sends one request until there is an answer or a reason to give up."""
+"""Forwards one request: attempts, retries and the final error."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,7 +27,10 @@
 
 @final
 class RequestForwarder:
-    """One request on its way: sent until there is an answer."""
+    """Forwards one request to backend servers until one answers it.
+
+    :param on_change: called when the requests in progress have changed.
+    """
 
     def __init__(
         self,
@@ -47,9 +50,9 @@
             response, checked, clock
         )
         self._tried_backends: set[desired.BackendKey] = set()
-        #: Whether the last attempt's server ended its connection.
+        #: Whether the server of the last attempt closed the connection.
         self._connection_lost = False
-        #: When the last attempt was sent.
+        #: When the last attempt was started.
         self._attempt_sent_at = checked.req.received_at
         self._state = retry_policy.RequestState(
             repeatable=checked.route.repeatable,
@@ -57,7 +60,13 @@
         )
 
     async def run(self) -> None:
-        """Send until there is an answer or a reason to give up."""
+        """Forward the request and write its answer to the caller.
+
+        :raises request_errors.RequestError: when no answer can be given, or
+            one that was started cannot be completed.
+        :raises http1.CallerDisconnectedError: when the caller has closed its
+            connection.
+        """
         self._edge_state.retry_budget(self._checked.service).record_request(
             self._clock.monotonic()
         )
@@ -72,11 +81,12 @@
         return self._checked.deadline - self._clock.monotonic()
 
     def _choose_first_backend(self) -> desired.Backend:
-        """Return the first backend server, or refuse.
+        """Return the backend server of the first attempt.
+
+        There is no queue: most queued requests would miss their deadlines,
+        and their callers would learn that late.
 
-        Nobody waits for a place here, also not who comes back: of those
-        that were kept waiting hardly any was served, and their callers
-        were told so seconds later than they could have been.
+        :raises request_errors.RequestError: when the request is refused.
         """
         self._refuse_crash_suspect()
         is_caller_retry = self._edge_state.caller_retry_detector(
@@ -89,11 +99,10 @@
         return found.best.backend
 
     def _refuse_crash_suspect(self) -> None:
-        """Refuse what ends the servers that run it, before any ends more.
+        """Raise if the request has crashed too many servers already.
 
-        Unbounded, one such request that came every 0.2 to 3 s ended 17 to 75
-        servers in 30 s; with this it ends two, or three where servers end
-        for other reasons too.
+        Without this limit a single request that crashes its servers could
+        take down a service by its caller's retries.
         """
         tracker = self._edge_state.crash_tracker
         if (
@@ -141,14 +150,14 @@
             return self._all_backing_off_error(backoff)
         if self._edge_state.backends.usable(self._checked.service):
             return request_errors.unavailable(
-                "its groups of ranks are broken", self._time_left()
+                "all rank groups of the service are broken", self._time_left()
             )
         return request_errors.not_ready("no backend server is known")
 
     def _all_backing_off_error(
         self, backoff: datetime.timedelta
     ) -> request_errors.RequestError:
-        """Return the refusal while all servers rest or are on trial."""
+        """Return the refusal while all servers back off or are probed."""
         self._edge_state.metrics.count_backoff_refused(self._checked.service)
         return request_errors.all_backing_off(backoff, self._rng)
 
@@ -207,7 +216,7 @@
     async def _check_for_crash(
         self, outcome: retry_policy.AttemptOutcome, backend: desired.Backend
     ) -> None:
-        """Find out whether a server has ended under this request."""
+        """Record a crash if the server ended while it ran the request."""
         if (
             outcome is retry_policy.AttemptOutcome.BROKEN
             and self._connection_lost
@@ -217,7 +226,7 @@
             )
 
     def _may_resend(self) -> bool:
-        """Tell whether another server is left if this attempt breaks."""
+        """Tell whether the request may be retried if this attempt breaks."""
         broken = retry_policy.state_after(
             self._state, retry_policy.AttemptOutcome.BROKEN
         )
@@ -227,9 +236,9 @@
         )
 
     def _spend_retry(self, outcome: retry_policy.AttemptOutcome) -> bool:
-        """Take one repeat from the budget, unless it would be the first.
+        """Tell whether a retry is allowed, and take it from the budget.
 
-        Only what arrived at a backend server counts against it.
+        It costs nothing while no attempt has reached a backend server.
         """
         if not retry_policy.may_send(self._state):
             return False
@@ -261,25 +270,31 @@
         if action is retry_policy.Action.PASS_ON:
             await self._answer_writer.write_held_failure()
         elif action is retry_policy.Action.ABORT_ANSWER:
-            raise request_errors.answer_interrupted("the answer broke off")
+            raise request_errors.answer_interrupted(
+                "the backend server broke off its answer"
+            )
         elif action is retry_policy.Action.REFUSE:
             backoff = self._edge_state.remaining_backoff(self._checked.service)
             if backoff:
                 raise self._all_backing_off_error(backoff)
             raise request_errors.unavailable(
-                f"no backend server ran it ({outcome.value})",
+                f"no backend server ran the request ({outcome.value})",
                 self._time_left(),
             )
         else:
-            raise request_errors.outcome_unknown("a backend server broke off")
+            raise request_errors.outcome_unknown(
+                "a backend server gave no valid answer"
+            )
 
     def _raise_timeout(self) -> None:
         if self._answer_writer.started:
-            raise request_errors.answer_interrupted("its time is over")
+            raise request_errors.answer_interrupted(
+                "the deadline passed before the answer was complete"
+            )
         raise request_errors.timed_out()
 
     def _log_answer(self, backend: desired.Backend) -> None:
-        """Tell how a request that has its answer came by it."""
+        """Count and log a request that has been answered."""
         checked = self._checked
         first = self._answer_writer.first_byte_at
         first_byte_after = (
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Carries each request: checks it, has it sent, tells of refusals."""
+"""Handles callers' requests: checks, forwarding and refusals."""
 
 from collections.abc import Callable
 import datetime
@@ -24,10 +24,11 @@
 
 @final
 class RequestHandler:
-    """Serves requests from the edge state of the process.
+    """Handles the requests of all callers of this process.
 
-    :param is_stopping: whether new requests can no longer be finished here.
-    :param on_change: called when requests in progress have changed.
+    :param is_stopping: whether the process stops too soon to finish new
+        requests.
+    :param on_change: called when the requests in progress have changed.
     """
 
     def __init__(
@@ -48,7 +49,11 @@
     async def handle(
         self, response: http1.ResponseWriter, req: http1.Request
     ) -> None:
-        """Answer one request."""
+        """Handle one request and write its answer or an error response.
+
+        :raises http1.CallerDisconnectedError: when the caller has closed its
+            connection.
+        """
         head = platform.parse_caller_request_head(req.headers)
         checked: checked_request.CheckedRequest | None = None
         try:
@@ -174,7 +179,7 @@
         checked: checked_request.CheckedRequest,
         snapshot: admission.LoadSnapshot,
     ) -> dict[str, object]:
-        """Return for a log line what the request's workspace may have."""
+        """Return the workspace's use and fair share, as log fields."""
         if checked.workspace_name is None:
             return {}
         workspace_use = self._edge_state.workspace_usage.use_of(
