--- a/testing/edge/conftest.py
+++ b/testing/edge/conftest.py
@@ -13,7 +13,10 @@
 
 @pytest.fixture
 def run_with_rig() -> Callable[..., object]:
-    """Run a coroutine with a started rig and clean up after it."""
+    """Return a function that runs a coroutine with a started rig.
+
+    It takes the route, the scripts of the backend servers and the coroutine.
+    """
 
     def run(
         one: desired.Route,
--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What callers get, by what backend servers do; over real sockets."""
+"""Answers to callers for each behaviour of backend servers, over sockets."""
 
 import asyncio
 import datetime
@@ -18,14 +18,14 @@
 _EMPTY_ANSWER = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"
 
 
-def test_answer_comes_whole_with_seal_and_id(run_with_rig):
+def test_answer_is_complete_with_seal_and_request_id(run_with_rig):
     got = run_with_rig(rig.SAFE_ROUTE, [[rig.answer()]], lambda r: r.ask())
     assert (got.status, got.body, got.whole) == (200, b"whole", True)
     assert got.headers[b"response-seal"] == b"s1"
     assert got.headers[b"attempt-identifier"] == b"a1"
 
 
-def test_backend_gets_path_body_and_only_the_systems_own_headers(run_with_rig):
+def test_backend_gets_path_body_and_no_forged_system_headers(run_with_rig):
     async def act(r):
         await r.ask(
             b"Tenant: forged",
@@ -49,7 +49,7 @@
         assert name not in seen.headers
 
 
-def test_backend_gets_less_time_than_the_caller_has(run_with_rig):
+def test_backend_deadline_precedes_the_callers(run_with_rig):
     async def act(r):
         await r.ask(time_left=3000)
         return r.backends[0].seen[0]
@@ -63,7 +63,7 @@
     [(b"X-Api-Key: nobodys", 401), (b"X-Other: 1", 404)],
     ids=["unknown-key", "unknown-path"],
 )
-def test_request_without_key_or_route_reaches_no_server(
+def test_request_with_unknown_key_or_path_reaches_no_server(
     run_with_rig, header, status
 ):
     async def act(r):
@@ -76,7 +76,7 @@
     assert run_with_rig(rig.SAFE_ROUTE, [[]], act) == (status, 0)
 
 
-def test_not_run_goes_on_elsewhere(run_with_rig):
+def test_request_that_was_not_run_is_retried_elsewhere(run_with_rig):
     scripts = [[rig.answer(503, b"", NOT_RUN)], [rig.answer()]]
     got = run_with_rig(
         rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, lambda r: r.ask()
@@ -84,15 +84,15 @@
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_not_run_everywhere_is_told_with_when_to_come_back(run_with_rig):
+def test_request_that_no_server_ran_is_refused_with_retry_after(run_with_rig):
     scripts = [[rig.answer(503, b"", NOT_RUN)]]
     got = run_with_rig(rig.UNSAFE_ROUTE, scripts, lambda r: r.ask())
     assert got.status == 503
-    # As late as a caller that waits 5 s can come back and be answered.
+    # Late, but within the caller's 5 s there is still time for an answer.
     assert 1.0 < float(got.headers[b"retry-after"]) < 5.0 / 3
 
 
-def test_refusal_without_proof_is_not_passed_on_as_not_run(run_with_rig):
+def test_refusal_without_proof_is_not_reported_as_not_run(run_with_rig):
     scripts = [[rig.answer(503, b"")], [rig.answer()]]
     got = run_with_rig(
         rig.UNSAFE_ROUTE_TWO_ATTEMPTS, scripts, lambda r: r.ask()
@@ -113,13 +113,13 @@
     )
 
 
-def test_safe_request_that_broke_is_sent_again(run_with_rig):
+def test_safe_request_is_retried_after_a_broken_attempt(run_with_rig):
     scripts = [[rig.raw_bytes(b"", close=True)], [rig.answer()]]
     got = run_with_rig(rig.SAFE_ROUTE, scripts, lambda r: r.ask())
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_request_is_sent_at_most_as_often_as_its_route_allows(run_with_rig):
+def test_attempts_are_limited_by_the_route(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, sum(len(b.seen) for b in r.backends)
@@ -143,13 +143,13 @@
     ],
     ids=["unsigned", "encoded", "no-http", "cut-short"],
 )
-def test_bad_answer_is_never_passed_on(run_with_rig, bad):
+def test_invalid_answer_is_never_forwarded(run_with_rig, bad):
     got = run_with_rig(rig.UNSAFE_ROUTE, [[bad]], lambda r: r.ask())
     assert got.status == 502
     assert b"response-seal" not in got.headers
 
 
-def test_surplus_answer_to_an_earlier_request_is_skipped(run_with_rig):
+def test_answer_to_an_earlier_request_is_skipped(run_with_rig):
     other = (
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n"
         b"Attempt-Identifier: other\r\nResponse-Seal: s0\r\n\r\nother"
@@ -163,7 +163,7 @@
     assert (got.status, got.body) == (200, b"whole")
 
 
-def test_connection_with_bytes_past_an_answer_is_not_used_again(run_with_rig):
+def test_connection_with_bytes_after_an_answer_is_not_reused(run_with_rig):
     async def surplus(seen, writer):
         await rig.answer()(seen, writer)
         writer.write(b"HTTP/1.1 200 OK\r\n")
@@ -176,7 +176,7 @@
     assert run_with_rig(rig.SAFE_ROUTE, [[surplus, rig.answer()]], act) == 2
 
 
-def test_connection_is_used_again_after_a_whole_answer(run_with_rig):
+def test_connection_is_reused_after_a_complete_answer(run_with_rig):
     async def act(r):
         await r.ask()
         await r.ask()
@@ -187,7 +187,7 @@
     )
 
 
-def test_restarted_server_at_the_same_address_gets_nothing_more(run_with_rig):
+def test_server_whose_address_has_another_life_is_forgotten(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, [one.key for one in r.edge_state.backends.all()]
@@ -199,14 +199,14 @@
     )
 
 
-def test_failure_that_ran_keeps_status_and_seal(run_with_rig):
+def test_failed_answer_keeps_status_and_seal(run_with_rig):
     scripts = [[rig.answer(500, b"sorry")]]
     got = run_with_rig(rig.UNSAFE_ROUTE, scripts, lambda r: r.ask())
     assert (got.status, got.body) == (500, b"sorry")
     assert got.headers[b"response-seal"] == b"s1"
 
 
-def test_stream_goes_on_elsewhere_after_its_last_whole_event(run_with_rig):
+def test_stream_resumes_elsewhere_after_its_last_complete_event(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got, r.backends[1].seen[0]
@@ -221,7 +221,7 @@
     assert seen.headers[b"last-event-id"] == b"2"
 
 
-def test_stream_that_may_not_go_on_ends_visibly_broken(run_with_rig):
+def test_broken_stream_that_is_not_resumable_is_aborted(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.body, got.whole, len(r.backends[1].seen)
@@ -230,7 +230,7 @@
     assert run_with_rig(rig.STREAM_ROUTE, scripts, act) == (EVENT_1, False, 0)
 
 
-def test_resume_where_the_caller_says_is_passed_on(run_with_rig):
+def test_last_event_id_of_the_caller_is_forwarded(run_with_rig):
     async def act(r):
         got = await r.ask(b"Last-Event-Id: 2")
         return got.body, r.backends[0].seen[0].headers[b"last-event-id"]
@@ -240,7 +240,7 @@
     ) == (EVENT_3, b"2")
 
 
-def test_caller_that_leaves_ends_the_work(run_with_rig):
+def test_disconnected_caller_cancels_the_attempt(run_with_rig):
     async def act(r):
         reader, writer = await asyncio.open_connection(rig.HOST, r.port)
         writer.write(rig.request())
@@ -253,7 +253,7 @@
     assert run_with_rig(rig.SAFE_ROUTE, [[rig.never_answer]], act)
 
 
-def test_request_past_its_time_gets_an_answer_that_promises_nothing(
+def test_request_past_its_deadline_gets_504_without_retry_after(
     run_with_rig,
 ):
     got = run_with_rig(
@@ -263,7 +263,7 @@
     assert b"retry-after" not in got.headers
 
 
-def test_no_connection_proves_that_nothing_ran(run_with_rig):
+def test_failed_connection_is_reported_as_not_run(run_with_rig):
     async def act(r):
         r.backends[0].close()
         return await r.ask()
@@ -273,7 +273,7 @@
     assert b"retry-after" in got.headers
 
 
-def test_process_that_is_stopping_refuses_late_requests(run_with_rig):
+def test_stopping_process_refuses_new_requests(run_with_rig):
     async def act(r):
         r.stopping = r.leaving = True
         got = await r.ask()
@@ -282,7 +282,7 @@
     assert run_with_rig(rig.SAFE_ROUTE, [[]], act) == (503, b"close", [])
 
 
-def test_answer_of_a_stopping_process_closes_the_connection(run_with_rig):
+def test_answer_of_a_draining_process_closes_the_connection(run_with_rig):
     async def act(r):
         r.leaving = True
         data = rig.request().replace(b"Connection: close\r\n", b"")
@@ -292,7 +292,7 @@
     assert (got.status, got.headers[b"connection"]) == (200, b"close")
 
 
-def test_process_that_knows_no_desired_state_promises_not_run(run_with_rig):
+def test_process_without_desired_state_refuses_requests(run_with_rig):
     async def act(r):
         r.edge_state.desired = None
         return await r.ask()
@@ -302,7 +302,7 @@
     assert float(got.headers[b"retry-after"]) > 0
 
 
-def test_figures_count_answers_refusals_and_attempts(run_with_rig):
+def test_metrics_count_requests_and_attempts(run_with_rig):
     async def act(r):
         await r.ask()
         return r.edge_state.metrics.text().decode()
@@ -316,12 +316,12 @@
 
 @pytest.fixture
 def no_ack_timeout(monkeypatch):
-    """Look at once whether a request was heard: no answer is as fast."""
+    """Check for acknowledgement at once, before any answer arrives."""
     monkeypatch.setattr(attempt, "ACK_TIMEOUT", datetime.timedelta())
 
 
 def _leave_unacknowledged(monkeypatch, port: int) -> None:
-    """Let connections to ``port`` look as if nothing was acknowledged."""
+    """Make connections to ``port`` report that nothing is acknowledged."""
     connect = http1.connect
 
     async def connect_unacknowledged(host, to, *, timeout_s):
@@ -344,14 +344,14 @@
     ],
     ids=["repeatable", "resumable", "not-repeatable", "one-attempt"],
 )
-def test_unacknowledged_request_goes_elsewhere_if_it_may(
+def test_unacknowledged_request_is_retried_elsewhere_if_allowed(
     run_with_rig, monkeypatch, route, elsewhere
 ):
-    # Symptom: requests to a server whose connection had gone silent, or
-    # that was cut off, got 504 at the end of their time. Cause: nothing but
-    # the deadline ended the wait for an answer. What settled it: of 272
-    # requests looked at 0.3 s after they were sent, just the four to the
-    # server that was cut off had bytes that nobody had acknowledged.
+    # Symptom: requests got 504 at their deadline if their server was cut
+    # off or the connection had gone silent. Cause: only the deadline ended
+    # the wait for an answer. Evidence: of 272 requests checked 0.3 s after
+    # they were sent, only the four to a server that was cut off had
+    # unacknowledged bytes.
     async def act(r):
         _leave_unacknowledged(monkeypatch, r.backends[0].port)
         got = await r.ask()
@@ -362,7 +362,7 @@
 
 
 @pytest.mark.usefixtures("no_ack_timeout")
-def test_answer_to_an_acknowledged_request_is_waited_for(run_with_rig):
+def test_answer_to_an_acknowledged_request_is_awaited(run_with_rig):
     async def act(r):
         got = await r.ask()
         return got.status, len(r.backends[1].seen)
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A request handler before scripted backend servers, on loopback."""
+"""A request handler with scripted backend servers, over loopback sockets."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -21,7 +21,7 @@
 
 HOST = "127.0.0.1"
 API_KEY = "key-of-a"
-#: Times are far off: no test waits for them.
+#: Timeouts so long that no test runs into them.
 LIMITS = desired.RequestLimits(
     max_head_bytes=4096,
     max_body_bytes=1024,
@@ -42,7 +42,7 @@
 def settings(
     bounds: settings_lib.Bounds = BOUNDS,
 ) -> settings_lib.Settings:
-    """Return settings of a process that listens nowhere."""
+    """Return settings of a process; its addresses cannot be listened on."""
     return settings_lib.Settings(
         node="n1",
         domain="d1",
@@ -57,9 +57,9 @@
 def backend_entry(
     service: str, address: str, domain: str = "d", /, **changes: object
 ) -> bytes:
-    """Return a server's whole entry, as the list has it.
+    """Return a backend server's record, as it is stored.
 
-    :param changes: fields that differ; none leaves a field out.
+    :param changes: fields to replace; none removes a field.
     """
     fields: dict[str, object] = {
         "service": service,
@@ -71,14 +71,14 @@
         "cold_ms": 0,
         "sequence": 1,
     }
-    whole = fields | changes
+    merged = fields | changes
     return json.dumps(
-        {name: one for name, one in whole.items() if one is not None}
+        {name: one for name, one in merged.items() if one is not None}
     ).encode()
 
 
 def backend(name: str = "i-1", domain: str = "d1") -> desired.Backend:
-    """Return a backend server that nobody starts."""
+    """Return the description of a backend server that is not running."""
     return desired.Backend(
         id=desired.BackendId(name),
         service=ids.ServiceName("s"),
@@ -91,12 +91,12 @@
 
 
 def new_rng() -> random.Random:
-    """Return a generator that gives the same on every run."""
+    """Return a random generator with a fixed seed."""
     return random.Random(1)
 
 
 def free_port() -> int:
-    """Return a port that is free for TCP and UDP now."""
+    """Return a port that is currently free."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         port: int = sock.getsockname()[1]
@@ -105,7 +105,7 @@
 
 @dataclasses.dataclass
 class ReceivedRequest:
-    """One request that reached a backend server."""
+    """A request that a backend server has received."""
 
     line: bytes
     headers: dict[bytes, bytes]
@@ -122,7 +122,10 @@
     *headers: bytes,
     seal: bool = True,
 ) -> Script:
-    """Return a script that answers, with the request's id and a seal."""
+    """Return a script that answers with the request's id.
+
+    :param seal: whether the answer is signed.
+    """
 
     async def script(
         seen: ReceivedRequest, writer: asyncio.StreamWriter
@@ -141,7 +144,10 @@
 
 
 def events(*parts: bytes, end: bool = True, seal: bytes = b"s1") -> Script:
-    """Return a script that streams ``parts``; cut short without an end."""
+    """Return a script that streams ``parts``.
+
+    :param end: whether to end the stream; otherwise the connection is closed.
+    """
 
     async def script(
         seen: ReceivedRequest, writer: asyncio.StreamWriter
@@ -167,7 +173,7 @@
 
 
 def raw_bytes(data: bytes, *, close: bool = False) -> Script:
-    """Return a script that writes bytes as they are."""
+    """Return a script that writes raw bytes, valid HTTP or not."""
 
     async def script(
         seen: ReceivedRequest, writer: asyncio.StreamWriter
@@ -188,7 +194,7 @@
 
 
 class FakeBackend:
-    """A backend server that follows a script, one entry a request."""
+    """A backend server that runs the next of its scripts for each request."""
 
     def __init__(self, scripts: list[Script]) -> None:
         self.scripts = scripts
@@ -236,7 +242,10 @@
 
 @dataclasses.dataclass
 class CallerAnswer:
-    """What a caller received, as raw bytes and taken apart."""
+    """Parsed answer that a caller has received.
+
+    :param whole: whether the body is complete.
+    """
 
     status: int
     headers: dict[bytes, bytes]
@@ -245,7 +254,7 @@
 
 
 class Rig:
-    """A request handler, its edge state and the backend servers before it."""
+    """A request handler with its edge state and fake backend servers."""
 
     def __init__(self, clock: clock_lib.Clock | None = None) -> None:
         self.clock = clock or clock_lib.SystemClock()
@@ -279,13 +288,13 @@
         self.port = 0
 
     async def start(self, *scripts: list[Script]) -> None:
-        """Start one backend server for each list of scripts."""
+        """Start the handler, and a backend server for each list of scripts."""
         rows = []
         for num, one in enumerate(scripts):
             backend = FakeBackend(one)
             await backend.start()
             self.backends.append(backend)
-            # The slots make the first one the least busy by far.
+            # Servers listed first have more slots and are preferred.
             value = backend_entry(
                 "app", f"{HOST}:{backend.port}", "d1", slots=100 - 10 * num
             )
@@ -350,7 +359,7 @@
         body: bytes = b"",
         time_left: int = 5000,
     ) -> CallerAnswer:
-        """Send one request with all that a proper one has."""
+        """Send one valid request and return its answer."""
         return await self.send(
             request(
                 *headers,
@@ -369,7 +378,10 @@
     body: bytes = b"",
     time_left: int = 5000,
 ) -> bytes:
-    """Return the bytes of a proper request."""
+    """Return the bytes of a valid request.
+
+    :param time_left: time until the caller's deadline, in milliseconds.
+    """
     lines = [
         method + b" " + path + b" HTTP/1.1",
         b"Host: h",
@@ -385,7 +397,7 @@
 
 
 def parse_answer(data: bytes) -> CallerAnswer:
-    """Return what the bytes of one answer say."""
+    """Parse the bytes of one answer; the status is 0 if there are none."""
     head, _, rest = data.partition(b"\r\n\r\n")
     line, *lines = head.split(b"\r\n")
     headers = {}
