--- a/testing/edge/test_connection_pool.py
+++ b/testing/edge/test_connection_pool.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Which kept connections are used again, and for what."""
+"""Reuse of idle connections."""
 
 import asyncio
 import datetime
@@ -16,7 +16,7 @@
 
 
 class _FakeConnection:
-    """Takes the place of a connection."""
+    """Stands in for :class:`http1.ClientConn`."""
 
     closing = False
     has_unread_data = False
@@ -48,18 +48,19 @@
     ],
     ids=[
         "just-used",
-        "rested-and-not-repeatable",
-        "rested-and-repeatable",
-        "over-what-the-server-keeps",
+        "idle-and-not-repeatable",
+        "idle-and-repeatable",
+        "past-keep-alive",
     ],
 )
-def test_idle_connection_is_not_used_for_what_must_not_be_repeated(
+def test_long_idle_connection_is_not_used_for_unrepeatable_requests(
     pool, manual_clock, idle_s, not_repeatable, kept
 ):
     # Symptom: requests that must not be repeated ended with 502 or at their
-    # deadline. Sequence: the connection was kept from an earlier request;
-    # the server had forgotten it or it had gone silent; what was sent on it
-    # may have run for all that is known. Cause: any kept one was used.
+    # deadline. Sequence: the connection was idle since an earlier request;
+    # the server had dropped it, or it had gone silent; whether a request
+    # sent on it ran was unknown, so there was no retry. Cause: any idle
+    # connection was reused, however old.
     async def act() -> bool:
         conn = await pool.acquire(BACKEND)
         pool.release(BACKEND, conn, KEEP_ALIVE)
@@ -71,7 +72,9 @@
     assert asyncio.run(act()) is kept
 
 
-def test_idle_connection_is_kept_for_repeatable_requests(pool, manual_clock):
+def test_long_idle_connection_stays_for_repeatable_requests(
+    pool, manual_clock
+):
     async def act() -> bool:
         conn = await pool.acquire(BACKEND)
         pool.release(BACKEND, conn, KEEP_ALIVE)
@@ -82,7 +85,7 @@
     assert asyncio.run(act())
 
 
-def test_close_idle_closes_connections_to_a_silent_host(pool):
+def test_close_idle_closes_connections_of_the_server(pool):
     async def act() -> bool:
         conn = await pool.acquire(BACKEND)
         pool.release(BACKEND, conn, KEEP_ALIVE)
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Choice, admission, limits and what comes of events, without I/O."""
+"""Backend choice, admission, concurrency limit and events, without I/O."""
 
 import datetime
 import random
@@ -27,7 +27,7 @@
     ms_per_sequence=0.5,
 )
 MAX_EVENT_GAP = datetime.timedelta(milliseconds=120)
-FIRST = admission.AdmissionRequest()
+NEW_REQUEST = admission.AdmissionRequest()
 CALLER_RETRY = admission.AdmissionRequest(is_caller_retry=True)
 SECOND = datetime.timedelta(seconds=1)
 
@@ -44,13 +44,13 @@
     return found.best.backend.key if found else None
 
 
-def test_least_busy_is_chosen():
+def test_least_busy_server_is_chosen():
     one = backend_choice.Candidate(backend=edge_rig.backend("a"), requests=3)
     two = backend_choice.Candidate(backend=edge_rig.backend("b"), requests=2)
     assert _choose(one, two) == "b"
 
 
-def test_own_domain_is_chosen_unless_it_is_much_busier():
+def test_own_domain_is_preferred_unless_it_is_much_busier():
     near = backend_choice.Candidate(
         backend=edge_rig.backend("near"), requests=2
     )
@@ -64,7 +64,7 @@
     assert _choose(near, idle) == "idle"
 
 
-def test_ejected_is_chosen_only_where_nothing_else_is_left():
+def test_ejected_server_is_chosen_only_as_a_last_resort():
     bad = backend_choice.Candidate(
         backend=edge_rig.backend("bad"), requests=0, ejected=True
     )
@@ -89,19 +89,21 @@
 
 def test_full_service_refuses():
     assert (
-        admission.refusal_reason(_load_snapshot(requests=15), 4.0, FIRST)
+        admission.refusal_reason(_load_snapshot(requests=15), 4.0, NEW_REQUEST)
         is None
     )
-    assert admission.refusal_reason(_load_snapshot(requests=16), 4.0, FIRST)
+    assert admission.refusal_reason(
+        _load_snapshot(requests=16), 4.0, NEW_REQUEST
+    )
 
 
-def test_last_places_are_kept_for_first_requests():
+def test_last_part_of_the_capacity_is_closed_to_caller_retries():
     snapshot = _load_snapshot(requests=13)
-    assert admission.refusal_reason(snapshot, 4.0, FIRST) is None
+    assert admission.refusal_reason(snapshot, 4.0, NEW_REQUEST) is None
     assert admission.refusal_reason(snapshot, 4.0, CALLER_RETRY)
 
 
-def test_nobody_is_kept_out_while_half_of_the_slots_are_free():
+def test_caller_retries_are_admitted_while_half_of_the_slots_are_free():
     assert (
         admission.refusal_reason(
             _load_snapshot(requests=11), 3.0, CALLER_RETRY
@@ -113,12 +115,12 @@
     )
 
 
-def test_requests_that_peers_have_not_told_yet_count():
+def test_unreported_requests_of_peers_count():
     snapshot = _load_snapshot(requests=8, unreported_requests=14.0)
-    assert admission.refusal_reason(snapshot, 4.0, FIRST)
+    assert admission.refusal_reason(snapshot, 4.0, NEW_REQUEST)
 
 
-def test_request_with_less_time_left_has_been_refused_before():
+def test_request_with_less_time_left_is_a_caller_retry():
     detector = admission.CallerRetryDetector()
     full = datetime.timedelta(seconds=8)
     assert not detector.is_caller_retry(full)
@@ -129,53 +131,53 @@
     assert not detector.is_caller_retry(None)
 
 
-def test_shorter_deadlines_are_learned_as_usual_in_time():
+def test_detector_follows_shorter_timeouts():
     detector = admission.CallerRetryDetector()
     detector.is_caller_retry(datetime.timedelta(seconds=8))
     shorter = datetime.timedelta(seconds=5)
-    told = [detector.is_caller_retry(shorter) for _ in range(200)]
-    assert told[0] and not told[-1]
+    results = [detector.is_caller_retry(shorter) for _ in range(200)]
+    assert results[0] and not results[-1]
 
 
 @given(st.floats(10, 400), st.floats(1, 6))
 def test_learned_limit_stays_between_half_and_all_slots(gap_ms, load):
-    learned = concurrency_limit.ConcurrencyLimit()
+    limit = concurrency_limit.ConcurrencyLimit()
     for num in range(50):
-        learned.observe_event_gap(
+        limit.observe_event_gap(
             datetime.timedelta(milliseconds=gap_ms),
             num * SECOND,
             engine=ENGINE,
             mean_requests=load,
             max_event_gap=MAX_EVENT_GAP,
         )
-    assert 3.0 <= learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP) <= 6.0
+    assert 3.0 <= limit.max_requests_per_engine(ENGINE, MAX_EVENT_GAP) <= 6.0
 
 
 def _observe_pass(
-    learned: concurrency_limit.ConcurrencyLimit,
+    limit: concurrency_limit.ConcurrencyLimit,
     num: int,
     gap_ms: float,
     *,
     streams: int = 3,
 ) -> float:
-    """Let one pass go by that some streams feel."""
+    """Observe one pass through several streams; return the new limit."""
     for _ in range(streams):
-        learned.observe_event_gap(
+        limit.observe_event_gap(
             datetime.timedelta(milliseconds=gap_ms),
             num * SECOND,
             engine=ENGINE,
             mean_requests=4.0,
             max_event_gap=MAX_EVENT_GAP,
         )
-    return learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
+    return limit.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
 
 
 def _max_requests_after(gap_ms: float) -> float:
-    learned = concurrency_limit.ConcurrencyLimit()
-    return [_observe_pass(learned, num, gap_ms) for num in range(300)][-1]
+    limit = concurrency_limit.ConcurrencyLimit()
+    return [_observe_pass(limit, num, gap_ms) for num in range(300)][-1]
 
 
-def test_longer_pauses_leave_room_for_fewer_requests():
+def test_longer_gaps_lower_the_limit():
     assert (
         _max_requests_after(110.0)
         < _max_requests_after(85.0)
@@ -183,7 +185,7 @@
     )
 
 
-def test_pass_teaches_once_however_many_streams_feel_it():
+def test_pass_counts_once_for_all_streams():
     one, many = (
         concurrency_limit.ConcurrencyLimit(),
         concurrency_limit.ConcurrencyLimit(),
@@ -193,31 +195,32 @@
         assert _observe_pass(many, num, gap_ms, streams=9) == alone
 
 
-def test_jump_of_passes_is_followed_within_three():
-    learned = concurrency_limit.ConcurrencyLimit()
-    before = [_observe_pass(learned, num, 60.0) for num in range(50)][-1]
-    after = [_observe_pass(learned, num, 120.0) for num in range(50, 53)]
-    least = _max_requests_after(120.0)
+def test_limit_follows_a_jump_within_three_passes():
+    limit = concurrency_limit.ConcurrencyLimit()
+    before = [_observe_pass(limit, num, 60.0) for num in range(50)][-1]
+    after = [_observe_pass(limit, num, 120.0) for num in range(50, 53)]
+    lowest = _max_requests_after(120.0)
     assert after == sorted(after, reverse=True)
-    assert after[-1] - least < (before - least) / 2
+    assert after[-1] - lowest < (before - lowest) / 2
 
 
-def _replay(slowness: list[float]) -> list[float]:
-    """Return how many are let in pass by pass, with one rank that is slow.
+def _replay(slowness_factors: list[float]) -> list[float]:
+    """Return the limit after each of several passes, with a slow rank.
 
-    A pass takes as long as the slow rank's fixed part, and 10 ms for each
-    request at an engine; engines have as many as are let in.
+    A pass takes the fixed time of the slowest rank and 10 ms for each request
+    at an engine; each engine has as many requests as the limit allows.
 
-    :param slowness: of the slowest rank, by pass.
+    :param slowness_factors: factor on the slowest rank's fixed time, by
+        pass.
     """
-    learned = concurrency_limit.ConcurrencyLimit()
-    max_requests = [learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)]
-    for num, times in enumerate(slowness):
+    limit = concurrency_limit.ConcurrencyLimit()
+    max_requests = [limit.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)]
+    for num, factor in enumerate(slowness_factors):
         gap_ms = (
-            ENGINE.steps_per_pass * ENGINE.step_ms * times
+            ENGINE.steps_per_pass * ENGINE.step_ms * factor
             + 10.0 * max_requests[-1]
         )
-        learned.observe_event_gap(
+        limit.observe_event_gap(
             datetime.timedelta(milliseconds=gap_ms),
             num * SECOND,
             engine=ENGINE,
@@ -225,21 +228,21 @@
             max_event_gap=MAX_EVENT_GAP,
         )
         max_requests.append(
-            learned.max_requests_per_engine(
-                ENGINE, MAX_EVENT_GAP, has_slow_rank=times > 1.0
+            limit.max_requests_per_engine(
+                ENGINE, MAX_EVENT_GAP, has_slow_rank=factor > 1.0
             )
         )
     return max_requests[1:]
 
 
-def test_slow_rank_does_not_keep_half_of_the_slots_empty():
-    """Where no stream can be in time, places are given all the same.
+def test_slow_rank_does_not_leave_half_of_the_slots_idle():
+    """Requests are admitted although no stream can be in time.
 
-    Symptom: with one of 63 ranks four times slower half of the slots stood
-    empty for eight seconds, while 190 callers a second were refused. Cause:
-    what the slow rank adds to each pass was put down to the requests, so that
-    fewer of them seemed to help. Going by the pauses alone, the limit went up
-    and down with each few passes.
+    Symptom: with one of 63 ranks four times slower, half of the slots were
+    idle for eight seconds, while 190 requests a second were refused. Cause:
+    the time that the slow rank adds to each pass was attributed to the
+    requests, so that a lower limit seemed to help. A limit that follows the
+    gaps alone oscillates every few passes.
     """
     found = _replay([1.0] * 40 + [4.0] * 60 + [1.0] * 40)
     before, slow, after = found[20:40], found[50:100], found[115:]
@@ -249,11 +252,11 @@
     assert max(after) <= max(before) + 1.0
 
 
-def test_long_passes_without_a_slow_rank_do_not_open_all_slots():
-    """A group that has just formed reads many prompts in its first passes."""
-    learned = concurrency_limit.ConcurrencyLimit()
+def test_long_passes_without_a_slow_rank_do_not_raise_the_limit():
+    """A new group reads many prompts in its first passes."""
+    limit = concurrency_limit.ConcurrencyLimit()
     for num in range(20):
-        learned.observe_event_gap(
+        limit.observe_event_gap(
             datetime.timedelta(milliseconds=200),
             num * SECOND,
             engine=ENGINE,
@@ -261,38 +264,38 @@
             max_event_gap=MAX_EVENT_GAP,
         )
     assert (
-        learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
+        limit.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
         == ENGINE.slots / 2
     )
     assert (
-        learned.max_requests_per_engine(
+        limit.max_requests_per_engine(
             ENGINE, MAX_EVENT_GAP, has_slow_rank=True
         )
         == ENGINE.slots
     )
 
 
-def test_passes_far_too_slow_take_no_more_than_end_in_time():
-    """A rank twelve times slower: all slots would end after their deadline."""
+def test_limit_stays_low_if_requests_would_miss_their_deadlines():
+    """With a rank twelve times slower, full slots would miss deadlines."""
     found = _replay([1.0] * 40 + [12.0] * 40)
     assert found[60] == ENGINE.slots / 2
 
 
-def test_pause_of_a_fault_teaches_nothing():
-    learned = concurrency_limit.ConcurrencyLimit()
-    before = learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
-    learned.observe_event_gap(
+def test_gap_of_a_fault_is_ignored():
+    limit = concurrency_limit.ConcurrencyLimit()
+    before = limit.max_requests_per_engine(ENGINE, MAX_EVENT_GAP)
+    limit.observe_event_gap(
         datetime.timedelta(seconds=2),
         SECOND,
         engine=ENGINE,
         mean_requests=1.0,
         max_event_gap=MAX_EVENT_GAP,
     )
-    assert learned.max_requests_per_engine(ENGINE, MAX_EVENT_GAP) == before
+    assert limit.max_requests_per_engine(ENGINE, MAX_EVENT_GAP) == before
 
 
 @given(st.lists(st.integers(1, 60), max_size=12))
-def test_events_come_whole_however_their_bytes_are_cut(sizes):
+def test_events_are_complete_however_their_bytes_are_split(sizes):
     whole = [b"id: %d\ndata: %s\n\n" % (n, b"x" * n) for n in range(8)]
     data = b"".join(whole)
     splitter = event_stream.EventSplitter()
@@ -305,7 +308,7 @@
 
 
 @pytest.mark.parametrize(
-    ("event", "than", "later"),
+    ("event", "last_id", "later"),
     [
         (b"id: 10\ndata: x\n\n", "9", True),
         (b"id: 9\ndata: x\n\n", "9", False),
@@ -314,11 +317,11 @@
     ],
     ids=["next", "same", "after-another-line", "no-id"],
 )
-def test_event_is_later_by_its_number(event, than, later):
-    assert event_stream.has_later_id(event, than) is later
+def test_event_order_follows_numeric_ids(event, last_id, later):
+    assert event_stream.has_later_id(event, last_id) is later
 
 
-def test_callers_of_a_full_service_come_back_spread_and_in_time():
+def test_retry_after_of_a_full_service_is_spread_and_in_time():
     rng = random.Random(1)
     left = datetime.timedelta(seconds=8)
     waits = {
@@ -331,12 +334,12 @@
     )
 
 
-def test_caller_with_little_time_is_not_told_less_than_the_least():
+def test_retry_after_has_a_minimum():
     found = request_errors.unavailable("broken", datetime.timedelta(seconds=1))
     assert found.retry_after == request_errors.MIN_RETRY_AFTER
 
 
-def test_servers_told_broken_are_believed_until_that_is_old(manual_clock):
+def test_report_of_broken_servers_expires(manual_clock):
     avoided = avoided_servers.AvoidedServers(manual_clock)
     key = desired.BackendKey("a")
     avoided.report("n1", [key])
@@ -345,7 +348,7 @@
     assert not avoided.servers()
 
 
-def test_servers_told_broken_again_after_silence_are_believed(manual_clock):
+def test_report_after_an_expired_one_counts(manual_clock):
     avoided = avoided_servers.AvoidedServers(manual_clock)
     key = desired.BackendKey("a")
     for _ in range(2):
@@ -355,7 +358,7 @@
         assert not avoided.servers()
 
 
-def test_servers_are_broken_while_anyone_tells_so(manual_clock):
+def test_servers_are_avoided_while_any_node_reports_them(manual_clock):
     avoided = avoided_servers.AvoidedServers(manual_clock)
     one, two = desired.BackendKey("a"), desired.BackendKey("b")
     avoided.report("n1", [one])
@@ -364,7 +367,7 @@
     assert avoided.servers() == {two}
 
 
-def _serving(near: int, far: int) -> eligible_servers.EligibleServers:
+def _eligible_servers(near: int, far: int) -> eligible_servers.EligibleServers:
     return eligible_servers.split_by_domain(
         [edge_rig.backend(f"n{num}") for num in range(near)]
         + [edge_rig.backend(f"f{num}", "d2") for num in range(far)],
@@ -372,29 +375,29 @@
     )
 
 
-def test_choice_among_many_looks_at_few_of_each_kind():
-    servers = _serving(40, 150)
+def test_choice_among_many_samples_both_kinds_of_domains():
+    servers = _eligible_servers(40, 150)
     rng = random.Random(1)
     seen = set()
     for _ in range(200):
-        looked = servers.sample(rng)
-        domains = [one.domain for one in looked]
+        sample = servers.sample(rng)
+        domains = [one.domain for one in sample]
         assert domains.count("d1") == domains.count("d2") == 16
-        seen |= {one.key for one in looked}
+        seen |= {one.key for one in sample}
     assert seen == servers.keys
 
 
-def test_choice_among_few_looks_at_all():
-    servers = _serving(3, 12)
+def test_choice_among_few_considers_all():
+    servers = _eligible_servers(3, 12)
     assert {one.key for one in servers.sample(random.Random(1))} == (
         servers.keys
     )
 
 
-def test_slow_servers_get_nothing_as_long_as_they_are_few():
-    """One of 63 ranks that is 12 times slower reads and writes for nobody.
+def test_slow_servers_are_excluded_while_they_are_few():
+    """A slow rank gets no requests of its own.
 
-    Its own part of a pass grows with what it is given, and all wait for it.
+    Its time for a pass grows with its requests, and its group waits for it.
     """
     servers = [edge_rig.backend(f"i-{num}") for num in range(10)]
     few = {servers[0].key, servers[1].key}
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Under lasting overload no route, size or workspace is left out."""
+"""Fairness of admission under lasting overload."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 
 SERVERS = 4
 SLOTS_PER_SERVER = 6
-#: Requests that come in a second, some twice of what can be served.
+#: About twice the rate that can be served.
 REQUESTS_PER_S = 40.0
 TIMEOUT = datetime.timedelta(seconds=8)
 DURATION_S = 120
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """One request and who sent it; ``since`` is its first attempt."""
+    """A caller's request; ``since`` is the time of its first attempt."""
 
     route: str
     large: bool
@@ -35,7 +35,7 @@
 
 
 class Overload:
-    """Callers, admission and servers in time that is moved by hand."""
+    """Simulation of callers, admission and servers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -110,11 +110,11 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_every_class_is_served_nearly_as_often_as_all(seed: int):
+def test_no_route_size_or_workspace_is_starved(seed: int):
     overload = Overload(seed)
     overload.run()
     total = sum(overload.served.values()) / sum(overload.sent.values())
-    # Without overload the test would say nothing.
+    # The test is meaningless without overload.
     assert 0.3 < total < 0.9
     for one, sent in overload.sent.items():
         share = overload.served[one] / sent
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A workspace that asks for too much takes nothing from the others."""
+"""Shares of workspaces in a full service."""
 
 import datetime
 
@@ -36,8 +36,9 @@
     return fleet.run(12.0)
 
 
-#: News that come soon and late, and how often the others are served at least:
-#: what thirty processes let in within half a second nobody can take back.
+#: Heartbeats at short and long intervals, and the fraction of the others'
+#: requests that must be served. Between late heartbeats thirty processes
+#: admit more than a workspace's share, and admission is not revoked.
 NEWS = {
     "50-ms": (share_fleet.News(), 0.95),
     "500-ms": (share_fleet.News(gap_s=0.5, way_s=0.1), 0.9),
@@ -45,50 +46,50 @@
 
 
 @pytest.mark.parametrize("seed", range(2))
-@pytest.mark.parametrize(("news", "least"), NEWS.values(), ids=NEWS)
+@pytest.mark.parametrize(("news", "min_served"), NEWS.values(), ids=NEWS)
 @pytest.mark.parametrize("processes", [7, 30])
-def test_others_are_served_through_a_surge_of_one_workspace(
-    processes: int, news: share_fleet.News, least: float, seed: int
+def test_surge_of_one_workspace_does_not_starve_the_others(
+    processes: int, news: share_fleet.News, min_served: float, seed: int
 ):
-    """One workspace's surge crowded out all others.
+    """A surge of one workspace must not starve the others.
 
-    Symptom: while one workspace sent 7.5 times its usual for 8 s, up to half
-    of all requests were refused, whoever sent them. Cause: admission looked
-    at servers and places only, so that whoever asked most often took each
-    place that came free. Settled by this load: without the workspaces looked
-    at, the others are served 0.49 of the time.
+    Symptom: while one workspace sent 7.5 times its usual load for 8 s, up to
+    half of the requests of all workspaces were refused. Cause: admission
+    ignored workspaces, so the one with the most requests took each slot that
+    became free. With this load and no shares, 0.49 of the others' requests
+    are served.
     """
     fleet = _run_fleet(SURGE, processes, news, seed=seed)
-    assert fleet.share_served(OTHERS, 4, 12) > least
-    # What the others leave goes to the one that asks for it.
+    assert fleet.share_served(OTHERS, 4, 12) > min_served
+    # The surging workspace gets the remaining capacity.
     hot = fleet.share_served({"w0"}, 4, 12)
     assert 0.15 < hot < 0.9
     assert fleet.most_busy < share_fleet.SLOTS * 16
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_the_load_shows_the_fault_without_shares(seed: int):
+def test_surge_starves_the_others_without_shares(seed: int):
     fleet = _run_fleet(
         SURGE, 7, share_fleet.News(), seed=seed, by_workspace=False
     )
     assert fleet.share_served(OTHERS, 4, 12) < 0.6
 
 
-def test_process_that_hears_nobody_shares_what_it_sees():
-    """Cut off, a process still goes by its own requests in progress."""
+def test_process_without_heartbeats_applies_its_own_counts():
+    """A process that is cut off still limits by its own counts."""
     fleet = _run_fleet(SURGE, 1, share_fleet.News(gap_s=0.0), seed=1)
     assert fleet.share_served(OTHERS, 4, 12) > 0.95
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_usual_load_of_a_large_workspace_is_not_cut(seed: int):
+def test_normal_load_of_a_large_workspace_is_not_limited(seed: int):
     fleet = _run_fleet(
         share_fleet.Load(rates=RATES), 7, share_fleet.News(), seed=seed
     )
     assert fleet.share_served({"w0"}, 0, 12) > 0.98
 
 
-def test_two_that_want_everything_end_up_with_equally_many():
+def test_two_greedy_workspaces_get_equal_shares():
     load = share_fleet.Load(rates={"w0": 60.0, "w1": 25.0, "w2": 1.0})
     fleet = _run_fleet(load, 7, share_fleet.News(), seed=1)
     served = {
@@ -104,17 +105,21 @@
     st.floats(0.0, 64.0),
     st.floats(0.5, 4.0),
 )
-def test_who_may_have_one_more_may_have_fewer(use, room, weight):
+def test_lower_use_is_never_refused_where_higher_is_admitted(
+    use, free_places, weight
+):
     workspace_use = shares.WorkspaceUse(in_progress=use, weight=weight)
     less = shares.WorkspaceUse(in_progress=max(0, use - 1), weight=weight)
-    assert less.may_take_place(room) or not workspace_use.may_take_place(room)
+    assert less.may_take_place(
+        free_places
+    ) or not workspace_use.may_take_place(free_places)
 
 
 @given(
     st.lists(st.floats(0.1, 10.0), min_size=1, max_size=40),
     st.floats(1.0, 500.0),
 )
-def test_shares_of_all_that_ask_make_up_the_whole(weights, places):
+def test_fair_shares_add_up_to_the_capacity(weights, places):
     parts = [
         shares.WorkspaceUse(
             in_progress=0, weight=one, total_weight=sum(weights)
@@ -131,7 +136,7 @@
     return found
 
 
-def test_what_peers_have_counts_for_the_workspace():
+def test_requests_at_peers_count_for_the_workspace():
     here, there = _workspace_usage(), _workspace_usage()
     there.request_started(SERVICE, SPACE_A)
     there.request_started(SERVICE, SPACE_A)
@@ -143,7 +148,7 @@
     assert here.use_of(SERVICE, SPACE_A).in_progress == 0
 
 
-def test_weight_of_the_settings_counts():
+def test_fair_share_follows_weights():
     found = _workspace_usage(a=3.0)
     found.request_started(SERVICE, SPACE_B)
     assert found.use_of(SERVICE, SPACE_A).fair_share(40.0) == 30.0
@@ -151,22 +156,22 @@
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf")], ids=str)
-def test_weight_that_makes_no_sense_is_refused(weight: float):
+def test_invalid_weight_is_rejected(weight: float):
     with pytest.raises(ValueError, match="'a'"):
         settings_lib.Shares(weights={"a": weight})
 
 
-def test_only_the_heaviest_are_told():
+def test_only_the_heaviest_workspaces_are_sent():
     found = workspace_usage.WorkspaceUsage(clock_lib.ManualClock())
     for num in range(40):
         for _ in range(1 + num):
             found.request_started(SERVICE, ids.WorkspaceName(f"w{num}"))
-    told = found.own_counts()
-    assert len(told) == 32
-    assert min(told.values()) == 9
+    sent = found.own_counts()
+    assert len(sent) == 32
+    assert min(sent.values()) == 9
 
 
-def test_number_that_nobody_knows_changes_nothing():
+def test_unknown_usage_hash_is_ignored():
     found = _workspace_usage()
     found.apply_peer_counts("n2", {12345: 9})
     assert found.use_of(SERVICE, SPACE_A).in_progress == 0
@@ -186,7 +191,7 @@
     )
 
 
-def test_workspace_below_its_share_goes_past_what_is_full_up_to_the_slots():
+def test_workspace_below_its_share_is_admitted_up_to_the_slots():
     below = shares.WorkspaceUse(in_progress=1, total_weight=10.0)
     over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     full = _load_snapshot(64)
@@ -205,7 +210,7 @@
     )
 
 
-def test_refusal_tells_a_surge_from_a_full_service():
+def test_refusal_reason_tells_a_surge_from_a_full_service():
     over = shares.WorkspaceUse(in_progress=40, total_weight=10.0)
     assert "exceeds its fair share" in (
         admission.refusal_reason(
@@ -221,13 +226,13 @@
     )
 
 
-def test_what_is_less_urgent_goes_first_out_of_a_full_service():
+def test_less_urgent_requests_are_refused_first():
     nearly = _load_snapshot(61)
     assert admission.refusal_reason(nearly, 4.0, _admission_request()) is None
     assert admission.refusal_reason(
         nearly, 4.0, _admission_request(more_urgent_priorities=1)
     )
-    # Never below half of the slots, however many kinds are more urgent.
+    # Half of the slots stay open to every priority.
     assert (
         admission.refusal_reason(
             _load_snapshot(47),
@@ -263,14 +268,14 @@
 
 
 @pytest.mark.parametrize(
-    ("priority", "behind"), [(1, 0), (2, 1), (5, 2), (9, 3), (0, 0)], ids=str
+    ("priority", "expected"), [(1, 0), (2, 1), (5, 2), (9, 3), (0, 0)], ids=str
 )
-def test_more_urgent_kinds_of_one_service_are_counted(priority, behind):
-    assert _state(1, 2, 2, 5).priorities_ahead(SERVICE, priority) == behind
+def test_more_urgent_priorities_of_a_service_are_counted(priority, expected):
+    assert _state(1, 2, 2, 5).priorities_ahead(SERVICE, priority) == expected
     assert _state(1).priorities_ahead(ids.ServiceName("other"), 9) == 0
 
 
-def test_figures_name_the_heaviest_workspaces_only():
+def test_metrics_name_only_the_heaviest_workspaces():
     found = metrics.EdgeMetrics()
     counts = {ids.WorkspaceName(f"w{num}"): 1 + num for num in range(25)}
     found.set_workspace_running({SERVICE: counts})
