--- a/testing/edge/test_answers.py
+++ b/testing/edge/test_answers.py
@@ -20,7 +20,7 @@
 
 def test_answer_is_complete_with_seal_and_request_id(run_with_rig):
     got = run_with_rig(rig.SAFE_ROUTE, [[rig.answer()]], lambda r: r.ask())
-    assert (got.status, got.body, got.whole) == (200, b"whole", True)
+    assert (got.status, got.body, got.complete) == (200, b"whole", True)
     assert got.headers[b"response-seal"] == b"s1"
     assert got.headers[b"attempt-identifier"] == b"a1"
 
@@ -155,11 +155,11 @@
         b"Attempt-Identifier: other\r\nResponse-Seal: s0\r\n\r\nother"
     )
 
-    async def both(seen, writer):
+    async def both_answers(seen, writer):
         writer.write(other)
         await rig.answer()(seen, writer)
 
-    got = run_with_rig(rig.UNSAFE_ROUTE, [[both]], lambda r: r.ask())
+    got = run_with_rig(rig.UNSAFE_ROUTE, [[both_answers]], lambda r: r.ask())
     assert (got.status, got.body) == (200, b"whole")
 
 
@@ -216,7 +216,7 @@
         [rig.events(EVENT_2, EVENT_3, seal=b"s2")],
     ]
     got, seen = run_with_rig(rig.RESUMABLE_STREAM_ROUTE, scripts, act)
-    assert (got.body, got.whole) == (EVENT_1 + EVENT_2 + EVENT_3, True)
+    assert (got.body, got.complete) == (EVENT_1 + EVENT_2 + EVENT_3, True)
     assert got.headers[b"response-seal"] == b"s1"
     assert seen.headers[b"last-event-id"] == b"2"
 
@@ -224,7 +224,7 @@
 def test_broken_stream_that_is_not_resumable_is_aborted(run_with_rig):
     async def act(r):
         got = await r.ask()
-        return got.body, got.whole, len(r.backends[1].seen)
+        return got.body, got.complete, len(r.backends[1].seen)
 
     scripts = [[rig.events(EVENT_1, end=False)], [rig.events(EVENT_2)]]
     assert run_with_rig(rig.STREAM_ROUTE, scripts, act) == (EVENT_1, False, 0)
@@ -275,7 +275,7 @@
 
 def test_stopping_process_refuses_new_requests(run_with_rig):
     async def act(r):
-        r.stopping = r.leaving = True
+        r.stopping = r.draining = True
         got = await r.ask()
         return got.status, got.headers[b"connection"], r.backends[0].seen
 
@@ -284,7 +284,7 @@
 
 def test_answer_of_a_draining_process_closes_the_connection(run_with_rig):
     async def act(r):
-        r.leaving = True
+        r.draining = True
         data = rig.request().replace(b"Connection: close\r\n", b"")
         return await r.send(data)
 
@@ -320,7 +320,7 @@
     monkeypatch.setattr(attempt, "ACK_TIMEOUT", datetime.timedelta())
 
 
-def _leave_unacknowledged(monkeypatch, port: int) -> None:
+def _report_nothing_acknowledged(monkeypatch, port: int) -> None:
     """Make connections to ``port`` report that nothing is acknowledged."""
     connect = http1.connect
 
@@ -335,7 +335,7 @@
 
 @pytest.mark.usefixtures("no_ack_timeout")
 @pytest.mark.parametrize(
-    ("route", "elsewhere"),
+    ("route", "requests_elsewhere"),
     [
         (rig.SAFE_ROUTE, 1),
         (rig.RESUMABLE_STREAM_ROUTE, 1),
@@ -345,7 +345,7 @@
     ids=["repeatable", "resumable", "not-repeatable", "one-attempt"],
 )
 def test_unacknowledged_request_is_retried_elsewhere_if_allowed(
-    run_with_rig, monkeypatch, route, elsewhere
+    run_with_rig, monkeypatch, route, requests_elsewhere
 ):
     # Symptom: requests got 504 at their deadline if their server was cut
     # off or the connection had gone silent. Cause: only the deadline ended
@@ -353,12 +353,12 @@
     # they were sent, only the four to a server that was cut off had
     # unacknowledged bytes.
     async def act(r):
-        _leave_unacknowledged(monkeypatch, r.backends[0].port)
+        _report_nothing_acknowledged(monkeypatch, r.backends[0].port)
         got = await r.ask()
         return got.status, len(r.backends[1].seen)
 
     scripts = [[rig.answer()], [rig.answer()]]
-    assert run_with_rig(route, scripts, act) == (200, elsewhere)
+    assert run_with_rig(route, scripts, act) == (200, requests_elsewhere)
 
 
 @pytest.mark.usefixtures("no_ack_timeout")
@@ -377,16 +377,16 @@
     run_with_rig, monkeypatch
 ):
     async def act(r):
-        _leave_unacknowledged(monkeypatch, r.backends[0].port)
+        _report_nothing_acknowledged(monkeypatch, r.backends[0].port)
         known = {one.key: one for one in r.edge_state.backends.all()}
         backend = known[desired.BackendKey("i-0")]
-        kept = await r.edge_state.pool.acquire(backend)
+        other = await r.edge_state.pool.acquire(backend)
         idle = await r.edge_state.pool.acquire(backend)
         idle.send(b"GET", b"/", [(b"Host", b"h")], b"")
         await idle.read_head()
         await idle.read_body()
         r.edge_state.pool.release(backend, idle, None)
-        kept.close()
+        other.close()
         await r.ask()
         return idle.closing
 
--- a/testing/edge/test_process.py
+++ b/testing/edge/test_process.py
@@ -112,7 +112,7 @@
         return got, proc.returncode, logs.decode()
 
     got, code, logs = asyncio.run(main())
-    assert got.whole
+    assert got.complete
     assert got.body.endswith(b"data: b\n\n")
     assert code == 0
     for message in ("started", "desired state", "stop asked", "drained"):
--- a/testing/support/edge_rig.py
+++ b/testing/support/edge_rig.py
@@ -244,13 +244,13 @@
 class CallerAnswer:
     """Parsed answer that a caller has received.
 
-    :param whole: whether the body is complete.
+    :param complete: whether the whole body has arrived.
     """
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 class Rig:
@@ -275,7 +275,7 @@
             settings, clock=self.clock, rng=rng
         )
         self.stopping = False
-        self.leaving = False
+        self.draining = False
         self.request_handler = request_handler.RequestHandler(
             self.edge_state,
             is_stopping=lambda: self.stopping,
@@ -338,7 +338,7 @@
             writer,
             self.request_handler.handle,
             limits=lambda: LIMITS,
-            draining=lambda: self.leaving,
+            draining=lambda: self.draining,
             clock=self.clock,
         )
         await conn.run()
@@ -406,11 +406,11 @@
         headers[name.lower()] = value.strip()
     status = int(line.split(b" ")[1]) if line else 0
     if headers.get(b"transfer-encoding") == b"chunked":
-        body, whole = _unchunk(rest)
+        body, complete = _unchunk(rest)
     else:
         body = rest
-        whole = len(rest) == int(headers.get(b"content-length", b"-1"))
-    return CallerAnswer(status, headers, body, whole)
+        complete = len(rest) == int(headers.get(b"content-length", b"-1"))
+    return CallerAnswer(status, headers, body, complete)
 
 
 def _unchunk(data: bytes) -> tuple[bytes, bool]:
