--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -212,7 +212,7 @@
 
     for got in _play([[TURNS_AWAY], [away]], act):
         assert got.status == 503
-        assert b"to back off" in got.body
+        assert b"asked this process to back off" in got.body
         assert 2.4 <= float(got.headers[b"retry-after"]) < 3.3
 
 
