--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -61,7 +61,7 @@
         """Return the state that is newer than the requester's."""
         state = self._edge_state.desired
         newer = state is not None and state.version > req.desired_version
-        records = self._edge_state.records
+        records = self._edge_state.desired_history
         sends_plain = newer and req.digest is None
         patch = records.patch(req.digest) if newer and req.digest else None
         sends_compressed = newer and req.digest is not None and patch is None
@@ -146,7 +146,7 @@
 
         :returns: whether the peer responded with valid state.
         """
-        records = self._edge_state.records
+        records = self._edge_state.desired_history
         base = records.newest
         req = messages.StateRequest(
             self._edge_state.version,
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sends one request until there is an answer or a reason to give up."""
+"""Forwards one request: attempts, retries and the final error."""
 
 import asyncio
 from collections.abc import Callable
@@ -27,13 +27,16 @@
 
 @final
 class RequestForwarder:
-    """One request on its way: sent until there is an answer."""
+    """Forwards one request to backend servers until one answers it.
+
+    :param on_change: called when the requests in progress have changed.
+    """
 
     def __init__(
         self,
         edge_state: edge_state_lib.EdgeState,
         clock: clock_lib.Clock,
-        exchange: http1.ResponseWriter,
+        response: http1.ResponseWriter,
         checked: checked_request.CheckedRequest,
         on_change: Callable[[], None],
         rng: random.Random,
@@ -44,20 +47,26 @@
         self._checked = checked
         self._on_change = on_change
         self._answer_writer = attempt_lib.AnswerWriter(
-            exchange, checked, clock
+            response, checked, clock
         )
-        self._tried: set[desired.BackendKey] = set()
-        #: Whether the last attempt's server ended its connection.
+        self._tried_backends: set[desired.BackendKey] = set()
+        #: Whether the server of the last attempt closed the connection.
         self._connection_lost = False
-        #: When the last attempt was sent.
-        self._sent_at = checked.req.received_at
+        #: When the last attempt was started.
+        self._attempt_sent_at = checked.req.received_at
         self._state = retry_policy.RequestState(
             repeatable=checked.route.repeatable,
             max_attempts=checked.route.max_attempts,
         )
 
     async def run(self) -> None:
-        """Send until there is an answer or a reason to give up."""
+        """Forward the request and write its answer to the caller.
+
+        :raises request_errors.RequestError: when no answer can be given, or
+            one that was started cannot be completed.
+        :raises http1.CallerDisconnectedError: when the caller has closed its
+            connection.
+        """
         self._edge_state.retry_budget(self._checked.service).record_request(
             self._clock.monotonic()
         )
@@ -72,28 +81,28 @@
         return self._checked.deadline - self._clock.monotonic()
 
     def _choose_first_backend(self) -> desired.Backend:
-        """Return the first backend server, or refuse.
+        """Return the backend server of the first attempt.
 
-        Nobody waits for a place here, also not who comes back: of those
-        that were kept waiting hardly any was served, and their callers
-        were told so seconds later than they could have been.
+        There is no queue: most queued requests would miss their deadlines,
+        and their callers would learn that late.
+
+        :raises request_errors.RequestError: when the request is refused.
         """
         self._refuse_crash_suspect()
-        is_retry = self._edge_state.retry_detector(
+        is_caller_retry = self._edge_state.caller_retry_detector(
             self._checked.route.name
-        ).is_retry(self._checked.caller_head.time_left)
+        ).is_caller_retry(self._checked.caller_head.time_left)
         found = self._choose_backend()
-        reason = self._refusal_reason(found, is_retry=is_retry)
+        reason = self._refusal_reason(found, is_caller_retry=is_caller_retry)
         if found is None or reason is not None:
-            raise self._refused_error(found, reason)
+            raise self._refusal_error(found, reason)
         return found.best.backend
 
     def _refuse_crash_suspect(self) -> None:
-        """Refuse what ends the servers that run it, before any ends more.
+        """Raise if the request has crashed too many servers already.
 
-        Unbounded, one such request that came every 0.2 to 3 s ended 17 to 75
-        servers in 30 s; with this it ends two, or three where servers end
-        for other reasons too.
+        Without this limit a single request that crashes its servers could
+        take down a service by its caller's retries.
         """
         tracker = self._edge_state.crash_tracker
         if (
@@ -101,76 +110,80 @@
             is not crash_suspects.SuspectStatus.REFUSED
         ):
             return
-        ends = tracker.counted_crashes(self._checked)
+        crashes = tracker.counted_crashes(self._checked)
         self._edge_state.metrics.count_suspect_refused(self._checked.service)
         raise request_errors.crash_suspect(
-            len(ends), tracker.time_until_expiry(ends)
+            len(crashes), tracker.time_until_expiry(crashes)
         )
 
     def _refusal_reason(
-        self, found: backend_choice.BackendChoice | None, *, is_retry: bool
+        self,
+        found: backend_choice.BackendChoice | None,
+        *,
+        is_caller_retry: bool,
     ) -> str | None:
         checked = self._checked
         edge_state = self._edge_state
         return admission.refusal_reason(
             edge_state.load_snapshot(
-                checked.service, min_busy=found.min_requests if found else 0
+                checked.service,
+                min_requests=found.min_requests if found else 0,
             ),
             edge_state.max_requests_per_server(checked.route, checked.service),
-            edge_state.requester(
+            edge_state.admission_request(
                 checked.route,
                 checked.service,
                 checked.workspace,
-                is_retry=is_retry,
+                is_caller_retry=is_caller_retry,
             ),
         )
 
-    def _refused_error(
+    def _refusal_error(
         self, found: backend_choice.BackendChoice | None, reason: str | None
     ) -> request_errors.RequestError:
         if found is not None:
             return request_errors.overloaded(
                 reason or "", self._time_left(), self._rng
             )
-        rest = self._edge_state.remaining_backoff(self._checked.service)
-        if rest is not None:
-            return self._all_resting_error(rest)
+        backoff = self._edge_state.remaining_backoff(self._checked.service)
+        if backoff is not None:
+            return self._all_backing_off_error(backoff)
         if self._edge_state.backends.usable(self._checked.service):
             return request_errors.unavailable(
-                "its groups of ranks are broken", self._time_left()
+                "all rank groups of the service are broken", self._time_left()
             )
         return request_errors.not_ready("no backend server is known")
 
-    def _all_resting_error(
-        self, rest: datetime.timedelta
+    def _all_backing_off_error(
+        self, backoff: datetime.timedelta
     ) -> request_errors.RequestError:
-        """Return the refusal while all servers rest or are on trial."""
+        """Return the refusal while all servers back off or are probed."""
         self._edge_state.metrics.count_backoff_refused(self._checked.service)
-        return request_errors.all_backing_off(rest, self._rng)
+        return request_errors.all_backing_off(backoff, self._rng)
 
     async def _send_until_answered(self, first: desired.Backend) -> None:
         backend = first
         while True:
-            self._tried.add(backend.key)
-            event = await self._send(backend)
-            if event is None:
+            self._tried_backends.add(backend.key)
+            outcome = await self._send(backend)
+            if outcome is None:
                 self._log_answer(backend)
                 return
             self._edge_state.metrics.count_attempt(
-                self._checked.service, event.value
+                self._checked.service, outcome.value
             )
-            self._state = retry_policy.state_after(self._state, event)
-            await self._check_if_backend_ended(event, backend)
+            self._state = retry_policy.state_after(self._state, outcome)
+            await self._check_for_crash(outcome, backend)
             found = self._choose_backend()
             action = retry_policy.next_action(
                 self._state,
-                event,
+                outcome,
                 retry_available=found is not None
-                and self._spend_repeat(event),
+                and self._spend_retry(outcome),
             )
-            self._log_attempt(event, backend, action)
+            self._log_attempt(outcome, backend, action)
             if action is not retry_policy.Action.RETRY or found is None:
-                await self._finish_unanswered(action, event)
+                await self._finish_unanswered(action, outcome)
                 return
             backend = found.best.backend
 
@@ -187,34 +200,34 @@
             new_connection=self._is_suspect(),
         )
         self._on_change()
-        self._sent_at = self._clock.monotonic()
+        self._attempt_sent_at = self._clock.monotonic()
         try:
-            event = await attempt.run()
+            outcome = await attempt.run()
         finally:
             self._on_change()
         self._connection_lost = attempt.connection_lost
-        if event in (None, retry_policy.AttemptOutcome.FAILED):
+        if outcome in (None, retry_policy.AttemptOutcome.FAILED):
             self._edge_state.crash_tracker.record_completion(
-                self._checked, backend, self._sent_at
+                self._checked, backend, self._attempt_sent_at
             )
-        begun = self._answer_writer.begun
-        self._state = dataclasses.replace(self._state, answer_started=begun)
-        return event
+        started = self._answer_writer.started
+        self._state = dataclasses.replace(self._state, answer_started=started)
+        return outcome
 
-    async def _check_if_backend_ended(
-        self, event: retry_policy.AttemptOutcome, backend: desired.Backend
+    async def _check_for_crash(
+        self, outcome: retry_policy.AttemptOutcome, backend: desired.Backend
     ) -> None:
-        """Find out whether a server has ended under this request."""
+        """Record a crash if the server ended while it ran the request."""
         if (
-            event is retry_policy.AttemptOutcome.BROKEN
+            outcome is retry_policy.AttemptOutcome.BROKEN
             and self._connection_lost
         ):
             await self._edge_state.crash_tracker.record_broken_attempt(
-                self._checked, backend, self._sent_at
+                self._checked, backend, self._attempt_sent_at
             )
 
     def _may_resend(self) -> bool:
-        """Tell whether another server is left if this attempt breaks."""
+        """Tell whether the request may be retried if this attempt breaks."""
         broken = retry_policy.state_after(
             self._state, retry_policy.AttemptOutcome.BROKEN
         )
@@ -223,59 +236,66 @@
             and self._choose_backend() is not None
         )
 
-    def _spend_repeat(self, event: retry_policy.AttemptOutcome) -> bool:
-        """Take one repeat from the budget, unless it would be the first.
+    def _spend_retry(self, outcome: retry_policy.AttemptOutcome) -> bool:
+        """Tell whether a retry is allowed, and take it from the budget.
 
-        Only what arrived at a backend server counts against it.
+        It costs nothing while no attempt has reached a backend server.
         """
         if not retry_policy.may_send(self._state):
             return False
-        broke = event is retry_policy.AttemptOutcome.BROKEN
+        broke = outcome is retry_policy.AttemptOutcome.BROKEN
         if not self._edge_state.crash_tracker.may_retry(
             self._checked, last_attempt_broke=broke
         ):
             return False
         if not self._state.attempts_sent:
             return True
-        return self._edge_state.spend_retry(self._checked.service, event)
+        return self._edge_state.spend_retry(self._checked.service, outcome)
 
     def _choose_backend(self) -> backend_choice.BackendChoice | None:
         if self._is_suspect():
             return self._edge_state.choose_backend_for_suspect(
-                self._checked, self._tried
+                self._checked, self._tried_backends
             )
         return self._edge_state.choose_backend(
-            self._checked.service, self._tried
+            self._checked.service, self._tried_backends
         )
 
     def _is_suspect(self) -> bool:
-        standing = self._edge_state.crash_tracker.status(self._checked)
-        return standing is crash_suspects.SuspectStatus.SUSPECT
+        status = self._edge_state.crash_tracker.status(self._checked)
+        return status is crash_suspects.SuspectStatus.SUSPECT
 
     async def _finish_unanswered(
-        self, action: retry_policy.Action, event: retry_policy.AttemptOutcome
+        self, action: retry_policy.Action, outcome: retry_policy.AttemptOutcome
     ) -> None:
         if action is retry_policy.Action.RETURN_FAILURE:
             await self._answer_writer.write_held_failure()
         elif action is retry_policy.Action.ABORT_ANSWER:
-            raise request_errors.answer_interrupted("the answer broke off")
+            raise request_errors.answer_interrupted(
+                "the backend server broke off its answer"
+            )
         elif action is retry_policy.Action.REFUSE:
-            rest = self._edge_state.remaining_backoff(self._checked.service)
-            if rest:
-                raise self._all_resting_error(rest)
+            backoff = self._edge_state.remaining_backoff(self._checked.service)
+            if backoff:
+                raise self._all_backing_off_error(backoff)
             raise request_errors.unavailable(
-                f"no backend server ran it ({event.value})", self._time_left()
+                f"no backend server ran the request ({outcome.value})",
+                self._time_left(),
             )
         else:
-            raise request_errors.outcome_unknown("a backend server broke off")
+            raise request_errors.outcome_unknown(
+                "a backend server gave no valid answer"
+            )
 
     def _raise_timeout(self) -> None:
-        if self._answer_writer.begun:
-            raise request_errors.answer_interrupted("its time is over")
+        if self._answer_writer.started:
+            raise request_errors.answer_interrupted(
+                "the deadline passed before the answer was complete"
+            )
         raise request_errors.timed_out()
 
     def _log_answer(self, backend: desired.Backend) -> None:
-        """Tell how a request that has its answer came by it."""
+        """Count and log a request that has been answered."""
         checked = self._checked
         first = self._answer_writer.first_byte_at
         first_byte_after = (
@@ -308,7 +328,7 @@
 
     def _log_attempt(
         self,
-        event: retry_policy.AttemptOutcome,
+        outcome: retry_policy.AttemptOutcome,
         backend: desired.Backend,
         action: retry_policy.Action,
     ) -> None:
@@ -317,7 +337,7 @@
             extra={
                 "request": self._checked.caller_head.attempt_id,
                 "backend": backend.key,
-                "event": event.value,
+                "event": outcome.value,
                 "action": action.value,
                 "sent": self._state.attempts_sent,
             },
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Carries each request: checks it, has it sent, tells of refusals."""
+"""Handles callers' requests: checks, forwarding and refusals."""
 
 from collections.abc import Callable
 import datetime
@@ -24,10 +24,11 @@
 
 @final
 class RequestHandler:
-    """Serves requests from the edge state of the process.
+    """Handles the requests of all callers of this process.
 
-    :param is_stopping: whether new requests can no longer be finished here.
-    :param on_change: called when requests in progress have changed.
+    :param is_stopping: whether the process stops too soon to finish new
+        requests.
+    :param on_change: called when the requests in progress have changed.
     """
 
     def __init__(
@@ -46,30 +47,34 @@
         self._rng = rng
 
     async def handle(
-        self, exchange: http1.ResponseWriter, req: http1.Request
+        self, response: http1.ResponseWriter, req: http1.Request
     ) -> None:
-        """Answer one request."""
+        """Handle one request and write its answer or an error response.
+
+        :raises http1.CallerDisconnectedError: when the caller has closed its
+            connection.
+        """
         head = platform.parse_caller_request_head(req.headers)
         checked: checked_request.CheckedRequest | None = None
         try:
-            checked = self._make_plan(req, head)
+            checked = self._check_request(req, head)
             await request_forwarder.RequestForwarder(
                 self._edge_state,
                 self._clock,
-                exchange,
+                response,
                 checked,
                 self._on_change,
                 self._rng,
             ).run()
         except request_errors.RequestError as exc:
             self._log_refusal(head, checked, exc)
-            if exchange.head_written:
+            if response.head_written:
                 return
-            await exchange.write_head(
+            await response.write_head(
                 exc.status, exc.headers(), exc.body(), whole=True
             )
 
-    def _make_plan(
+    def _check_request(
         self, req: http1.Request, head: platform.CallerRequestHead
     ) -> checked_request.CheckedRequest:
         if self._is_stopping():
@@ -134,17 +139,17 @@
             self._edge_state.metrics.count_workspace_refused(
                 service, checked.workspace_name
             )
-        inputs: dict[str, object] = {}
+        load_fields: dict[str, object] = {}
         if checked is not None:
             snapshot = self._edge_state.load_snapshot(checked.service)
-            inputs = {
+            load_fields = {
                 "service": checked.service,
                 "route": checked.route.name,
                 "version": checked.desired_version,
                 "servers": snapshot.servers,
                 "resting": len(self._edge_state.backoffs.servers()),
-                "busy": snapshot.busy,
-                "unseen": round(snapshot.unreported, 1),
+                "busy": snapshot.requests,
+                "unseen": round(snapshot.unreported_requests, 1),
                 "full": round(
                     self._edge_state.max_requests_per_server(
                         checked.route, checked.service
@@ -165,7 +170,7 @@
                 "why": exc.what,
                 "same": checked.logged_fingerprint if checked else None,
                 "retry_after_ms": None if wait is None else round(wait / _MS),
-                **inputs,
+                **load_fields,
             },
         )
 
@@ -174,13 +179,13 @@
         checked: checked_request.CheckedRequest,
         snapshot: admission.LoadSnapshot,
     ) -> dict[str, object]:
-        """Return for a log line what the request's workspace may have."""
+        """Return the workspace's use and fair share, as log fields."""
         if checked.workspace_name is None:
             return {}
-        claim = self._edge_state.workspace_usage.claim(
+        workspace_use = self._edge_state.workspace_usage.use_of(
             checked.service, checked.workspace_name
         )
-        places = (
+        capacity = (
             self._edge_state.max_requests_per_server(
                 checked.route, checked.service
             )
@@ -188,6 +193,6 @@
         )
         return {
             "workspace": checked.workspace_name,
-            "use": claim.in_progress,
-            "share": round(claim.fair_share(places), 1),
+            "use": workspace_use.in_progress,
+            "share": round(workspace_use.fair_share(capacity), 1),
         }
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Under lasting overload no route, size or workspace is left out."""
+"""Fairness of admission under lasting overload."""
 
 import collections
 import dataclasses
@@ -12,7 +12,7 @@
 
 SERVERS = 4
 SLOTS_PER_SERVER = 6
-#: Requests that come in a second, some twice of what can be served.
+#: About twice the rate that can be served.
 REQUESTS_PER_S = 40.0
 TIMEOUT = datetime.timedelta(seconds=8)
 DURATION_S = 120
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """One request and who sent it; ``since`` is its first attempt."""
+    """A caller's request; ``since`` is the time of its first attempt."""
 
     route: str
     large: bool
     workspace: str
     since: datetime.timedelta
-    is_retry: bool = False
+    is_caller_retry: bool = False
 
     @property
     def work(self) -> datetime.timedelta:
@@ -35,14 +35,16 @@
 
 
 class Overload:
-    """Callers, admission and servers in time that is moved by hand."""
+    """Simulation of callers, admission and servers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         self.now = datetime.timedelta()
         self.running_until: list[datetime.timedelta] = []
         self.retries: list[tuple[datetime.timedelta, Request]] = []
-        self.retry_detectors: dict[str, admission.RetryDetector] = {}
+        self.caller_retry_detectors: dict[
+            str, admission.CallerRetryDetector
+        ] = {}
         self.sent: collections.Counter[tuple[str, bool, str]] = (
             collections.Counter()
         )
@@ -81,36 +83,38 @@
 
     def _send(self, one: Request) -> None:
         left = TIMEOUT - (self.now - one.since)
-        detector = self.retry_detectors.setdefault(
-            one.route, admission.RetryDetector()
+        detector = self.caller_retry_detectors.setdefault(
+            one.route, admission.CallerRetryDetector()
         )
         snapshot = admission.LoadSnapshot(
             servers=SERVERS,
             slots=SERVERS * SLOTS_PER_SERVER,
-            busy=len(self.running_until),
-            min_busy=len(self.running_until) // SERVERS,
-            unreported=0.0,
+            requests=len(self.running_until),
+            min_requests=len(self.running_until) // SERVERS,
+            unreported_requests=0.0,
         )
         verdict = admission.refusal_reason(
             snapshot,
             SLOTS_PER_SERVER,
-            admission.Requester(is_retry=detector.is_retry(left)),
+            admission.AdmissionRequest(
+                is_caller_retry=detector.is_caller_retry(left)
+            ),
         )
         if verdict is None:
             self.running_until.append(self.now + one.work)
             self.served[self._class_of(one)] += 1
-        elif not one.is_retry:
+        elif not one.is_caller_retry:
             wait = datetime.timedelta(seconds=self.rng.uniform(0.7, 1.6))
-            again = dataclasses.replace(one, is_retry=True)
+            again = dataclasses.replace(one, is_caller_retry=True)
             self.retries.append((self.now + wait, again))
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_every_class_is_served_nearly_as_often_as_all(seed: int):
+def test_no_route_size_or_workspace_is_starved(seed: int):
     overload = Overload(seed)
     overload.run()
     total = sum(overload.served.values()) / sum(overload.sent.values())
-    # Without overload the test would say nothing.
+    # The test is meaningless without overload.
     assert 0.3 < total < 0.9
     for one, sent in overload.sent.items():
         share = overload.served[one] / sent
--- a/testing/edge/test_process.py
+++ b/testing/edge/test_process.py
@@ -112,7 +112,7 @@
         return got, proc.returncode, logs.decode()
 
     got, code, logs = asyncio.run(main())
-    assert got.whole
+    assert got.complete
     assert got.body.endswith(b"data: b\n\n")
     assert code == 0
     for message in ("started", "desired state", "stop requested", "drained"):
