--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -65,7 +65,7 @@
         self._begin(answer)
         headers = platform.headers_to_caller(answer.raw_headers)
         await self._exchange.write_head(
-            answer.status, headers, body, whole=True
+            answer.status, headers, body, complete=True
         )
 
     def hold_failure(self, answer: http1.ResponseHead, body: bytes) -> None:
--- a/src/lugcross/edge/metrics.py
+++ b/src/lugcross/edge/metrics.py
@@ -201,10 +201,10 @@
             http.HTTPStatus.OK,
             [(b"Content-Type", b"application/json")],
             suspects_json(),
-            whole=True,
+            complete=True,
         )
         return
     headers = [(b"Content-Type", b"text/plain; version=0.0.4")]
     await response.write_head(
-        http.HTTPStatus.OK, headers, metrics.text(), whole=True
+        http.HTTPStatus.OK, headers, metrics.text(), complete=True
     )
--- a/src/lugcross/edge/readiness.py
+++ b/src/lugcross/edge/readiness.py
@@ -29,6 +29,6 @@
             http.HTTPStatus.SERVICE_UNAVAILABLE if why else http.HTTPStatus.OK
         )
         headers = [(b"Content-Type", b"text/plain")]
-        await response.write_head(status, headers, why.encode(), whole=True)
+        await response.write_head(status, headers, why.encode(), complete=True)
 
     return answer
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -66,7 +66,7 @@
             if exchange.head_written:
                 return
             await exchange.write_head(
-                exc.status, exc.headers(), exc.body(), whole=True
+                exc.status, exc.headers(), exc.body(), complete=True
             )
 
     def _make_plan(
--- a/src/lugcross/http1/server.py
+++ b/src/lugcross/http1/server.py
@@ -75,16 +75,16 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes = b"",
         *,
-        whole: bool = False,
+        complete: bool = False,
     ) -> None:
         """Give the head and the first part of the body.
 
-        :param whole: whether ``body`` is all there is.
+        :param complete: whether ``body`` is all there is.
         :raises CallerDisconnectedError: when nobody is there to read it.
         """
         self.head_written = True
-        await self._conn.write_head(status, headers, body, whole=whole)
-        self.finished = whole
+        await self._conn.write_head(status, headers, body, complete=complete)
+        self.finished = complete
 
     async def write_data(self, data: bytes) -> None:
         """Give more of the body."""
@@ -149,13 +149,13 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes,
         *,
-        whole: bool,
+        complete: bool,
     ) -> None:
         """Write an answer's head with what is there of its body."""
         headers = list(headers)
         if self._method == b"HEAD":
             body = b""
-        elif whole:
+        elif complete:
             headers.append((b"Content-Length", str(len(body)).encode()))
         if self._draining():
             headers.append((b"Connection", b"close"))
@@ -166,7 +166,7 @@
         )
         if body:
             out += self._send(h11.Data(data=body))
-        if whole:
+        if complete:
             out += self._send(h11.EndOfMessage())
         await self._write(out)
 
@@ -191,7 +191,7 @@
         try:
             req = await self._read_request()
         except _BadRequestError as exc:
-            await self._refuse(exc)
+            await self._send_error_response(exc)
             return False
         if req is None:
             return False
@@ -337,7 +337,7 @@
             self._h11.receive_data(data)
         return bool(data)
 
-    async def _refuse(self, exc: _BadRequestError) -> None:
+    async def _send_error_response(self, exc: _BadRequestError) -> None:
         logging.warning(
             "bad request",
             extra={"status": exc.status.value, "why": exc.what},
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -129,7 +129,7 @@
         status, body = await self.handle_request(
             req.target.decode(), req.body or b""
         )
-        await response.write_head(status, self.headers(), body, whole=True)
+        await response.write_head(status, self.headers(), body, complete=True)
 
     async def handle_request(
         self, target: str, sent: bytes
--- a/testing/http1/test_bad_input.py
+++ b/testing/http1/test_bad_input.py
@@ -22,7 +22,7 @@
 
     async def echo(response: http1.ResponseWriter, req: http1.Request) -> None:
         body = req.method + b" " + req.target + b" " + (req.body or b"-")
-        await response.write_head(200, [], body, whole=True)
+        await response.write_head(200, [], body, complete=True)
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/testing/support/crash_rig.py
+++ b/testing/support/crash_rig.py
@@ -213,8 +213,8 @@
         self._answer = answer
         self.head_written = False
 
-    async def write_head(self, status, headers, body=b"", *, whole=False):
-        del headers, whole
+    async def write_head(self, status, headers, body=b"", *, complete=False):
+        del headers, complete
         self.head_written = True
         self._answer.status = int(status)
         self._answer.text = body
