--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -264,7 +264,7 @@
         if after == before:
             return
         self.journal.record(
-            observe.DecisionTopic.LIFE,
+            observe.DecisionTopic.AVAILABILITY,
             self._settings.backend,
             rule="any reason to leave suffices",
             result=f"leaving: {after}" if after else "taking work",
--- a/src/lugcross/cli/ctl.py
+++ b/src/lugcross/cli/ctl.py
@@ -34,7 +34,7 @@
 
     def show(self, msg: message.Message, text: Callable[[], None]) -> None:
         if self.as_json:
-            click.echo(json.dumps(render.message_fields(msg)))
+            click.echo(json.dumps(render.message_to_dict(msg)))
         else:
             text()
 
--- a/src/lugcross/cli/render.py
+++ b/src/lugcross/cli/render.py
@@ -13,7 +13,7 @@
 from lugcross.rpc import lugcross_pb2 as pb
 
 
-def message_fields(msg: message.Message) -> dict[str, Any]:
+def message_to_dict(msg: message.Message) -> dict[str, Any]:
     """Return an answer as JSON has it."""
     found: dict[str, Any] = json_format.MessageToDict(
         msg,
--- a/src/lugcross/desired/state.py
+++ b/src/lugcross/desired/state.py
@@ -165,7 +165,9 @@
         """Return the names of all workspaces that have a key."""
         return {space.name for space in self.workspaces_by_key.values()}
 
-    def priorities_ahead(self, service: ids.ServiceName, priority: int) -> int:
+    def count_priorities_ahead(
+        self, service: ids.ServiceName, priority: int
+    ) -> int:
         """Return how many priorities of a service's routes go first."""
         return bisect.bisect_left(
             self._priorities_by_service.get(service, ()), priority
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -126,7 +126,7 @@
         listed = {record.key for record in tail.records}
         # Removals get the position before the end: the next record of the
         # store takes the end itself, and may be for the same key.
-        last = positions.previous(tail.end)
+        last = positions.position_before(tail.end)
         for entry in list(self._entries.values()):
             backend_id = entry.backend.id
             if backend_id not in listed and entry.position < tail.end:
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -280,7 +280,7 @@
                 priority = workspace.priority
         state = self.desired
         more_urgent_priorities = (
-            state.priorities_ahead(service, priority) if state else 0
+            state.count_priorities_ahead(service, priority) if state else 0
         )
         return admission.Requester(
             claim=claim,
--- a/src/lugcross/entry/app.py
+++ b/src/lugcross/entry/app.py
@@ -264,7 +264,7 @@
     def _on_neighbours(self, relay: bool) -> None:
         if relay != self.follower.relay:
             self.journal.record(
-                observe.DecisionTopic.DUTY,
+                observe.DecisionTopic.LOG_RELAY,
                 self._node,
                 rule="first by hash among the entry hosts that are seen",
                 result="relay of the log" if relay else "no relay",
--- a/src/lugcross/observe/decision_journal.py
+++ b/src/lugcross/observe/decision_journal.py
@@ -25,8 +25,8 @@
     EJECTION = "ejection"
     LINK = "link"
     CONFIG = "config"
-    LIFE = "life"
-    DUTY = "duty"
+    AVAILABILITY = "life"
+    LOG_RELAY = "duty"
 
 
 class DecisionInput(NamedTuple):
--- a/src/lugcross/observe/request_timeline.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -65,7 +65,7 @@
         return str(self.fields.get("request", ""))
 
     @property
-    def shared_id(self) -> str:
+    def fingerprint(self) -> str:
         """What all tries of the request share; empty if not told."""
         return str(self.fields.get("same") or "")
 
@@ -120,11 +120,11 @@
     own = [line for line in ordered if line.request == request]
     if not own:
         return []
-    shared = {line.shared_id for line in own if line.shared_id}
+    shared = {line.fingerprint for line in own if line.fingerprint}
     tries = [
         line
         for line in ordered
-        if line.shared_id in shared and line.request != request
+        if line.fingerprint in shared and line.request != request
     ]
     nodes = {line.node for line in own}
     states = [
--- a/src/lugcross/positions.py
+++ b/src/lugcross/positions.py
@@ -36,7 +36,7 @@
     return Position(era << _OFFSET_BITS | offset)
 
 
-def previous(end: Position) -> Position:
+def position_before(end: Position) -> Position:
     """Return the last place before an end, or the end where it is the first.
 
     A place of an earlier era would not tell of this one.
@@ -61,6 +61,6 @@
     "Position",
     "era",
     "offset",
+    "position_before",
     "position_of",
-    "previous",
 ]
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -251,8 +251,10 @@
     ("priority", "behind"), [(1, 0), (2, 1), (5, 2), (9, 3), (0, 0)], ids=str
 )
 def test_more_urgent_kinds_of_one_service_are_counted(priority, behind):
-    assert _state(1, 2, 2, 5).priorities_ahead(SERVICE, priority) == behind
-    assert _state(1).priorities_ahead(ids.ServiceName("other"), 9) == 0
+    assert (
+        _state(1, 2, 2, 5).count_priorities_ahead(SERVICE, priority) == behind
+    )
+    assert _state(1).count_priorities_ahead(ids.ServiceName("other"), 9) == 0
 
 
 def test_figures_name_the_heaviest_workspaces_only():
