--- a/src/lugcross/http1/__init__.py
+++ b/src/lugcross/http1/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""HTTP/1.1 over asyncio, with h11 as its protocol machine."""
+"""HTTP/1.1 client and server connections over asyncio, based on h11."""
 
 from lugcross.http1.client import ClientConn
 from lugcross.http1.client import connect
--- a/src/lugcross/http1/client.py
+++ b/src/lugcross/http1/client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One connection to an HTTP server; one request at a time."""
+"""HTTP/1.1 client connection that carries one request at a time."""
 
 import asyncio
 import contextlib
@@ -15,44 +15,45 @@
 
 from lugcross import errors
 
-#: Bytes that a socket holds until they are acknowledged.
+#: Result of ``TIOCOUTQ``: bytes in the socket's send queue that the peer's
+#: host has not acknowledged.
 _QUEUED_BYTES = struct.Struct("i")
-#: Bytes taken from the socket at once.
 _READ_BYTES = 65_536
-#: Bytes that may wait for a peer that does not read, per connection.
+#: Limit of asyncio's read buffer, per connection.
 _MAX_BUFFERED_BYTES = 262_144
-#: Largest head of an answer, in bytes.
+#: Maximum size of a response head.
 _MAX_HEAD_BYTES = 65_536
-#: A peer that acknowledges nothing for this long is taken as cut off.
-#: Longer than a lost packet's few retransmissions, shorter than the
-#: time that a caller would wait in vain.
+#: Time without an acknowledgment after which the kernel closes the
+#: connection. Longer than a few retransmissions of a lost packet, shorter
+#: than typical request timeouts.
 _UNACKNOWLEDGED_TIMEOUT_MS = 3_000
-#: Rest after which keep-alive probes go out, and the time between two.
+#: Idle time before the first TCP keep-alive probe, and the interval between
+#: probes.
 _KEEPALIVE_INTERVAL_S = 1
-#: Probes without an answer after which a peer is taken as cut off.
+#: Unanswered probes after which the kernel closes the connection.
 _MAX_KEEPALIVE_PROBES = 3
 
 
 class NoConnectionError(errors.LugcrossError):
-    """No connection came up, so that nothing was sent."""
+    """A connection could not be established, so nothing was sent."""
 
     @property
     def refused(self) -> bool:
-        """Whether the host said that nobody listens there."""
+        """Whether the host refused the connection: no process listens."""
         return isinstance(self.__cause__, ConnectionRefusedError)
 
 
 class ConnectionBrokenError(errors.LugcrossError):
-    """A connection that broke once a request may have been read."""
+    """The connection broke after the server may have read the request."""
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class ResponseHead:
-    """Head of an answer.
+    """Status and headers of a response.
 
-    :param raw_headers: headers with their names as they were spelled.
-    :param headers: headers with their names in lower case.
+    :param raw_headers: headers with names spelled as received.
+    :param headers: headers with names in lower case.
     """
 
     status: int
@@ -63,7 +64,8 @@
 async def connect(host: str, port: int, *, timeout_s: float) -> "ClientConn":
     """Open a connection.
 
-    :raises NoConnectionError: when none came up in time.
+    :raises NoConnectionError: if it cannot be established within
+        ``timeout_s``.
     """
     try:
         async with asyncio.timeout(timeout_s):
@@ -81,7 +83,7 @@
 
 @final
 class ClientConn:
-    """Sends requests and hands out what comes back, event by event."""
+    """Sends requests and reads their responses in parts."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -90,43 +92,47 @@
         self._writer = writer
         self._h11 = _h11_connection()
         self.request_count = 0
-        #: Bytes of the request that was sent last.
+        #: Size of the last request, head and body.
         self._last_request_bytes = 0
 
     @property
     def reusable(self) -> bool:
-        """Whether the last answer is whole and another may follow.
+        """Whether the connection can carry another request.
 
-        Bytes past a whole answer belong to no request: a connection
-        that has any is not used again.
+        False until the last response is complete, and if data follows it:
+        such data belongs to no request.
         """
         if self._h11.our_state is not h11.DONE:
             return False
         if self._h11.their_state is not h11.DONE or self.closing:
             return False
         if self._writer.transport.get_write_buffer_size():
-            # Answered before the request was read; what the server makes
-            # of the rest is not known.
+            # The server responded before it read the entire request. How it
+            # treats the remaining bytes is unknown.
             return False
         return not self._h11.trailing_data[0] and not self.has_unread_data
 
     @property
     def closing(self) -> bool:
-        """Whether the peer has closed, or this side has."""
+        """Whether the peer or this process has closed the connection."""
         return self._reader.at_eof() or self._writer.is_closing()
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether bytes have come that nobody asked for."""
-        # The reader offers no look at what it holds but this.
+        """Whether received data waits in the read buffer.
+
+        On an idle connection such data belongs to no request.
+        """
+        # StreamReader has no public way to inspect its buffer.
         return bool(self._reader._buffer)  # type: ignore[attr-defined]
 
     def nothing_acknowledged(self) -> bool:
-        """Tell whether no byte of the last request was acknowledged.
+        """Return whether no byte of the last request was acknowledged.
 
-        What the peer's host has acknowledged it has, whether or not the
-        server has read it: a slow server is heard, a connection that went
-        silent or a host that is cut off is not.
+        The peer's kernel acknowledges data even if the server has not read
+        it yet. So this distinguishes a slow server (acknowledged) from a dead
+        connection or an unreachable host (not acknowledged). Returns False
+        where the platform cannot tell.
         """
         sock: socket.socket = self._writer.get_extra_info("socket")
         try:
@@ -134,8 +140,7 @@
                 sock, termios.TIOCOUTQ, bytes(_QUEUED_BYTES.size)
             )
         except (OSError, ValueError) as exc:
-            # A platform that lacks the call: the answer is waited for.
-            logging.debug("cannot see what is queued: %s", exc)
+            logging.debug("cannot read the socket's send queue: %s", exc)
             return False
         queued: int = _QUEUED_BYTES.unpack(raw)[0]
         waiting = self._writer.transport.get_write_buffer_size()
@@ -148,7 +153,7 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Begin to send one request; its bytes go out in order."""
+        """Queue one request for sending, without waiting for it."""
         if self.request_count:
             self._h11.start_next_cycle()
         self.request_count += 1
@@ -157,16 +162,17 @@
         if body:
             data += self._h11.send(h11.Data(data=body)) or b""
         data += self._h11.send(h11.EndOfMessage()) or b""
-        # Not waited for: the server may answer before it has read a long
-        # body, and the answer must be read then. A connection that is lost
-        # shows when the answer is read.
+        # No drain(): the server may respond before it has read a long body,
+        # and that response must be read at once. A lost connection is
+        # detected when the response is read.
         self._last_request_bytes = len(data)
         self._writer.write(data)
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the answer, past any provisional ones.
+        """Return the head of the final response, skipping 1xx responses.
 
-        :raises ConnectionBrokenError: when it does not come whole.
+        :raises ConnectionBrokenError: if the connection ends before the head
+            is complete.
         """
         while True:
             event = await self._next_event()
@@ -177,24 +183,28 @@
                     list(event.headers),
                 )
             if not isinstance(event, h11.InformationalResponse):
-                raise _broken_error(f"{type(event).__name__} before any head")
+                raise _broken_error(
+                    f"{type(event).__name__} before the response head"
+                )
 
     async def read_data(self) -> bytes | None:
-        """Return more of the body; none at its end.
+        """Return the next part of the body; None at its end.
 
-        :raises ConnectionBrokenError: when the body is not whole.
+        :raises ConnectionBrokenError: if the connection ends before the body
+            is complete.
         """
         event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise _broken_error(f"{type(event).__name__} within a body")
+        raise _broken_error(f"{type(event).__name__} within the response body")
 
     async def read_body(self) -> bytes:
-        """Return all that is left of the body.
+        """Return the rest of the body.
 
-        :raises ConnectionBrokenError: when it is not whole.
+        :raises ConnectionBrokenError: if the connection ends before the body
+            is complete.
         """
         parts = []
         while (data := await self.read_data()) is not None:
@@ -202,15 +212,15 @@
         return b"".join(parts)
 
     def expect_another_response(self, method: bytes) -> None:
-        """Wait for one more answer to the same request.
+        """Prepare to read another response to the last request.
 
-        Called after a whole answer that belongs to an earlier request:
-        the one that is due may still follow.
+        Called when the response just read belongs to an earlier request: the
+        response to this request may still follow.
         """
         rest, _ = self._h11.trailing_data
         self._h11 = _h11_connection()
-        # Nothing is written: this only tells the new machine that a
-        # request is out.
+        # Nothing goes to the socket: this only puts the new h11 state machine
+        # into the state after a sent request.
         self._h11.send(
             h11.Request(method=method, target=b"/", headers=[(b"Host", b"-")])
         )
@@ -219,7 +229,7 @@
             self._h11.receive_data(rest)
 
     def close(self) -> None:
-        """Close at once; what was not yet sent is dropped."""
+        """Close immediately and discard unsent data."""
         self._writer.transport.abort()
 
     async def _next_event(self) -> h11.Event:
@@ -233,7 +243,7 @@
                 continue
             if isinstance(event, h11.Event):
                 return event
-            raise _broken_error("the peer closed")
+            raise _broken_error("the peer closed the connection")
 
     async def _receive(self) -> None:
         try:
@@ -243,7 +253,7 @@
         try:
             self._h11.receive_data(data)
         except RuntimeError as exc:
-            raise _broken_error("the peer closed") from exc
+            raise _broken_error("the peer closed the connection") from exc
 
 
 def _h11_connection() -> h11.Connection:
@@ -253,9 +263,9 @@
 
 
 def _detect_dead_peer(writer: asyncio.StreamWriter) -> None:
-    """Make the kernel notice a peer that is cut off."""
+    """Let the kernel close the connection if the peer is unreachable."""
     sock: socket.socket = writer.get_extra_info("socket")
-    # A platform that lacks an option still serves without it.
+    # Some platforms lack some of these options.
     with contextlib.suppress(OSError):
         sock.setsockopt(
             socket.IPPROTO_TCP,
--- a/src/lugcross/http1/server.py
+++ b/src/lugcross/http1/server.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One caller's connection: reads requests, writes answers in order."""
+"""HTTP/1.1 server connection: one caller's requests, one after another."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,28 +17,29 @@
 from lugcross import desired
 from lugcross import errors
 
-#: Bytes taken from the socket at once.
 _READ_BYTES = 65_536
-#: Bytes that may wait for a caller that does not read.
+#: Unsent response data above which writes wait for the caller to read.
 _MAX_BUFFERED_BYTES = 262_144
-#: Bytes of later requests that are read while one is being served;
-#: past that, a caller that leaves is noticed by the next write.
+#: Bytes of pipelined requests that are read while one request is served.
+#: Past the limit this process stops reading, and detects a disconnect only
+#: by its next write.
 _MAX_PIPELINED_BYTES = 131_072
 
 
 class CallerDisconnectedError(errors.LugcrossError):
-    """A caller that closed its connection."""
+    """The caller closed its connection."""
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Request:
-    """One whole request of a caller.
+    """A complete request of a caller.
 
-    :param headers: names in lower case.
-    :param raw_headers: names as the caller spelled them.
-    :param body: none where the request had no body at all.
-    :param received_at: when its head was read.
+    :param headers: headers with names in lower case.
+    :param raw_headers: headers with names spelled as received.
+    :param body: None if the request had neither Content-Length nor
+        Transfer-Encoding.
+    :param received_at: when the head was complete.
     """
 
     method: bytes
@@ -53,16 +54,16 @@
 
 
 class _BadRequestError(errors.LugcrossError):
-    """Input that is answered with an error of our own."""
+    """A request that this process answers with an error response."""
 
     def __init__(self, status: http.HTTPStatus, what: str) -> None:
-        super().__init__(what, remedy="mend the request")
+        super().__init__(what, remedy="fix the request")
         self.status = status
 
 
 @final
 class ResponseWriter:
-    """Where the answer to one request goes."""
+    """Writes the response to one request."""
 
     def __init__(self, conn: "ServerConn") -> None:
         self._conn = conn
@@ -77,31 +78,33 @@
         *,
         complete: bool = False,
     ) -> None:
-        """Give the head and the first part of the body.
+        """Write the head and the first part of the body.
 
-        :param complete: whether ``body`` is all there is.
-        :raises CallerDisconnectedError: when nobody is there to read it.
+        :param complete: whether ``body`` is the entire body.
+        :raises CallerDisconnectedError: if the caller has closed its
+            connection.
         """
         self.head_written = True
         await self._conn.write_head(status, headers, body, complete=complete)
         self.finished = complete
 
     async def write_data(self, data: bytes) -> None:
-        """Give more of the body."""
+        """Write the next part of the body."""
         await self._conn.write_event(h11.Data(data=data))
 
     async def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Write the end of the response."""
         await self._conn.write_event(h11.EndOfMessage())
         self.finished = True
 
 
 @final
 class ServerConn:
-    """Serves one connection until either side ends it.
+    """Serves one connection until either side closes it.
 
-    :param limits: bounds on what a caller may send, as they are now.
-    :param draining: whether connections should end with their answer.
+    :param limits: returns the current limits on requests.
+    :param draining: returns whether connections are to close after the
+        current response.
     """
 
     def __init__(
@@ -127,19 +130,19 @@
         writer.transport.set_write_buffer_limits(high=_MAX_BUFFERED_BYTES)
 
     async def run(self) -> None:
-        """Serve until the connection is over."""
+        """Serve requests until the connection ends."""
         try:
             while await self._serve_one():
                 pass
         except (CallerDisconnectedError, OSError):
-            # The caller has left; what it had asked for was cancelled.
+            # The handler was cancelled when the caller disconnected.
             self._writer.transport.abort()
         finally:
             self.busy = False
             self._writer.close()
 
     def close_if_idle(self) -> None:
-        """Close, unless a request is being read or served."""
+        """Close the connection unless a request is being read or served."""
         if not self.busy:
             self._writer.close()
 
@@ -151,7 +154,7 @@
         *,
         complete: bool,
     ) -> None:
-        """Write an answer's head with what is there of its body."""
+        """Write the response head and the first part of the body."""
         headers = list(headers)
         if self._method == b"HEAD":
             body = b""
@@ -171,7 +174,7 @@
         await self._write(out)
 
     async def write_event(self, event: h11.Data | h11.EndOfMessage) -> None:
-        """Write more of an answer."""
+        """Write body data or the end of the response."""
         await self._write(self._send(event))
 
     def _send(self, event: h11.Event) -> bytes:
@@ -179,7 +182,7 @@
 
     async def _write(self, data: bytes) -> None:
         if self._writer.is_closing():
-            raise _disconnected_error("it closed its connection")
+            raise _disconnected_error("the connection is closed")
         try:
             self._writer.write(data)
             await self._writer.drain()
@@ -187,7 +190,7 @@
             raise _disconnected_error(str(exc)) from exc
 
     async def _serve_one(self) -> bool:
-        """Read and answer one request; tell whether more may follow."""
+        """Serve one request; return whether another may follow."""
         try:
             req = await self._read_request()
         except _BadRequestError as exc:
@@ -198,7 +201,7 @@
         response = ResponseWriter(self)
         await self._run_handler(response, req)
         if not response.finished:
-            # Closing without the mark of an end shows that it is broken.
+            # Aborting shows the caller that the response is incomplete.
             self._writer.transport.abort()
             return False
         if self._h11.our_state is not h11.DONE:
@@ -212,7 +215,7 @@
     async def _run_handler(
         self, response: ResponseWriter, req: Request
     ) -> None:
-        """Run the handler; stop it as soon as the caller leaves."""
+        """Run the handler; cancel it when the caller disconnects."""
         work = asyncio.create_task(self._handler(response, req))
         watch = asyncio.create_task(self._wait_for_disconnect())
         try:
@@ -220,9 +223,7 @@
                 (work, watch), return_when=asyncio.FIRST_COMPLETED
             )
             if not work.done():
-                raise _disconnected_error(
-                    "it left before its answer was whole"
-                )
+                raise _disconnected_error("before its response was complete")
         finally:
             work.cancel()
             watch.cancel()
@@ -230,13 +231,16 @@
         error = work.exception()
         if error is not None:
             if not isinstance(error, CallerDisconnectedError):
-                logging.error("a request failed here", exc_info=error)
+                logging.error("request handler failed", exc_info=error)
             raise _disconnected_error(
-                "its answer could not be given"
+                "the response could not be written"
             ) from error
 
     async def _wait_for_disconnect(self) -> None:
-        """Return when the caller closes; keep what it sends meanwhile."""
+        """Return when the caller disconnects.
+
+        Buffers pipelined requests meanwhile.
+        """
         while self._pipelined_bytes < _MAX_PIPELINED_BYTES:
             data = await self._reader.read(_READ_BYTES)
             if not data:
@@ -289,7 +293,7 @@
                     return None
                 raise _BadRequestError(
                     http.HTTPStatus.REQUEST_TIMEOUT,
-                    "the head of the request took too long",
+                    "the request head did not arrive in time",
                 )
             event = self._next_event()
         if isinstance(event, h11.Request):
@@ -305,10 +309,10 @@
                 if await self._receive(limits.idle_timeout):
                     continue
                 if self._reader.at_eof():
-                    raise _disconnected_error("it left within its request")
+                    raise _disconnected_error("within its request")
                 raise _BadRequestError(
                     http.HTTPStatus.REQUEST_TIMEOUT,
-                    "the body of the request rested for too long",
+                    "the request body stalled for too long",
                 )
             if isinstance(event, h11.Data):
                 size += len(event.data)
@@ -327,7 +331,7 @@
             ) from exc
 
     async def _receive(self, wait: datetime.timedelta) -> bool:
-        """Take more bytes; tell whether any came in time."""
+        """Read more data; return whether any arrived within ``wait``."""
         try:
             async with asyncio.timeout(wait.total_seconds()):
                 data = await self._reader.read(_READ_BYTES)
@@ -359,8 +363,8 @@
         await self._write(out + self._send(h11.EndOfMessage()))
         if self._writer.can_write_eof():
             self._writer.write_eof()
-        # Closing with unread bytes would reset the connection and take
-        # the refusal with it.
+        # Closing a socket with unread data resets the connection, and the
+        # caller could lose the error response.
         await self._receive(datetime.timedelta(milliseconds=200))
 
 
@@ -376,10 +380,11 @@
     found = {name: value for name, value in headers}
     length = found.get(b"content-length")
     if length is not None and b"transfer-encoding" in found:
-        # Two lengths: whoever reads the other one sees another request.
+        # Request smuggling: a proxy or server that obeys the other header
+        # would see a different request boundary.
         raise _BadRequestError(
             http.HTTPStatus.BAD_REQUEST,
-            "a request with both a length and a transfer encoding",
+            "the request has both Content-Length and Transfer-Encoding",
         )
     if length is not None and int(length) > limits.max_body_bytes:
         raise _too_large_error(limits)
@@ -388,7 +393,7 @@
 def _too_large_error(limits: desired.RequestLimits) -> _BadRequestError:
     return _BadRequestError(
         http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-        f"the body is over {limits.max_body_bytes} bytes",
+        f"the request body exceeds {limits.max_body_bytes} bytes",
     )
 
 
@@ -401,5 +406,5 @@
 
 def _disconnected_error(why: str) -> CallerDisconnectedError:
     return CallerDisconnectedError(
-        f"the caller is gone: {why}", remedy="nothing to do"
+        f"the caller disconnected: {why}", remedy="nothing to do"
     )
