--- a/src/lugcross/observe/__init__.py
+++ b/src/lugcross/observe/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Logs, metrics, traces and the journal of decisions."""
+"""Logging, metrics, tracing and the decision journal."""
 
 from lugcross.logs import JsonFormatter
 from lugcross.logs import set_up_logging
--- a/src/lugcross/observe/decision_journal.py
+++ b/src/lugcross/observe/decision_journal.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Decisions of weight, each a small typed record in a bounded ring."""
+"""Journal of a process's decisions: typed records in a ring buffer."""
 
 import collections
 import enum
@@ -12,12 +12,16 @@
 
 from lugcross import clock as clock_lib
 
-#: Records that one process keeps.
+#: Default number of decisions that a process keeps.
 JOURNAL_CAPACITY = 2048
 
 
 class DecisionTopic(enum.Enum):
-    """What a decision was about."""
+    """Subject area of a decision.
+
+    ``AVAILABILITY``: whether a backend server takes new work.
+    ``LOG_RELAY``: whether an entry host reads the log for its failure domain.
+    """
 
     CHOICE = "choice"
     REFUSAL = "refusal"
@@ -30,7 +34,7 @@
 
 
 class DecisionInput(NamedTuple):
-    """One thing that a decision went by."""
+    """A named value that a decision was based on."""
 
     name: str
     value: str
@@ -38,10 +42,11 @@
 
 @final
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """What was decided, on which inputs, by which rule.
+    """A decision with the rule and inputs that led to it.
 
-    :param at: time of day, seconds since 1970.
-    :param subject: request, backend server or change that it is about.
+    :param at: Unix time in seconds.
+    :param node: name of the process that decided.
+    :param subject: id of the request, backend server or change concerned.
     """
 
     at: float
@@ -55,9 +60,11 @@
 
 @final
 class DecisionJournal:
-    """Ring of the newest decisions of one process.
+    """Ring buffer of a process's latest decisions; thread-safe.
 
+    :param node: name of this process.
     :param capacity: decisions kept; older ones are overwritten.
+    :ivar overwritten: number of decisions overwritten so far.
     """
 
     def __init__(
@@ -84,7 +91,7 @@
         result: str,
         inputs: tuple[DecisionInput, ...] = (),
     ) -> None:
-        """Record one decision."""
+        """Append a decision; log it as well if debug logging is on."""
         decision = Decision(
             at=self._clock.now().timestamp(),
             node=self._node,
@@ -104,6 +111,6 @@
             )
 
     def decisions_about(self, subject: str) -> list[Decision]:
-        """Return what is still kept about ``subject``, oldest first."""
+        """Return the decisions kept about ``subject``, oldest first."""
         with self._lock:
             return [item for item in self._ring if item.subject == subject]
--- a/src/lugcross/observe/metrics.py
+++ b/src/lugcross/observe/metrics.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Counters and timers, sent by statsd."""
+"""Counters, timers and gauges, sent to a statsd server."""
 
 import datetime
 from typing import final
@@ -13,21 +13,21 @@
 
 
 class Metrics(Protocol):
-    """Where counters and timers go."""
+    """Destination of counters, timers and gauges."""
 
     def incr(self, name: str) -> None:
-        """Count one."""
+        """Increment a counter."""
 
     def timing(self, name: str, took: datetime.timedelta) -> None:
-        """Note how long something took."""
+        """Record a duration."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Note how much of something there is."""
+        """Set a gauge."""
 
 
 @final
 class NullMetrics:
-    """Sends nothing, where the settings name no statsd."""
+    """Discards all metrics; used if the settings name no statsd server."""
 
     def incr(self, name: str) -> None:
         """Do nothing."""
@@ -41,7 +41,10 @@
 
 @final
 class StatsdMetrics:
-    """Sends over UDP; a lost datagram costs one sample and no time."""
+    """Sends metrics over UDP: a lost datagram loses a sample, never blocks.
+
+    :param node: name of this process, part of the prefix of all metric names.
+    """
 
     def __init__(self, address: settings.Address, node: str) -> None:
         self._client = statsd.StatsClient(
@@ -49,20 +52,20 @@
         )
 
     def incr(self, name: str) -> None:
-        """Count one."""
+        """Increment a counter."""
         self._client.incr(name)
 
     def timing(self, name: str, took: datetime.timedelta) -> None:
-        """Note how long something took."""
+        """Record a duration."""
         self._client.timing(name, took)
 
     def gauge(self, name: str, value: float) -> None:
-        """Note how much of something there is."""
+        """Set a gauge."""
         self._client.gauge(name, value)
 
 
 def open_metrics(observe: settings.Observe, node: str) -> Metrics:
-    """Return what the settings ask for."""
+    """Return the metrics client that the settings configure."""
     if observe.statsd is None:
         return NullMetrics()
     return StatsdMetrics(observe.statsd, node)
--- a/src/lugcross/observe/request_timeline.py
+++ b/src/lugcross/observe/request_timeline.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One request's story, told from the log lines of all processes.
+"""Timeline of one request, assembled from the logs of all processes.
 
-What touched the request comes in order of time; between that, and from
-before it, what the processes that touched it believed: the state that was
-in force, whether they had the store, groups that were broken, maps that
-changed. What became of its other tries, wherever they came, is part of it
-where their lines tell that they are one request.
+It contains the log lines of the request, in order of time, and the state of
+the processes that handled it: the desired state in force, whether they
+reached the store, broken rank groups, expert map switches. It also contains
+the lines of the caller's other attempts at the same request, on any process,
+where a fingerprint identifies them.
 """
 
 from collections.abc import Iterable
@@ -16,8 +16,8 @@
 from typing import Any
 from typing import final
 
-#: Messages by which a process tells what it believes; the last of each
-#: before a request came still held when it did.
+#: Messages that report a state of a process. The latest of each before a
+#: request arrived still applied when it did.
 STATE_MESSAGES = frozenset(
     {
         "desired state",
@@ -36,22 +36,24 @@
         "store regained",
     }
 )
-#: Messages that replace each other: the later of them is what holds.
-_SUPERSEDES = {
+#: Messages that end a state, with the message that began it. Only the later
+#: of the two applies.
+_STATE_ENDS = {
     "group opened": "group broken",
     "store regained": "store lost",
 }
-#: Fields that stand in each line's own columns.
+#: Fields that are attributes of ``LogLine`` or not shown at all.
 _COLUMN_FIELDS = frozenset({"at", "node", "level", "module", "message"})
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class LogLine:
-    """One log line.
+    """A parsed log line.
 
-    :param at: seconds since 1970, by the clock of its host.
-    :param fields: all that the line says beside time, node and message.
+    :param at: Unix time in seconds, by the clock of its host.
+    :param node: name of the process that wrote it.
+    :param fields: its other fields, without level and module.
     """
 
     at: float
@@ -61,21 +63,26 @@
 
     @property
     def request(self) -> str:
-        """The request that it is about; empty if it is about none."""
+        """Id of the request concerned; empty if there is none."""
         return str(self.fields.get("request", ""))
 
     @property
     def fingerprint(self) -> str:
-        """What all tries of the request share; empty if not told."""
+        """Fingerprint shared by the caller's attempts at the same request.
+
+        Empty if the line has none.
+        """
         return str(self.fields.get("same") or "")
 
 
 @final
 class LogReader:
-    """Reads log lines; what is none is counted and never fatal.
+    """Parses log lines; skips and counts malformed ones.
 
-    :ivar malformed_count: lines that hold no whole JSON object of ours.
-    :ivar dropped_count: lines that processes say they have left out.
+    :ivar malformed_count: lines without a complete JSON object in lugcross's
+        log format.
+    :ivar dropped_count: lines that processes report as dropped, in the field
+        ``left_out``.
     """
 
     def __init__(self) -> None:
@@ -83,7 +90,7 @@
         self.dropped_count = 0
 
     def read(self, texts: Iterable[str]) -> Iterator[LogLine]:
-        """Return the lines; whatever stands before an object is skipped."""
+        """Yield the parsed lines; text before the JSON object is ignored."""
         for text in texts:
             if not text.strip():
                 continue
@@ -112,19 +119,21 @@
 
 
 def build_timeline(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Return what concerns a request, in order of time.
+    """Return the lines that concern a request, in order of time.
 
-    :param request: the caller's id of one attempt.
+    :param request: request id of one of the caller's attempts.
+    :returns: lines of all its attempts and the states of the processes that
+        handled ``request``; empty if no line has that id.
     """
     ordered = sorted(lines, key=lambda line: line.at)
     own = [line for line in ordered if line.request == request]
     if not own:
         return []
-    shared = {line.fingerprint for line in own if line.fingerprint}
-    tries = [
+    fingerprints = {line.fingerprint for line in own if line.fingerprint}
+    other_attempts = [
         line
         for line in ordered
-        if line.fingerprint in shared and line.request != request
+        if line.fingerprint in fingerprints and line.request != request
     ]
     nodes = {line.node for line in own}
     states = [
@@ -134,15 +143,15 @@
     ]
     before = _latest_states(states, own[0].at)
     during = [one for one in states if own[0].at <= one.at <= own[-1].at]
-    found = [*before, *own, *tries, *during]
+    found = [*before, *own, *other_attempts, *during]
     return sorted(found, key=lambda line: line.at)
 
 
 def _latest_states(lines: Sequence[LogLine], until: float) -> list[LogLine]:
-    """Return what each node believed at a moment."""
+    """Return the latest line of each state of each node before ``until``."""
     newest: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         if line.at < until:
-            kind = _SUPERSEDES.get(line.message, line.message)
+            kind = _STATE_ENDS.get(line.message, line.message)
             newest[line.node, kind] = line
     return list(newest.values())
--- a/src/lugcross/observe/tracing.py
+++ b/src/lugcross/observe/tracing.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Traces: one span a hop, carried on by W3C ``traceparent``."""
+"""Distributed tracing with W3C trace context: one span per hop."""
 
 from collections.abc import Iterator
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 from lugcross.cfg import settings
 
-#: Header that carries a span to the next hop.
+#: Header that passes the parent span to the next hop.
 TRACEPARENT_HEADER = "traceparent"
 
 _PROPAGATOR = tracecontext.TraceContextTextMapPropagator()
@@ -23,7 +23,7 @@
 
 @final
 class LogExporter(export.SpanExporter):
-    """Writes each finished span as a log line."""
+    """Exports finished spans as log lines."""
 
     def export(
         self, spans: Sequence[sdk_trace.ReadableSpan]
@@ -36,10 +36,10 @@
 
 @final
 class Tracer:
-    """Opens the spans of one process.
+    """Creates the spans of one process.
 
-    :param traces: which exporter to use.
-    :param node: name of this process in every span.
+    :param traces: exporter settings.
+    :param node: service name in every span.
     """
 
     def __init__(self, traces: settings.Traces, node: str) -> None:
@@ -54,10 +54,10 @@
 
     @contextlib.contextmanager
     def span(self, name: str, parent: str, **attributes: str) -> Iterator[str]:
-        """Open a span for a block.
+        """Record a span around a ``with`` block.
 
-        :param parent: ``traceparent`` of the hop before; may be empty.
-        :returns: ``traceparent`` for the hop after.
+        :param parent: ``traceparent`` of the previous hop; may be empty.
+        :returns: ``traceparent`` for the next hop.
         """
         if not self.enabled:
             yield parent
@@ -71,7 +71,7 @@
             yield carrier.get(TRACEPARENT_HEADER, parent)
 
     def close(self) -> None:
-        """Send what waits."""
+        """Export pending spans and shut down."""
         if self._provider is not None:
             self._provider.shutdown()
 
@@ -95,7 +95,7 @@
 def _processor(traces: settings.Traces) -> sdk_trace.SpanProcessor:
     if traces.exporter is settings.Exporter.LOG:
         return export.SimpleSpanProcessor(LogExporter())
-    # Imported here: it costs memory that most processes need not pay.
+    # Imported lazily: its memory is wasted in processes that do not use it.
     from opentelemetry.exporter.otlp.proto.http import trace_exporter
 
     exporter = trace_exporter.OTLPSpanExporter(endpoint=traces.endpoint)
