--- a/src/lugcross/desired/__init__.py
+++ b/src/lugcross/desired/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the operators want and which backend servers there are."""
+"""Desired state that operators configure, and the backend servers."""
 
 from lugcross.desired.backend import Backend
 from lugcross.desired.backend import BackendId
--- a/src/lugcross/desired/backend.py
+++ b/src/lugcross/desired/backend.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Backend servers as the platform's list tells them."""
+"""Backend servers as listed by the platform."""
 
 import dataclasses
 import enum
@@ -9,10 +9,11 @@
 
 from lugcross import ids
 
-#: Name of a backend server; it may keep it when it starts again.
+#: Name of a backend server; may stay the same across restarts.
 BackendId = NewType("BackendId", str)
-#: One life of a backend server. Whatever is known of a life (connections,
-#: requests in progress, failures, ranks) goes by this, and ends with it.
+#: Identifies one life of a backend server: its id and start. Everything
+#: recorded about a server (connections, requests in progress, failures, ranks)
+#: is stored under this key and dropped when the life ends.
 BackendKey = NewType("BackendKey", str)
 
 
@@ -28,10 +29,11 @@
 class Backend:
     """One life of a backend server.
 
-    :param started_at_ms: when this life began, in milliseconds since 1970;
-        none where its id is never used again.
-    :param host: IP number.
-    :param slots: requests that it works on at once.
+    :param started_at_ms: start of this life, Unix time in milliseconds; None
+        if the platform never reuses its id.
+    :param host: IP address.
+    :param domain: failure domain.
+    :param slots: requests that it processes concurrently.
     :param software_version: version of the service that it runs.
     """
 
@@ -47,7 +49,7 @@
 
     @functools.cached_property
     def key(self) -> BackendKey:
-        """What tells this life from all others; ids hold no blanks."""
+        """Key of this life; unambiguous because ids contain no spaces."""
         if self.started_at_ms is None:
             return BackendKey(self.id)
         return BackendKey(f"{self.id} {self.started_at_ms}")
--- a/src/lugcross/desired/state.py
+++ b/src/lugcross/desired/state.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Desired state: routes, services, workspaces and limits of one version."""
+"""Desired state: a version of routes, services, workspaces and limits."""
 
 import bisect
 from collections.abc import Mapping
@@ -14,11 +14,11 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be done with the requests of a route.
+    """How the requests of a route may be retried.
 
-    ``SAFE`` ones may run more than once, ``UNSAFE`` ones may not;
-    ``STREAM`` ones answer with events, and may go on at another backend
-    server only if the route says so.
+    ``SAFE``: a request may run more than once. ``UNSAFE``: it may not.
+    ``STREAM``: the response is a stream of events, which may continue on
+    another backend server only if the route is resumable.
     """
 
     SAFE = "safe"
@@ -29,7 +29,7 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class WeightedService:
-    """Part of a route's requests that one service gets."""
+    """A service with its share of a route's requests, relative to others."""
 
     service: ids.ServiceName
     weight: float
@@ -38,19 +38,21 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Route:
-    """Which requests go to which service, and how.
-
-    :param path_prefix: path that the requests begin with; ends with a slash.
-    :param weighted_services: services, weighted; at least one.
-    :param timeout: longest time that a request may be held.
-    :param latency_target: time within which an answer (a stream's first event)
-        is worth all that it can be.
-    :param max_event_gap: longest pause between two events of a stream that is
-        still in time.
-    :param max_attempts: backend servers that one request may be sent to.
-    :param priority: 0 is served first.
-    :param public: whether requests need no key.
-    :param resumable: whether a stream may go on at another replica.
+    """Maps requests of a host and path prefix to services.
+
+    :param host: value of the requests' Host header.
+    :param path_prefix: prefix of the requests' paths; ends with a slash.
+    :param weighted_services: services with weights; at least one.
+    :param timeout: maximum time from a request to its complete response.
+    :param latency_target: time within which the response (of a stream, its
+        first event) should begin.
+    :param max_event_gap: maximum time between two events of a stream; None
+        sets no limit.
+    :param max_attempts: maximum number of backend servers that a request is
+        sent to.
+    :param priority: lower numbers are served first; 0 is the most urgent.
+    :param public: whether requests need no API key.
+    :param resumable: whether a stream may continue on another backend server.
     """
 
     name: str
@@ -68,7 +70,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether running a request twice does no harm."""
+        """Whether a request may safely run more than once."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.SAFE
@@ -77,18 +79,18 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineSpec:
-    """How a model engine works, as its operator tells it.
-
-    :param slots: requests that it writes for at once.
-    :param kv_cache_tokens: tokens that its memory holds.
-    :param steps_per_pass: token steps of one pass.
-    :param step_ms: time of a token step with nothing to do.
-    :param ms_per_sequence: further time for each request that writes.
-    :param ms_per_1k_context_tokens: further time for each 1,000 tokens of
+    """Performance model of a model engine, as its operator configures it.
+
+    :param slots: requests that it decodes concurrently.
+    :param kv_cache_tokens: capacity of its KV cache in tokens.
+    :param steps_per_pass: decode steps per pass.
+    :param step_ms: duration of a decode step without any load.
+    :param ms_per_sequence: additional step time per decoding request.
+    :param ms_per_1k_context_tokens: additional step time per 1,000 tokens of
         context.
-    :param prefill_tokens_per_s: prompt tokens read in a second.
-    :param report_lag: age of what its reports tell from another host.
-    :param experts: limits of its expert maps; none if it has no experts.
+    :param prefill_tokens_per_s: prompt tokens processed per second.
+    :param report_lag: age of the data that its ranks report.
+    :param experts: limits of its expert maps; None if it has no experts.
     """
 
     slots: int
@@ -105,11 +107,12 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-    """Something requests are routed to.
+    """A service that requests are routed to.
 
     :param health_path: path of its health check.
-    :param max_connections: connections that one replica takes, from all
-        callers together; 0 sets no limit.
+    :param max_connections: connections that one of its backend servers accepts
+        from all clients together; 0 sets no limit.
+    :param engine: performance model; None if it runs no model engine.
     """
 
     name: ids.ServiceName
@@ -121,12 +124,14 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class RequestLimits:
-    """Bounds on what a caller may send.
-
-    :param max_head_bytes: size of a request's head.
-    :param max_body_bytes: size of a request's body.
-    :param head_timeout: time from the first byte of a head to its last.
-    :param idle_timeout: time that a connection may rest.
+    """Limits on callers' requests.
+
+    :param max_head_bytes: maximum size of a request head.
+    :param max_body_bytes: maximum size of a request body.
+    :param head_timeout: maximum time from the first to the last byte of a
+        request head.
+    :param idle_timeout: maximum time without data, between two requests or
+        within a request body.
     """
 
     max_head_bytes: int
@@ -138,7 +143,10 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Workspace:
-    """Customer's space; its priority goes before the route's, if set."""
+    """A customer's workspace.
+
+    :param priority: overrides the route's priority; None keeps that.
+    """
 
     name: ids.WorkspaceName
     priority: int | None = None
@@ -149,9 +157,9 @@
 class DesiredState:
     """One version of the desired state.
 
-    :param routes: by host; each list has the longest prefix first.
-    :param workspaces_by_key: workspace of each key; empty where none are used.
-    :param keys_required: whether requests need a key at all.
+    :param routes: routes by host, those with the longest prefix first.
+    :param workspaces_by_key: workspaces by API key; empty if none are used.
+    :param keys_required: whether requests to non-public routes need a key.
     """
 
     version: int
@@ -162,13 +170,16 @@
     keys_required: bool
 
     def workspace_names(self) -> set[ids.WorkspaceName]:
-        """Return the names of all workspaces that have a key."""
+        """Return the names of all workspaces that have an API key."""
         return {space.name for space in self.workspaces_by_key.values()}
 
     def count_priorities_ahead(
         self, service: ids.ServiceName, priority: int
     ) -> int:
-        """Return how many priorities of a service's routes go first."""
+        """Return how many priorities in use are more urgent than ``priority``.
+
+        :param service: service whose routes' priorities count.
+        """
         return bisect.bisect_left(
             self._priorities_by_service.get(service, ()), priority
         )
@@ -177,7 +188,7 @@
     def _priorities_by_service(
         self,
     ) -> Mapping[ids.ServiceName, tuple[int, ...]]:
-        """Priorities of each service's routes, the most urgent first."""
+        """Distinct priorities of each service's routes, most urgent first."""
         found: dict[ids.ServiceName, set[int]] = {}
         for routes in self.routes.values():
             for route in routes:
@@ -187,7 +198,7 @@
         return {name: tuple(sorted(some)) for name, some in found.items()}
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that ``path`` has."""
+        """Return the route with the longest prefix of ``path``, if any."""
         for route in self.routes.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
