--- a/src/lugcross/cli/__init__.py
+++ b/src/lugcross/cli/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The ``lugcross`` program."""
+"""Command line of the ``lugcross`` program."""
 
 from lugcross.cli.main import main
 
--- a/src/lugcross/cli/ctl.py
+++ b/src/lugcross/cli/ctl.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The operators' client: a subcommand a call."""
+"""``lugcross ctl``: operators' client, with one subcommand per RPC."""
 
 from collections.abc import Callable
 import json
@@ -26,31 +26,32 @@
 
 
 class _Session:
-    """One call of the command line."""
+    """Client and output format of one command line call."""
 
     def __init__(self, client: rpc.OperatorClient, as_json: bool) -> None:
         self.client = client
         self.as_json = as_json
 
     def show(self, msg: message.Message, text: Callable[[], None]) -> None:
+        """Print ``msg`` as JSON, or call ``text`` to print it."""
         if self.as_json:
             click.echo(json.dumps(render.message_to_dict(msg)))
         else:
             text()
 
     def finish(self, reply: pb.ChangeReply) -> None:
-        """Show what became of a change and end with its status."""
+        """Print the outcome of a change and exit with its status."""
         self.show(reply, lambda: click.echo(render.describe_change(reply)))
         sys.exit(_EXIT_STATUSES.get(reply.standing, _EXIT_REJECTED))
 
-    def revision(self, ref: cfg.Ref, expect: int | None) -> int:
-        """Return the revision to expect: given, or the one in force."""
+    def expected_revision(self, ref: cfg.Ref, expect: int | None) -> int:
+        """Return ``expect``, or the current revision of ``ref`` if None."""
         if expect is not None:
             return expect
         return _current_objects(self.client).get(ref, (None, 0))[1]
 
     def put(self, obj: cfg.Object, expect: int | None, change_id: str) -> None:
-        revision = self.revision(obj.ref, expect)
+        revision = self.expected_revision(obj.ref, expect)
         self.finish(self.client.put(obj, expect=revision, change_id=change_id))
 
 
@@ -58,10 +59,12 @@
     func = click.option(
         "--expect",
         type=int,
-        help="Revision that you saw; default: the one in force.",
+        help="Revision that the change applies to; default: the current one.",
     )(func)
     return click.option(
-        "--change-id", default="", help="Your id; the same id counts once."
+        "--change-id",
+        default="",
+        help="Your id for the change; a repeated id takes effect once.",
     )(func)
 
 
@@ -70,18 +73,18 @@
     "--entry",
     envvar="LUGCROSS_ENTRY",
     required=True,
-    help="IP number and port of an entry host's RPC. [LUGCROSS_ENTRY]",
+    help="IP address and port of an entry host's RPC. [LUGCROSS_ENTRY]",
 )
 @click.option(
     "--token",
     envvar="LUGCROSS_TOKEN",
     default="",
-    help="Your operator's token. [LUGCROSS_TOKEN]",
+    help="Your operator token. [LUGCROSS_TOKEN]",
 )
-@click.option("--json", "as_json", is_flag=True, help="Answer as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 @click.pass_context
 def ctl(ctx: click.Context, entry: str, token: str, as_json: bool) -> None:
-    """Drive a fleet through any of its entry hosts."""
+    """Configure and inspect a fleet through any of its entry hosts."""
     client = rpc.OperatorClient(entry, token)
     ctx.call_on_close(client.close)
     ctx.obj = _Session(client, as_json)
@@ -109,8 +112,12 @@
 @ctl.command("put-workspace")
 @click.argument("name")
 @click.option("--group", required=True)
-@click.option("--key-hash", multiple=True, help="SHA-256 of a key, in hex.")
-@click.option("--new-key", is_flag=True, help="Make a key and print it.")
+@click.option(
+    "--key-hash", multiple=True, help="SHA-256 of an API key, in hex."
+)
+@click.option(
+    "--new-key", is_flag=True, help="Generate an API key and print it."
+)
 @click.option("--max-inflight", default=0)
 @_change_options
 @click.pass_obj
@@ -145,13 +152,21 @@
     required=True,
 )
 @click.option("--repeatable/--not-repeatable", default=True)
-@click.option("--timeout", default=60.0, help="Seconds for an answer.")
-@click.option("--max-body", default=1_048_576, help="Bytes.")
-@click.option("--max-queue", default=256, help="At one backend server.")
+@click.option(
+    "--timeout", default=60.0, help="Seconds for a complete response."
+)
+@click.option(
+    "--max-body",
+    default=1_048_576,
+    help="Maximum size of a request body, in bytes.",
+)
+@click.option(
+    "--max-queue", default=256, help="Queued requests per backend server."
+)
 @click.option(
     "--resumable/--not-resumable",
     default=False,
-    help="Whether another replica can go on in the middle.",
+    help="Whether another backend server can continue a response.",
 )
 @click.option(
     "--once-log-away",
@@ -191,7 +206,7 @@
 @ctl.command("put-backend")
 @click.argument("name")
 @click.option("--domain", required=True, help="Its failure domain.")
-@click.option("--host", required=True, help="IP number of its agent.")
+@click.option("--host", required=True, help="IP address of its agent.")
 @click.option("--port", type=int, required=True)
 @click.option("--service", multiple=True)
 @click.option("--capacity", default=8)
@@ -229,7 +244,9 @@
 @ctl.command("put-model-group")
 @click.argument("name")
 @click.option("--service", required=True)
-@click.option("--rank", multiple=True, help="Backend server, in order.")
+@click.option(
+    "--rank", multiple=True, help="Backend server of a rank, in order."
+)
 @click.option("--experts", default=128)
 @click.option("--layers", default=1)
 @_change_options
@@ -257,7 +274,7 @@
 
 @ctl.command("set-leaving")
 @click.argument("backend")
-@click.option("--off", is_flag=True, help="Take work again.")
+@click.option("--off", is_flag=True, help="Accept new requests again.")
 @_change_options
 @click.pass_obj
 def set_leaving(
@@ -267,8 +284,10 @@
     expect: int | None,
     change_id: str,
 ) -> None:
-    """Let a backend server leave: nothing new is sent to it."""
-    revision = session.revision(cfg.Ref(cfg.Kind.BACKEND, backend), expect)
+    """Send no new requests to a backend server."""
+    revision = session.expected_revision(
+        cfg.Ref(cfg.Kind.BACKEND, backend), expect
+    )
     session.finish(
         session.client.set_leaving(
             backend, not off, expect=revision, change_id=change_id
@@ -290,7 +309,7 @@
 ) -> None:
     """Remove an object."""
     ref = cfg.Ref(cfg.Kind(kind), name)
-    revision = session.revision(ref, expect)
+    revision = session.expected_revision(ref, expect)
     session.finish(
         session.client.remove(ref, expect=revision, change_id=change_id)
     )
@@ -300,14 +319,14 @@
 @click.argument("change_id")
 @click.pass_obj
 def change(session: _Session, change_id: str) -> None:
-    """Tell what became of a change."""
+    """Show the outcome of a change."""
     session.finish(session.client.change(change_id))
 
 
 @ctl.command()
 @click.pass_obj
 def config(session: _Session) -> None:
-    """Show the configuration in force."""
+    """Show the current configuration."""
     reply = session.client.config()
     session.show(reply, lambda: render.print_config(reply))
 
@@ -315,7 +334,7 @@
 @ctl.command()
 @click.pass_obj
 def status(session: _Session) -> None:
-    """Tell how the entry host stands and what it reaches."""
+    """Show the state of the entry host and the backend servers it reaches."""
     reply = session.client.status()
     session.show(reply, lambda: render.print_status(reply))
 
@@ -324,18 +343,20 @@
 @click.argument("subject")
 @click.pass_obj
 def explain(session: _Session, subject: str) -> None:
-    """Tell what was decided about a request, server or change."""
+    """Show the decisions about a request, backend server or change."""
     reply = session.client.explain(subject)
     session.show(reply, lambda: render.print_decisions(reply))
 
 
 @ctl.command()
 @click.option("-f", "--file", type=click.Path(), required=True)
-@click.option("--prune", is_flag=True, help="Remove what is not in FILE.")
-@click.option("--dry-run", is_flag=True, help="Only show the difference.")
+@click.option(
+    "--prune", is_flag=True, help="Remove objects that are not in FILE."
+)
+@click.option("--dry-run", is_flag=True, help="Only show the differences.")
 @click.pass_obj
 def apply(session: _Session, file: str, prune: bool, dry_run: bool) -> None:
-    """Show how FILE differs from the configuration, and apply it."""
+    """Show how FILE differs from the current configuration, and apply it."""
     text = pathlib.Path(file).read_text(encoding="utf-8")
     wanted = cfg.load_wanted(text, source=file)
     found = cfg.compare(
--- a/src/lugcross/cli/daemon.py
+++ b/src/lugcross/cli/daemon.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The daemons: settings, application object, life cycle."""
+"""Commands that run an entry host or agent, or check its settings."""
 
 import click
 
@@ -13,7 +13,7 @@
 @click.argument("file", type=click.Path())
 def entry(file: str) -> None:
     """Run an entry host with the settings in FILE."""
-    # Imported here: it brings the RPC stack, which an agent is spared.
+    # Imported lazily: an agent does not need the RPC stack.
     from lugcross import entry as entry_lib
 
     settings = yamlfile.load(file, cfg.settings.Entry)
@@ -40,4 +40,4 @@
     """Check the settings in FILE without starting anything."""
     settings = cfg.settings.check(file)
     name = type(settings).__name__.lower()
-    click.echo(f"{file}: good settings of {name} {settings.node.name}")
+    click.echo(f"{file}: valid settings for {name} {settings.node.name}")
--- a/src/lugcross/cli/demo.py
+++ b/src/lugcross/cli/demo.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Runs the demo."""
+"""``lugcross demo``: a small fleet with sample traffic in one process."""
 
 import contextlib
 import sys
@@ -11,23 +11,25 @@
 
 
 @click.command()
-@click.option("--once", is_flag=True, help="A fixed run; ends by itself.")
-@click.option("--seconds", type=float, help="End after so long.")
+@click.option(
+    "--once", is_flag=True, help="Run a fixed sequence of requests, then exit."
+)
+@click.option("--seconds", type=float, help="Exit after this time.")
 def demo(once: bool, seconds: float | None) -> None:
-    """Run a small fleet in this process, with traffic of three rivals."""
+    """Run a small fleet in this process, with traffic of three groups."""
     observe.set_up_logging("demo", "error")
     fleet = demo_lib.Fleet()
     fleet.start()
-    good = True
+    ok = True
     try:
         if once:
-            good = demo_lib.FixedRun(fleet).run()
+            ok = demo_lib.FixedRun(fleet).run()
         else:
             _print_examples(fleet)
             _show_traffic(fleet, seconds)
     finally:
         fleet.stop()
-    sys.exit(0 if good else 1)
+    sys.exit(0 if ok else 1)
 
 
 def _print_examples(fleet: demo_lib.Fleet) -> None:
--- a/src/lugcross/cli/edge.py
+++ b/src/lugcross/cli/edge.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The entry program without agents."""
+"""``lugcross edge``: an entry host that needs no agents."""
 
 import os
 import sys
@@ -15,11 +15,11 @@
 @click.command()
 @click.argument("file", type=click.Path(), envvar=_CONFIG_VARIABLE)
 def edge(file: str) -> None:
-    """Serve callers from backend servers directly.
+    """Run an entry host that connects to backend servers directly.
 
-    Settings are in FILE, or in the file that LUGCROSS_CONFIG names.
+    FILE holds the settings; default: the file that LUGCROSS_CONFIG names.
     """
-    # Imported here: other commands need none of it.
+    # Imported lazily: other commands do not need these modules.
     from lugcross import edge as edge_lib
     from lugcross.edge import settings as settings_lib
 
--- a/src/lugcross/cli/main.py
+++ b/src/lugcross/cli/main.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The command line: one command a program, loaded when it is used."""
+"""Root command; the modules of subcommands are imported on use."""
 
 import importlib
 import sys
@@ -10,8 +10,8 @@
 from lugcross import __version__
 from lugcross import errors
 
-#: Module and function of each command. Loaded late, so that an agent
-#: does not pay for the memory of what only operators use.
+#: Module and function of each command, imported on use: an agent should not
+#: spend memory on modules that only operators need.
 _COMMANDS = {
     "agent": "lugcross.cli.daemon:agent",
     "check": "lugcross.cli.daemon:check",
@@ -28,7 +28,7 @@
 
 @final
 class _LazyGroup(click.Group):
-    """Group whose commands are imported when they are called."""
+    """Command group that imports a command when it is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         del ctx
@@ -38,10 +38,10 @@
         self, ctx: click.Context, cmd_name: str
     ) -> click.Command | None:
         del ctx
-        where = _COMMANDS.get(cmd_name)
-        if where is None:
+        import_path = _COMMANDS.get(cmd_name)
+        if import_path is None:
             return None
-        module, _, name = where.partition(":")
+        module, _, name = import_path.partition(":")
         command: click.Command = getattr(importlib.import_module(module), name)
         return command
 
@@ -53,7 +53,7 @@
 
 
 def main() -> None:
-    """Run the program and end the process with its status."""
+    """Run the command line and exit with its status."""
     try:
         _root_command(standalone_mode=True)
     except errors.LugcrossError as exc:
--- a/src/lugcross/cli/plan.py
+++ b/src/lugcross/cli/plan.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Tries the planner of expert placement on recorded load."""
+"""``lugcross plan``: run the expert placement planner on recorded load."""
 
 import dataclasses
 import json
@@ -22,15 +22,19 @@
     required=True,
     help='JSON lines: {"window": 0, "loads": [[...], ...]}.',
 )
-@click.option("--json", "as_json", is_flag=True, help="A line a window.")
-@click.option("--plot", type=click.Path(), help="Draw skew and moves.")
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print one JSON line per window."
+)
+@click.option(
+    "--plot", type=click.Path(), help="Plot skew and moves to this file."
+)
 def plan(
     cfg_file: str,
     loads_file: TextIO,
     as_json: bool,
     plot: str | None,
 ) -> None:
-    """Show what the planner would have done, window by window."""
+    """Show the planner's decisions for recorded load, window by window."""
     text = pathlib.Path(cfg_file).read_text(encoding="utf-8")
     cfg = trial.load_cfg(text, source=cfg_file)
     windows = trial.read_windows(loads_file, source=loads_file.name)
@@ -72,17 +76,17 @@
 
 
 def _plot(rows: list[trial.Row], path: str) -> None:
-    # Imported here: it costs time and memory that only a plot needs.
+    # Imported lazily: slow to import, and only plots need it.
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    judged = [row for row in rows if row.skew_next is not None]
+    rows_with_skew = [row for row in rows if row.skew_next is not None]
     figure, (above, below) = pyplot.subplots(2, 1, sharex=True)
     above.plot(
-        [row.window for row in judged],
-        [row.skew_next or 0.0 for row in judged],
+        [row.window for row in rows_with_skew],
+        [row.skew_next or 0.0 for row in rows_with_skew],
     )
     above.set_ylabel("max/mean rank load of the next window")
     below.bar([row.window for row in rows], [len(row.moves) for row in rows])
--- a/src/lugcross/cli/render.py
+++ b/src/lugcross/cli/render.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How the operators' command line shows answers."""
+"""Formats RPC replies for ``lugcross ctl``."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def message_to_dict(msg: message.Message) -> dict[str, Any]:
-    """Return an answer as JSON has it."""
+    """Return a message as a dict for JSON, fields without values included."""
     found: dict[str, Any] = json_format.MessageToDict(
         msg,
         preserving_proto_field_name=True,
@@ -24,7 +24,7 @@
 
 
 def describe_change(reply: pb.ChangeReply) -> str:
-    """Return what became of a change."""
+    """Return a line that describes the outcome of a change."""
     name = pb.Standing.Name(reply.standing).removeprefix("STANDING_")
     parts = [f"change {reply.change_id}: {name.lower().replace('_', ' ')}"]
     if reply.offset:
@@ -56,11 +56,11 @@
 
 
 def print_status(reply: pb.NodeStatus) -> None:
-    """Print what an entry host knows of itself and of others."""
+    """Print the state of an entry host and what it knows of others."""
     state = reply.unready or "ready"
     click.echo(
         f"{reply.node} in {reply.domain}: {state}; configuration at offset "
-        f"{reply.offset}, heard {reply.knowledge_age_s:.1f} s ago; "
+        f"{reply.offset}, updated {reply.knowledge_age_s:.1f} s ago; "
         f"{reply.inflight} requests in progress; "
         f"{'relay of the log' if reply.relay else 'no relay'}"
     )
@@ -74,7 +74,7 @@
         "queue",
         "running",
         "offset",
-        "heard s ago",
+        "last heard (s ago)",
     ):
         table.add_column(name)
     for peer in reply.peers:
@@ -88,7 +88,7 @@
             f"{peer.heard_s:.1f}",
         )
     rich.console.Console().print(table)
-    table = rich.table.Table(title="entry hosts, as agents see them")
+    table = rich.table.Table(title="entry hosts, as reported by agents")
     for name in ("name", "domain", "offset"):
         table.add_column(name)
     for entry in reply.entries:
@@ -105,6 +105,6 @@
             f"({item.rule}){inputs}"
         )
     if not reply.decisions:
-        click.echo("this entry host keeps no decision about it")
+        click.echo("this entry host has no decision about it in its journal")
     if reply.overwritten:
-        click.echo(f"{reply.overwritten} older decisions are overwritten")
+        click.echo(f"{reply.overwritten} older decisions were overwritten")
--- a/src/lugcross/cli/shares.py
+++ b/src/lugcross/cli/shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Shows which workspaces have how much of each service now."""
+"""``lugcross shares``: requests per workspace and service."""
 
 import collections
 from collections.abc import Iterable
@@ -10,7 +10,8 @@
 from prometheus_client import parser
 import urllib3
 
-#: Longest wait for a process's figures, in seconds; they are there at once.
+#: Timeout for reading a process's metrics, in seconds. They are served from
+#: memory, so a longer wait would not help.
 _METRICS_TIMEOUT_S = 5.0
 _RUNNING_METRIC = "lugcross_workspace_running"
 _REFUSED_METRIC = "lugcross_workspace_refused_total"
@@ -25,10 +26,10 @@
 
 @final
 class _UsageTable:
-    """What some processes tell of each workspace.
+    """Usage per service and workspace, from the metrics of processes.
 
-    Each process tells what all of them have running, as far as it has
-    heard, and what it has refused itself.
+    Each process reports the running requests of all processes, as far as its
+    peers have told it, and the requests that it refused itself.
     """
 
     def __init__(self) -> None:
@@ -38,7 +39,10 @@
         )
 
     def add_metrics(self, text: str) -> None:
-        """Take over the figures of one process."""
+        """Add the metrics of one process.
+
+        :param text: metrics in the Prometheus text format.
+        """
         for family in parser.text_string_to_metric_families(text):
             for sample in family.samples:
                 if sample.name not in (_RUNNING_METRIC, _REFUSED_METRIC):
@@ -55,7 +59,7 @@
                     self.refused[entry] += count
 
     def rows(self) -> Iterable[str]:
-        """Return a line a workspace, the heaviest of each service first."""
+        """Return a line per workspace, by service and descending usage."""
         entries = sorted(
             self.running.keys() | self.refused.keys(),
             key=lambda one: (one.service, -self.running.get(one, 0)),
@@ -77,8 +81,8 @@
         )
     except urllib3.exceptions.HTTPError as exc:
         raise click.ClickException(
-            f"{address} does not answer ({exc}); give the address that is"
-            " `listen.metrics` in its settings"
+            f"{address} does not answer ({exc}); give the address in"
+            " `listen.metrics` of its settings"
         ) from exc
     return str(answer.data.decode())
 
@@ -86,10 +90,11 @@
 @click.command()
 @click.argument("addresses", nargs=-1, required=True, metavar="HOST:PORT...")
 def shares(addresses: tuple[str, ...]) -> None:
-    """Show who has how many requests in progress, and whom it was refused.
+    """Show running and refused requests by service and workspace.
 
-    One process at HOST:PORT (its figures) knows what all of them have in
-    progress; refusals are summed over those that are named.
+    HOST:PORT is the metrics address of an edge process. Each process knows the
+    running requests of all processes; refused requests are the sum over the
+    processes given.
     """
     table = _UsageTable()
     for address in addresses:
--- a/src/lugcross/cli/standin.py
+++ b/src/lugcross/cli/standin.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Runs stand-ins as processes of their own."""
+"""``lugcross standin``: run a stand-in server as a separate process."""
 
 import click
 
@@ -12,7 +12,7 @@
 
 @click.group()
 @click.option("--host", default="127.0.0.1", show_default=True)
-@click.option("--port", default=0, help="0 lets the system choose.")
+@click.option("--port", default=0, help="0 chooses a free port.")
 @click.option("--name", default="standin", help="Name in logs and spans.")
 @click.pass_context
 def standin(ctx: click.Context, host: str, port: int, name: str) -> None:
@@ -22,6 +22,8 @@
 
 
 class _StandinProcess:
+    """Address and name of the stand-in that this process runs."""
+
     def __init__(self, host: str, port: int, name: str) -> None:
         self.host = host
         self.port = port
@@ -30,7 +32,10 @@
     def run(
         self, app: faults.WsgiApp, *hooks: app_lib.Hook
     ) -> standin_lib.StandinServer:
-        """Serve ``app`` until the process is asked to stop."""
+        """Serve ``app`` until a stop is requested.
+
+        :param hooks: further parts, started before the HTTP server.
+        """
         server = standin_lib.StandinServer(app, host=self.host, port=self.port)
         if isinstance(app, standin_lib.EngineStandin):
             app.server = server.app
@@ -45,7 +50,7 @@
 
 
 @standin.command()
-@click.option("--rate", default=100.0, help="Appends a second.")
+@click.option("--rate", default=100.0, help="Appends per second.")
 @click.option("--retention", default=86_400.0, help="Seconds.")
 @click.pass_obj
 def log(process: _StandinProcess, rate: float, retention: float) -> None:
@@ -64,7 +69,7 @@
 
 
 @standin.command()
-@click.option("--rate", default=100.0, help="MiB a second.")
+@click.option("--rate", default=100.0, help="MiB per second.")
 @click.pass_obj
 def weights(process: _StandinProcess, rate: float) -> None:
     """Run the platform's rate-limited weight store."""
@@ -72,8 +77,8 @@
 
 
 @standin.command()
-@click.option("--step", default=0.005, help="Seconds a step.")
-@click.option("--batch", default=16, help="Sequences a step.")
+@click.option("--step", default=0.005, help="Seconds per step.")
+@click.option("--batch", default=16, help="Sequences per step.")
 @click.option("--checks-orders/--no-checks-orders", default=True)
 @click.option("--traces/--no-traces", default=False)
 @click.pass_obj
@@ -103,8 +108,8 @@
 
 
 @standin.command()
-@click.option("--work", default=0.002, help="Seconds a request.")
+@click.option("--work", default=0.002, help="Seconds per request.")
 @click.pass_obj
 def service(process: _StandinProcess, work: float) -> None:
-    """Run a plain service that records what it ran."""
+    """Run a plain service that records the requests it ran."""
     process.run(standin_lib.ServiceStandin(work_s=work))
