--- a/src/lugcross/__main__.py
+++ b/src/lugcross/__main__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""``python -m lugcross`` is the same as ``lugcross``."""
+"""Lets ``python -m lugcross`` run the command line."""
 
 from lugcross import cli
 
--- a/src/lugcross/address.py
+++ b/src/lugcross/address.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Addresses as ``HOST:PORT``, which settings and messages carry."""
+"""Parsing of ``HOST:PORT`` addresses in settings and messages."""
 
 
 def split_host_port(text: str) -> tuple[str, int]:
-    """Return host and port.
+    """Return host and port of ``HOST:PORT``.
 
-    :raises ValueError: when there is no port.
+    :raises ValueError: if the port is missing or not a number.
     """
     host, _, port = text.rpartition(":")
     return host, int(port)
--- a/src/lugcross/app.py
+++ b/src/lugcross/app.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The application object that owns a process's parts and cleans up."""
+"""Application: starts, drains and stops the components of a process."""
 
 from collections.abc import Callable
 import dataclasses
@@ -11,46 +11,47 @@
 from absl import logging
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     return None
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Hook:
-    """What one part does at each point of the life cycle.
+    """Life cycle callbacks of one component.
 
-    :param start: makes the part ready; raises when it cannot.
-    :param drain: takes no new work and returns once the old is done.
-    :param stop: gives everything back; must not raise.
+    :param start: prepares the component; raises an exception on failure.
+    :param drain: stops accepting work and returns when all work is done.
+    :param stop: releases all resources; must not raise.
     """
 
     name: str
-    start: Callable[[], None] = _nothing
-    drain: Callable[[], None] = _nothing
-    stop: Callable[[], None] = _nothing
+    start: Callable[[], None] = _do_nothing
+    drain: Callable[[], None] = _do_nothing
+    stop: Callable[[], None] = _do_nothing
 
 
 @final
 class Application:
-    """Starts parts in order; drains and stops them in reverse."""
+    """Starts components in order; drains and stops them in reverse."""
 
     def __init__(self, *, name: str) -> None:
         self.name = name
         self._hooks: list[Hook] = []
         self._running: list[Hook] = []
-        # Its put may interrupt itself. An Event's set may not: a second
-        # SIGTERM during the first one's deadlocked 4 of 200 stops.
+        # SimpleQueue.put() is reentrant, so a signal handler may call it.
+        # Event.set() is not: a second SIGTERM during the first one's handler
+        # could deadlock.
         self._stop_requests: queue.SimpleQueue[str] = queue.SimpleQueue()
 
     def add(self, hook: Hook) -> None:
-        """Register a part; parts added later may use earlier ones."""
+        """Register a component; it may depend on those added before."""
         self._hooks.append(hook)
 
     def start(self) -> None:
-        """Start every part; on a failure stop those already started."""
+        """Start all components; if one fails, stop those started before."""
         for hook in self._hooks:
-            # Listed first: a start that fails half way is cleaned up too.
+            # Added before its start, so that a partial start is cleaned up.
             self._running.append(hook)
             try:
                 hook.start()
@@ -60,30 +61,30 @@
         logging.info("started", extra={"app": self.name})
 
     def drain(self) -> None:
-        """Let every part finish its work, newest part first."""
+        """Let all components finish their work, last one first."""
         for hook in reversed(self._running):
             hook.drain()
 
     def stop(self) -> None:
-        """Stop every running part, newest first."""
+        """Stop all running components, last one first."""
         while self._running:
             hook = self._running.pop()
             try:
                 hook.stop()
             except Exception:
-                # One part that fails to stop must not keep the others.
+                # The remaining components must still be stopped.
                 logging.exception("stop failed", extra={"part": hook.name})
         logging.info("stopped", extra={"app": self.name})
 
     def request_stop(self) -> None:
-        """Make :meth:`run` drain and return; safe to call again."""
+        """Make :meth:`run` drain and return; may be called repeatedly."""
         self._stop_requests.put("a call")
 
     def run(self) -> None:
         """Start, wait for SIGTERM or SIGINT, drain and stop.
 
-        A second signal changes nothing: an impatient supervisor must not
-        turn a planned stop into one that cuts requests.
+        Further signals are ignored, so that a supervisor that repeats SIGTERM
+        does not abort requests in progress.
         """
         previous = {
             num: signal.signal(num, self._on_signal)
@@ -91,8 +92,8 @@
         }
         try:
             self.start()
-            why = self._stop_requests.get()
-            logging.info("stopping", extra={"asked_by": why})
+            stop_reason = self._stop_requests.get()
+            logging.info("stopping", extra={"asked_by": stop_reason})
             self.drain()
         finally:
             self.stop()
@@ -100,8 +101,8 @@
                 signal.signal(num, handler)
 
     def _on_signal(self, num: int, frame: types.FrameType | None) -> None:
-        # Nothing else: locks of the interrupted code may be held, that of
-        # the log included.
+        # Do nothing else here: the interrupted code may hold locks, such as
+        # the logging lock.
         del frame
         self._stop_requests.put(signal.Signals(num).name)
 
--- a/src/lugcross/clock.py
+++ b/src/lugcross/clock.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Time as an interface, so that decisions can be tested at any moment."""
+"""Clock interface, so that tests can control the time."""
 
 import asyncio
 import datetime
@@ -7,46 +7,46 @@
 from typing import final
 from typing import Protocol
 
-#: Time since an arbitrary start; only differences have a meaning.
+#: Time since an arbitrary origin; only differences are meaningful.
 Instant = datetime.timedelta
 
 
 class Clock(Protocol):
-    """Source of time that is passed into everything that needs it."""
+    """Source of time, passed to all code that needs it."""
 
     def now(self) -> datetime.datetime:
-        """Return the time of day, in UTC; it may jump."""
+        """Return the wall-clock time in UTC; it may jump."""
 
     def monotonic(self) -> Instant:
-        """Return a time that never runs backwards."""
+        """Return a time that never decreases."""
 
 
 def boottime_s() -> float:
-    """Return the seconds since the machine was started.
+    """Return the seconds since boot, time in suspension included.
 
-    The steady clock stands still while a machine is suspended. Counted by it,
-    what was believed before, a lease, a list or a peer's news, would be as
-    young after ten seconds of that as before them.
+    ``CLOCK_MONOTONIC`` stops while a host is suspended. Measured by it, a
+    lease, a server list or a message from a peer would not age during the
+    suspension and would still seem valid afterwards.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 @final
 class BoottimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers are due also after a suspension.
+    """Event loop whose timers count time in suspension.
 
-    A wait that has begun goes on by the steady clock, until the next event;
-    all that is due by then is done at once.
+    A ``select`` call in progress still waits by ``CLOCK_MONOTONIC``; overdue
+    timers run after it returns.
     """
 
     def time(self) -> float:
-        """Return the time that timers go by."""
+        """Return the time by which timers are scheduled."""
         return boottime_s()
 
 
 @final
 class SystemClock:
-    """The clock of the machine."""
+    """Clock of the host."""
 
     def now(self) -> datetime.datetime:
         return datetime.datetime.now(datetime.UTC)
@@ -57,9 +57,9 @@
 
 @final
 class ManualClock:
-    """A clock that moves only when it is told to.
+    """Clock for tests, moved only by :meth:`advance`.
 
-    :param start: time of day at the start, in UTC.
+    :param start: initial wall-clock time in UTC.
     """
 
     def __init__(
@@ -78,12 +78,12 @@
         return self._elapsed
 
     def advance(self, by: datetime.timedelta) -> None:
-        """Move both times forward by ``by``."""
+        """Advance wall-clock and monotonic time by ``by``."""
         self._elapsed += by
 
 
 def seconds(value: float) -> datetime.timedelta:
-    """Return ``value`` seconds as the standard type."""
+    """Return a ``timedelta`` of ``value`` seconds."""
     return datetime.timedelta(seconds=value)
 
 
--- a/src/lugcross/errors.py
+++ b/src/lugcross/errors.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The tree of errors; every message says what the reader can do."""
+"""Exception hierarchy; every message names a remedy."""
 
 import datetime
 import enum
@@ -7,9 +7,9 @@
 
 
 class LugcrossError(Exception):
-    """Root of all errors that lugcross raises.
+    """Base class of all lugcross errors.
 
-    :param what: what went wrong, with the values that matter.
+    :param what: what went wrong, with the relevant values.
     :param remedy: what the reader can do about it.
     """
 
@@ -20,31 +20,31 @@
 
 
 class SettingsError(LugcrossError):
-    """A settings file that cannot be used."""
+    """A settings file is unreadable or invalid."""
 
 
 class ChangeError(LugcrossError):
-    """A change of configuration that was not accepted."""
+    """A configuration change was not accepted, or a record is invalid."""
 
 
 class WireError(LugcrossError):
-    """A fault on a link between two processes of the system."""
+    """Error on a link between two lugcross processes."""
 
 
 class FrameError(WireError):
-    """A frame that is too large or not a known message."""
+    """A frame is too large or contains an unknown message."""
 
 
 class HandshakeError(WireError):
-    """A peer that could not show that it holds the fleet's secret."""
+    """The peer did not prove that it knows the fleet's secret."""
 
 
 class LinkDownError(WireError):
-    """A link that is not there, so that nothing was sent."""
+    """The link is not connected, so nothing was sent."""
 
 
 class PlatformError(LugcrossError):
-    """A service of the platform that did not do what was asked."""
+    """A platform service failed to perform an operation."""
 
 
 class LogUnavailableError(PlatformError):
@@ -52,27 +52,27 @@
 
 
 class LogThrottledError(PlatformError):
-    """The log refused an append because of its rate; nothing was kept."""
+    """The log rejected an append due to its rate limit; nothing was stored."""
 
 
 class AppendConflictError(PlatformError):
-    """An append whose condition does not hold: another one came first."""
+    """A conditional append failed: another append came first."""
 
 
 class AppendUnknownError(PlatformError):
-    """An append without a clear answer: it may have taken effect."""
+    """The outcome of an append is unknown: it may have taken effect."""
 
 
 class OffsetExpiredError(PlatformError):
-    """Records that were asked for are past the log's retention."""
+    """The requested records are older than the log's retention period."""
 
 
 class ReplayGapError(LugcrossError):
-    """Records are missing between the state and the next record."""
+    """Records are missing between the replayed state and the next record."""
 
 
 class Outcome(enum.Enum):
-    """What is known of a request that did not get its whole answer."""
+    """Whether a request without a complete response has run."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
@@ -80,7 +80,7 @@
 
 
 class FailureKind(enum.Enum):
-    """Why a request did not get its whole answer."""
+    """Why a request did not get a complete response."""
 
     BAD_REQUEST = "bad-request"
     BAD_API_KEY = "bad-key"
@@ -123,11 +123,12 @@
 
 
 class RequestError(LugcrossError):
-    """A request that did not get its whole answer.
+    """A request did not get a complete response.
 
-    :param kind: why.
-    :param outcome: what is known of its effect.
-    :param retry_after: when asking again makes sense, if it does.
+    :param kind: reason.
+    :param outcome: whether the request has run.
+    :param retry_after: earliest useful retry by the caller, from now; None
+        if a retry makes no sense or the time is unknown.
     """
 
     def __init__(
@@ -146,7 +147,7 @@
 
     @property
     def status(self) -> http.HTTPStatus:
-        """HTTP status that tells a caller the same."""
+        """HTTP status of the response to the caller."""
         return _HTTP_STATUSES[self.kind]
 
 
--- a/src/lugcross/ids.py
+++ b/src/lugcross/ids.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Identifiers, each a type of its own, so that none stands for another."""
+"""Identifier types, distinct so that the type checker finds mix-ups."""
 
 import secrets
 from typing import NewType
@@ -12,32 +12,32 @@
 ServiceName = NewType("ServiceName", str)
 #: Name of a backend server in the configuration.
 BackendName = NewType("BackendName", str)
-#: Name of a model group (ranks in lock-step) in the configuration.
+#: Name of a model group (ranks that run in lockstep) in the configuration.
 ModelGroupName = NewType("ModelGroupName", str)
 #: Name of a failure domain, from settings.
 DomainName = NewType("DomainName", str)
-#: Name of one process of the system, from settings.
+#: Name of a lugcross process, from its settings.
 NodeName = NewType("NodeName", str)
-#: Drawn anew at each start of a process: tells a restart from a pause.
+#: Random at each process start; distinguishes a restart from a pause.
 Incarnation = NewType("Incarnation", str)
 #: Chosen by the caller (``X-Request-Id``) or by the entry host.
 RequestId = NewType("RequestId", str)
 #: A caller's ``Idempotency-Key``, scoped to its workspace and service.
 IdempotencyKey = NewType("IdempotencyKey", str)
-#: Chosen by the operator; settles an append whose answer was lost.
+#: Chosen by the operator; identifies a change whose response was lost.
 ChangeId = NewType("ChangeId", str)
-#: Position of a record in one stream of the platform's log, from 1.
+#: Offset of a record in a stream of the platform's log, starting at 1.
 Offset = NewType("Offset", int)
-#: Offset of the change that last set an object; 0 where there is none.
+#: Offset of the last change to an object; 0 if the object does not exist.
 Revision = NewType("Revision", int)
-#: Number of one exchange on one link.
+#: Number of a request/response exchange on a link.
 StreamId = NewType("StreamId", int)
 
 _TOKEN_BYTES = 12
 
 
 def new_token() -> str:
-    """Return a random token for ids that must not repeat."""
+    """Return a random hexadecimal token for unique ids."""
     return secrets.token_hex(_TOKEN_BYTES)
 
 
--- a/src/lugcross/logs.py
+++ b/src/lugcross/logs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Logs as JSON lines: on standard error, or bounded on standard output."""
+"""Logging as JSON lines, to standard error or, rate-limited, to a file."""
 
 import json
 import logging as std_logging
@@ -20,14 +20,17 @@
 
 @final
 class JsonFormatter(std_logging.Formatter):
-    """One JSON object a line: time, level, node, message and extras."""
+    """Formats a record as a line of JSON: time, level, node, message, extras.
+
+    :param node: name of this process.
+    """
 
     def __init__(self, node: str) -> None:
         super().__init__()
         self._node = node
 
     def format(self, record: std_logging.LogRecord) -> str:
-        """Return the line for ``record``."""
+        """Return the line without a line break."""
         line: dict[str, Any] = {
             "at": round(record.created, 6),
             "level": record.levelname.lower(),
@@ -43,23 +46,25 @@
         return json.dumps(line, default=str)
 
 
-#: Lines that a process may write in a second, and in a burst; several
-#: times what a busy process needs. Past that they are counted.
+#: Rate limit of a process's log lines; several times what a busy process
+#: writes. Excess lines are dropped and counted.
 MAX_LINES_PER_S = 300.0
+#: Lines that may exceed the rate in a burst.
 _MAX_BURST_LINES = 600.0
-#: Longest line. A pipe takes up to this in one piece, so that a line
-#: whose pipe has room is written without waiting.
+#: Longer lines are cut. A pipe that is ready for writing takes this many bytes
+#: at once (``PIPE_BUF`` on Linux), so the write does not block.
 _MAX_LINE_BYTES = 4096
 
 
 @final
 class NonBlockingHandler(std_logging.Handler):
-    """Writes lines to a descriptor; drops and counts what would wait.
+    """Writes lines to a file descriptor; drops those that would block.
 
-    A reader that has stopped, or a flood of lines, must hold up no
-    request. The next line that is written tells how many were left out.
+    A stalled reader or a flood of log lines must not delay requests. The next
+    line written reports the number of dropped lines in its field ``left_out``.
 
     :param fd: file descriptor, usually of standard output.
+    :ivar dropped_lines: lines dropped since the last one written.
     """
 
     def __init__(self, fd: int, clock: clock_lib.Clock) -> None:
@@ -73,7 +78,7 @@
         self.dropped_lines = 0
 
     def emit(self, record: std_logging.LogRecord) -> None:
-        """Write one record, unless that would wait."""
+        """Write a record, or drop it if it would block or exceed the rate."""
         if not self._take_token() or not self._poll.poll(0):
             self.dropped_lines += 1
             return
@@ -84,7 +89,7 @@
             os.write(self._fd, line)
             self.dropped_lines = 0
         except OSError:
-            # Nobody reads any more; there is nowhere to tell it.
+            # The reader is gone, so there is nowhere to report the error.
             self.dropped_lines += 1
 
     def _take_token(self) -> bool:
@@ -101,7 +106,7 @@
 def set_up_nonblocking_logging(
     node: str, level: str, fd: int
 ) -> NonBlockingHandler:
-    """Send all logs of this process to ``fd``, bounded.
+    """Send all logs of this process to ``fd`` without blocking.
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
     """
@@ -124,13 +129,13 @@
 
     :param level: ``debug``, ``info``, ``warning`` or ``error``.
     """
-    # Settings come from YAML, not from absl's flags; unparsed flags
-    # would put a line that is not JSON before the first.
+    # Settings come from YAML, not from absl's flags. With unparsed flags, absl
+    # would write a warning that is not JSON.
     flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.setFormatter(JsonFormatter(node))
     logging.use_absl_handler()
     logging.set_verbosity(level)
-    # Libraries that log each connection would drown what matters.
+    # These libraries log every connection.
     for name in ("websockets", "urllib3", "opentelemetry"):
         std_logging.getLogger(name).setLevel(std_logging.ERROR)
--- a/src/lugcross/positions.py
+++ b/src/lugcross/positions.py
@@ -1,45 +1,47 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Places in the platform's store, which may come back from an older copy.
+"""Positions in the platform's store, ordered across its recoveries.
 
-Each time it does, a new era begins: what was written since the copy is gone,
-and its offsets are given out again. A position is an offset with its era, so
-that two compare as what they stand for: any place of a later era is past all
-places of the eras before it, whatever their offsets.
+When the store comes back from an older copy, a new era begins: records written
+after the copy are lost and their offsets are assigned again. A position
+combines an era with an offset, so that positions of a later era are always
+greater than those of earlier eras.
 """
 
 from typing import NewType
 
 from lugcross import ids
 
-#: Number of an era of the store; 0 where the store does not tell it.
+#: Number of an era of the store; 0 if the store does not report eras.
 Era = NewType("Era", int)
-#: Era and offset as one number, which is what processes tell each other.
+#: Era and offset packed into one integer, as processes exchange it.
 Position = NewType("Position", int)
 
-#: Bits of an offset: at the store's full rate of 1,200 records a second they
-#: last for 29 years.
+#: Bits of an offset: enough for 29 years at the store's maximum rate of 1,200
+#: records per second.
 _OFFSET_BITS = 40
 _OFFSET_MASK = (1 << _OFFSET_BITS) - 1
-#: Most eras that are told apart; one a minute for two years.
+#: Highest era: enough for a new era per minute for two years.
 MAX_ERA = (1 << 20) - 1
-#: The first place of all.
+#: The lowest position: era 0, offset 0.
 START = Position(0)
 
 
 def position_of(era: Era, offset: ids.Offset) -> Position:
     """Return the position of an offset.
 
-    :raises ValueError: when one of them is out of range.
+    :raises ValueError: if either is out of range.
     """
     if not (0 <= era <= MAX_ERA and 0 <= offset <= _OFFSET_MASK):
-        raise ValueError(f"no place in the store: era {era}, offset {offset}")
+        raise ValueError(
+            f"store position out of range: era {era}, offset {offset}"
+        )
     return Position(era << _OFFSET_BITS | offset)
 
 
 def position_before(end: Position) -> Position:
-    """Return the last place before an end, or the end where it is the first.
+    """Return the position before ``end``, within the same era.
 
-    A place of an earlier era would not tell of this one.
+    :returns: ``end`` itself if its offset is 0.
     """
     return Position(end - 1) if end & _OFFSET_MASK else end
 
--- a/src/lugcross/record_codec.py
+++ b/src/lugcross/record_codec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Records of the log's streams: typed structs in CBOR."""
+"""Encoding of log records: typed structs as CBOR."""
 
 from typing import TypeVar
 
@@ -13,16 +13,16 @@
 
 
 def encode(struct: msgspec.Struct) -> bytes:
-    """Return the bytes of a record; the same for equal structs."""
+    """Return a struct as CBOR; equal structs give equal bytes."""
     return cbor2.dumps(
         msgspec.to_builtins(struct, builtin_types=_NATIVE_TYPES)
     )
 
 
 def decode(data: bytes, cls: type[_T]) -> _T:
-    """Return what a record holds.
+    """Return the struct of type ``cls`` that ``data`` encodes.
 
-    :raises errors.ChangeError: when it is not a ``cls``.
+    :raises errors.ChangeError: if ``data`` is not a valid ``cls``.
     """
     try:
         return msgspec.convert(
@@ -30,6 +30,6 @@
         )
     except (cbor2.CBORDecodeError, msgspec.ValidationError) as exc:
         raise errors.ChangeError(
-            f"record is no {cls.__name__} ({exc})",
-            remedy="find its writer in the log; the record has no effect",
+            f"log record is not a valid {cls.__name__} ({exc})",
+            remedy="the record is ignored; find out which process wrote it",
         ) from exc
--- a/src/lugcross/yamlfile.py
+++ b/src/lugcross/yamlfile.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Settings files: YAML, checked by type, errors with a path."""
+"""Reading of settings files: YAML, validated against typed structs."""
 
 import pathlib
 from typing import Any
@@ -14,11 +14,11 @@
 
 
 def parse(text: str, cls: type[_S], *, source: str) -> _S:
-    """Return checked settings.
+    """Return the settings in a YAML text as a ``cls``.
 
-    :param text: YAML.
-    :param source: file to name in errors.
-    :raises errors.SettingsError: naming file, path and remedy.
+    :param source: file name for error messages.
+    :raises errors.SettingsError: if they are invalid; names file, path of the
+        field and remedy.
     """
     raw = parse_untyped(text, source)
     try:
@@ -30,9 +30,9 @@
 
 
 def load(path: str, cls: type[_S]) -> _S:
-    """Return the checked settings in the file at ``path``.
+    """Return the settings in the file at ``path`` as a ``cls``.
 
-    :raises errors.SettingsError: naming file, path and remedy.
+    :raises errors.SettingsError: if the file is unreadable or invalid.
     """
     return parse(read_text(path), cls, source=path)
 
@@ -40,7 +40,7 @@
 def read_text(path: str) -> str:
     """Return the text of a settings file.
 
-    :raises errors.SettingsError: when it cannot be read.
+    :raises errors.SettingsError: if it cannot be read.
     """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
@@ -52,15 +52,16 @@
 
 
 def parse_untyped(text: str, source: str) -> Any:
-    """Return what the YAML in ``text`` holds.
+    """Return the value of a YAML text, without validation.
 
-    :raises errors.SettingsError: when it is not YAML.
+    :param source: file name for error messages.
+    :raises errors.SettingsError: if ``text`` is not valid YAML.
     """
     try:
         return yaml.safe_load(text)
     except yaml.YAMLError as exc:
         raise errors.SettingsError(
-            f"{source}: not YAML ({exc})", remedy="mend the line it names"
+            f"{source}: not YAML ({exc})", remedy="fix the line named above"
         ) from exc
 
 
