--- a/testing/cli/test_shares.py
+++ b/testing/cli/test_shares.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Operators see who has how much of a service, and who was refused."""
+"""``lugcross shares``: running and refused requests by workspace."""
 
 from collections.abc import Iterator
 import http.server
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def address() -> Iterator[str]:
-    """Return where a process's figures are."""
+    """Serve a process's metrics; return their address."""
 
     class Handler(http.server.BaseHTTPRequestHandler):
         def do_GET(self) -> None:
@@ -46,7 +46,7 @@
     server.server_close()
 
 
-def test_heaviest_workspace_comes_first_and_refusals_are_summed(address: str):
+def test_busiest_workspace_comes_first_and_refusals_are_summed(address: str):
     runner = click_testing.CliRunner()
     found = runner.invoke(shares.shares, [address, address])
     assert found.exit_code == 0, found.output
@@ -58,7 +58,7 @@
     ]
 
 
-def test_process_that_does_not_answer_is_named_with_the_remedy():
+def test_error_names_the_unreachable_process_and_a_remedy():
     found = click_testing.CliRunner().invoke(shares.shares, [f"{HOST}:1"])
     assert found.exit_code == 1
     assert "listen.metrics" in found.output
--- a/testing/http1/test_bad_input.py
+++ b/testing/http1/test_bad_input.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a caller's connection does with bytes that are no request."""
+"""Server connections with invalid requests and unusual framing."""
 
 import asyncio
 import datetime
@@ -11,14 +11,14 @@
 from lugcross import desired
 from lugcross import http1
 
-NOW = datetime.timedelta()
+NO_TIME = datetime.timedelta()
 OK = b"HTTP/1.1 200 "
 
 
 def _send_to_server(
     data: bytes, *, limits: desired.RequestLimits = edge_rig.LIMITS
 ) -> bytes:
-    """Send bytes to an echoing server; return all that comes back."""
+    """Send bytes to an echo server; return all that it sends back."""
 
     async def echo(response: http1.ResponseWriter, req: http1.Request) -> None:
         body = req.method + b" " + req.target + b" " + (req.body or b"-")
@@ -75,30 +75,30 @@
         (_post(b"Transfer-Encoding: gzip"), b"501"),
     ],
     ids=[
-        "no-http",
-        "no-host",
+        "not-http",
+        "missing-host",
         "long-head",
         "long-body",
         "bad-length",
-        "two-lengths",
-        "length-and-chunks",
+        "conflicting-lengths",
+        "length-and-chunked",
         "unknown-coding",
     ],
 )
-def test_bad_request_gets_an_error_and_the_connection_ends(data, status):
+def test_bad_request_gets_error_response_and_connection_closes(data, status):
     got = _send_to_server(data)
     assert got.startswith(b"HTTP/1.1 " + status)
     assert b"close" in got.lower()
     assert OK not in got
 
 
-def test_chunked_body_past_the_limit_is_refused():
+def test_chunked_body_over_the_limit_is_refused():
     body = b"800\r\n" + b"x" * 0x800 + b"\r\n0\r\n\r\n"
     got = _send_to_server(_post(b"Transfer-Encoding: chunked", body=body))
     assert got.startswith(b"HTTP/1.1 413")
 
 
-def test_bytes_within_a_body_are_no_request():
+def test_request_inside_a_body_is_not_served():
     inner = b"GET /inner HTTP/1.1\r\nHost: h\r\n\r\n"
     length = b"Content-Length: %d" % len(inner)
     got = _send_to_server(_post(length, b"Connection: close", body=inner))
@@ -113,23 +113,23 @@
     assert got.index(b"GET /1") < got.index(b"GET /2")
 
 
-def test_slow_head_is_refused_as_not_run():
-    limits = desired.RequestLimits(
+def test_slow_head_times_out_and_idle_connection_closes():
+    no_time = desired.RequestLimits(
         max_head_bytes=4096,
         max_body_bytes=1024,
-        head_timeout=NOW,
-        idle_timeout=NOW,
+        head_timeout=NO_TIME,
+        idle_timeout=NO_TIME,
     )
-    slow = desired.RequestLimits(
+    no_head_time = desired.RequestLimits(
         max_head_bytes=4096,
         max_body_bytes=1024,
-        head_timeout=NOW,
+        head_timeout=NO_TIME,
         idle_timeout=edge_rig.LIMITS.idle_timeout,
     )
-    assert _send_to_server(b"GET / HT", limits=slow).startswith(
+    assert _send_to_server(b"GET / HT", limits=no_head_time).startswith(
         b"HTTP/1.1 408"
     )
-    assert _send_to_server(b"", limits=limits) == b""
+    assert _send_to_server(b"", limits=no_time) == b""
 
 
 def test_head_request_gets_no_body():
--- a/testing/http1/test_client.py
+++ b/testing/http1/test_client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A connection to a backend server that does what it should not."""
+"""Client connections to servers that misbehave."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -53,7 +53,7 @@
     return answer.status, body
 
 
-def test_early_answer_to_a_long_body_is_read_and_ends_the_connection():
+def test_early_response_to_a_long_body_is_read_without_connection_reuse():
     size = 16 * 1_048_576
 
     async def act(conn):
@@ -68,7 +68,7 @@
     assert _run_against(early, act) == (413, False)
 
 
-def test_answer_without_length_ends_with_its_connection():
+def test_response_without_length_ends_with_its_connection():
     plain = _respond_with(b"HTTP/1.1 200 OK\r\n\r\nwhole", close=True)
 
     async def act(conn):
@@ -77,7 +77,7 @@
     assert _run_against(plain, act) == ((200, b"whole"), False)
 
 
-def test_answer_without_length_that_is_reset_is_not_whole():
+def test_response_without_length_is_broken_by_a_reset():
     async def serve(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\n\r\npart")
@@ -99,7 +99,7 @@
     assert _run_against(serve, act) == b"part"
 
 
-def test_provisional_answers_are_passed_over():
+def test_provisional_responses_are_skipped():
     data = (
         b"HTTP/1.1 103 Early\r\nX: 1\r\n\r\n"
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
@@ -112,7 +112,7 @@
     [b"", b"HTTP/1.1 200", b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab"],
     ids=["nothing", "half-a-head", "half-a-body"],
 )
-def test_connection_that_ends_early_is_broken(data):
+def test_connection_that_closes_early_is_broken(data):
     async def act(conn):
         with pytest.raises(http1.ConnectionBrokenError):
             await _get(conn)
@@ -121,7 +121,7 @@
     assert _run_against(_respond_with(data, close=True), act) is False
 
 
-def test_nobody_there_proves_that_nothing_was_sent():
+def test_refused_connection_proves_that_nothing_was_sent():
     async def main():
         server = await asyncio.start_server(_respond_with(b""), "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
@@ -133,7 +133,7 @@
     asyncio.run(main())
 
 
-def test_request_that_the_peer_took_is_acknowledged():
+def test_received_request_counts_as_acknowledged():
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
         await conn.read_head()
@@ -142,10 +142,10 @@
     assert _run_against(_respond_with(b"HTTP/1.1 200 X\r\n\r\n"), act) is False
 
 
-def test_request_of_which_no_byte_was_acknowledged_is_told(monkeypatch):
+def test_request_without_any_acknowledged_byte_is_detected(monkeypatch):
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
-        # What the kernel holds is all that was sent.
+        # The kernel's send queue holds the entire request.
         held = struct.pack("i", len(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"))
         monkeypatch.setattr(fcntl, "ioctl", lambda *args: held)
         unacknowledged = conn.nothing_acknowledged()
@@ -159,7 +159,7 @@
     )
 
 
-def test_platform_that_cannot_tell_has_acknowledged_all(monkeypatch):
+def test_request_counts_as_acknowledged_where_ioctl_fails(monkeypatch):
     async def act(conn):
         conn.send(b"GET", b"/", HEADERS, b"")
         monkeypatch.setattr(fcntl, "ioctl", _no_ioctl)
@@ -169,4 +169,4 @@
 
 
 def _no_ioctl(*args: object) -> bytes:
-    raise OSError(22, "not known here")
+    raise OSError(22, "not supported")
--- a/testing/observe/test_export.py
+++ b/testing/observe/test_export.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Metrics and spans leave the process as the settings say."""
+"""Export of metrics and spans as configured, and the decision journal."""
 
 from collections.abc import Iterable
 import datetime
@@ -13,7 +13,7 @@
 from lugcross.standin import faults
 
 
-def test_counters_and_times_go_to_statsd_under_the_nodes_name() -> None:
+def test_counters_and_timers_go_to_statsd_under_the_node_name() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind(("127.0.0.1", 0))
         sock.settimeout(10)
--- a/testing/observe/test_request_timeline.py
+++ b/testing/observe/test_request_timeline.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""One request's story from many processes' lines."""
+"""Timelines of requests from the log lines of several processes."""
 
 import json
 import pathlib
@@ -34,7 +34,7 @@
     return [(line.at, line.message) for line in found]
 
 
-def test_timeline_holds_own_lines_and_the_state_of_their_process() -> None:
+def test_timeline_contains_own_lines_and_state_of_their_process() -> None:
     assert _timeline(LOG, "r1") == [
         (2.0, "desired state"),
         (2.6, "store regained"),
@@ -44,8 +44,8 @@
     ]
 
 
-def test_timeline_holds_other_attempts_of_the_same_request() -> None:
-    tries = [
+def test_timeline_contains_other_attempts_at_the_same_request() -> None:
+    attempts = [
         _line_text(
             1.0,
             "n1",
@@ -63,7 +63,7 @@
         _line_text(2.5, "n2", "refused", request="r3", same="other"),
         _line_text(3.0, "n3", "refused", request="r4", same="f"),
     ]
-    assert [at for at, _ in _timeline(tries, "r4")] == [1.0, 2.0, 3.0]
+    assert [at for at, _ in _timeline(attempts, "r4")] == [1.0, 2.0, 3.0]
 
 
 def test_order_of_the_logs_does_not_matter() -> None:
@@ -74,7 +74,7 @@
     assert _timeline(LOG, "r9") == []
 
 
-def test_broken_lines_are_counted_and_left_out() -> None:
+def test_malformed_lines_are_counted_and_skipped() -> None:
     reader = request_timeline.LogReader()
     texts = ["", "no line", '{"at": 1', "[1]", '{"at": "x"}', LOG[0]]
     lines = list(reader.read(texts))
@@ -82,14 +82,14 @@
     assert reader.malformed_count == 4
 
 
-def test_text_before_a_line_is_skipped_and_lost_lines_are_summed() -> None:
+def test_text_before_a_line_is_skipped_and_dropped_lines_are_summed() -> None:
     reader = request_timeline.LogReader()
     text = "  12.3 n1 " + _line_text(1.0, "n1", "answered", left_out=7)
     assert len(list(reader.read([text]))) == 1
     assert reader.dropped_count == 7
 
 
-def test_command_marks_the_requests_own_lines(tmp_path: pathlib.Path) -> None:
+def test_command_marks_lines_of_the_request(tmp_path: pathlib.Path) -> None:
     log = tmp_path / "n1.log"
     log.write_text("\n".join([*LOG, "cut off"]))
     runner = click.testing.CliRunner()
@@ -103,7 +103,7 @@
     assert "1 lines are broken" in result.output
 
 
-def test_command_says_what_to_check_where_there_is_no_line(
+def test_command_without_matching_lines_says_what_to_check(
     tmp_path: pathlib.Path,
 ) -> None:
     log = tmp_path / "n1.log"
--- a/testing/test_app.py
+++ b/testing/test_app.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Life cycle of a process under signals."""
+"""Application life cycle under signals."""
 
 import signal
 import sys
@@ -7,18 +7,19 @@
 
 from lugcross import app as app_lib
 
-#: Calls made by the first signal's handler that are interrupted by another.
-INTERRUPTED = 40
+#: Function calls within signal handlers that are interrupted by a further
+#: signal.
+INTERRUPTED_CALLS = 40
 
 
-def test_signals_that_interrupt_the_first_one_still_stop_it() -> None:
+def test_signals_within_a_signal_handler_still_stop_the_process() -> None:
     stopped: list[str] = []
-    left = INTERRUPTED
+    remaining = INTERRUPTED_CALLS
 
     def interrupt(frame: types.FrameType, event: str, arg: object) -> None:
-        nonlocal left
-        if left and event in ("call", "c_call"):
-            left -= 1
+        nonlocal remaining
+        if remaining and event in ("call", "c_call"):
+            remaining -= 1
             signal.raise_signal(signal.SIGTERM)
 
     def start() -> None:
@@ -33,10 +34,10 @@
     app.add(app_lib.Hook(name="part", start=start, stop=stop))
     app.run()
     assert stopped == ["part"]
-    assert left < INTERRUPTED
+    assert remaining < INTERRUPTED_CALLS
 
 
-def test_signal_before_all_parts_have_started_stops_after_the_start() -> None:
+def test_signal_during_start_drains_and_stops_after_the_start() -> None:
     order: list[str] = []
     app = app_lib.Application(name="early")
 
--- a/testing/test_clock.py
+++ b/testing/test_clock.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A machine that is suspended: its steady clock stands still meanwhile.
+"""Clocks of a suspended host: ``CLOCK_MONOTONIC`` stops meanwhile.
 
-What was believed before was as young afterwards as when the machine fell
-asleep, and deadlines that had passed long ago were still to come::
+By that clock, data did not age during a suspension, and deadlines that had
+passed were still in the future::
 
-    steady clock 100.0 s, time since start 100.0 s
-    steady clock 100.1 s, time since start 107.1 s, age of the list 0.1 s
+    CLOCK_MONOTONIC 100.0 s, time since boot 100.0 s
+    CLOCK_MONOTONIC 100.1 s, time since boot 107.1 s, age of the list 0.1 s
 """
 
 import asyncio
@@ -17,45 +17,45 @@
 from lugcross import clock
 
 
-#: Turns of the loop until a timer that is due has ended its task.
-TURNS = 5
+#: Event loop iterations until a due timer has ended its task.
+LOOP_ITERATIONS = 5
 
 
-class _Suspended:
-    """The two clocks of a machine that can be suspended."""
+class _SuspendableHost:
+    """Fakes the clocks of a host that can be suspended."""
 
     def __init__(self) -> None:
-        self._steady = time.monotonic
-        self.slept = 0.0
+        self._monotonic = time.monotonic
+        self.suspended_s = 0.0
 
-    def steady(self) -> float:
-        return self._steady()
+    def monotonic(self) -> float:
+        return self._monotonic()
 
-    def gettime(self, which: int) -> float:
+    def clock_gettime(self, which: int) -> float:
         assert which == time.CLOCK_BOOTTIME
-        return self._steady() + self.slept
+        return self._monotonic() + self.suspended_s
 
 
 @pytest.fixture
-def machine(monkeypatch) -> _Suspended:
-    found = _Suspended()
-    monkeypatch.setattr(time, "clock_gettime", found.gettime)
+def host(monkeypatch) -> _SuspendableHost:
+    found = _SuspendableHost()
+    monkeypatch.setattr(time, "clock_gettime", found.clock_gettime)
     return found
 
 
-def test_age_counts_the_time_of_a_suspension(machine):
+def test_age_includes_time_in_suspension(host):
     system = clock.SystemClock()
     before = system.monotonic()
-    machine.slept = 7.0
+    host.suspended_s = 7.0
     assert system.monotonic() - before >= datetime.timedelta(seconds=7)
 
 
-def test_timer_is_due_after_a_suspension(machine):
+def test_timer_is_due_after_a_suspension(host):
     async def main() -> bool:
         late = asyncio.create_task(asyncio.sleep(3600))
         await asyncio.sleep(0)
-        machine.slept = 7200.0
-        for _ in range(TURNS):
+        host.suspended_s = 7200.0
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
         return late.done()
 
--- a/testing/test_logs.py
+++ b/testing/test_logs.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Logs of a process must hold up nothing, whoever reads them."""
+"""Logging must never block a process, whatever the reader does."""
 
 import json
 import logging
@@ -19,10 +19,10 @@
     return handler
 
 
-def test_blocked_reader_costs_lines_and_no_time():
+def test_stalled_reader_loses_lines_without_blocking():
     out, into = os.pipe()
     handler = _handler(into)
-    # Would block for good at a full pipe if a line were written.
+    # Writing to the full pipe would block forever.
     for _ in range(500):
         handler.emit(_record("x" * 1000))
     assert handler.dropped_lines > 0
@@ -33,7 +33,7 @@
     assert handler.dropped_lines == 0
 
 
-def test_flood_is_cut_off_and_counted():
+def test_excess_lines_are_dropped_and_counted():
     out, into = os.pipe()
     handler = _handler(into)
     written = 0
@@ -45,7 +45,7 @@
     assert handler.dropped_lines > 1000
 
 
-def test_reader_that_is_gone_harms_nothing():
+def test_closed_reader_causes_no_error():
     out, into = os.pipe()
     handler = _handler(into)
     os.close(out)
