--- a/src/lugcross/cli/ctl.py
+++ b/src/lugcross/cli/ctl.py
@@ -32,12 +32,14 @@
         self.client = client
         self.as_json = as_json
 
-    def show(self, msg: message.Message, text: Callable[[], None]) -> None:
-        """Print ``msg`` as JSON, or call ``text`` to print it."""
+    def show(
+        self, msg: message.Message, print_text: Callable[[], None]
+    ) -> None:
+        """Print ``msg`` as JSON, or call ``print_text`` instead."""
         if self.as_json:
             click.echo(json.dumps(render.message_to_dict(msg)))
         else:
-            text()
+            print_text()
 
     def finish(self, reply: pb.ChangeReply) -> None:
         """Print the outcome of a change and exit with its status."""
--- a/src/lugcross/cli/render.py
+++ b/src/lugcross/cli/render.py
@@ -60,7 +60,7 @@
     state = reply.unready or "ready"
     click.echo(
         f"{reply.node} in {reply.domain}: {state}; configuration at offset "
-        f"{reply.offset}, updated {reply.knowledge_age_s:.1f} s ago; "
+        f"{reply.offset}, last confirmed {reply.knowledge_age_s:.1f} s ago; "
         f"{reply.inflight} requests in progress; "
         f"{'relay of the log' if reply.relay else 'no relay'}"
     )
--- a/src/lugcross/cli/shares.py
+++ b/src/lugcross/cli/shares.py
@@ -48,23 +48,23 @@
                 if sample.name not in (_RUNNING_METRIC, _REFUSED_METRIC):
                     continue
                 labels = sample.labels
-                entry = _WorkspaceOfService(
+                key = _WorkspaceOfService(
                     labels["service"], labels["workspace"]
                 )
                 count = int(sample.value)
                 if sample.name == _RUNNING_METRIC:
-                    most = max(count, self.running.get(entry, 0))
-                    self.running[entry] = most
+                    most = max(count, self.running.get(key, 0))
+                    self.running[key] = most
                 else:
-                    self.refused[entry] += count
+                    self.refused[key] += count
 
     def rows(self) -> Iterable[str]:
         """Return a line per workspace, by service and descending usage."""
-        entries = sorted(
+        keys = sorted(
             self.running.keys() | self.refused.keys(),
             key=lambda one: (one.service, -self.running.get(one, 0)),
         )
-        for one in entries:
+        for one in keys:
             running = self.running.get(one, 0)
             refused = self.refused[one]
             names = f"{one.service:20} {one.workspace:20}"
