--- a/src/lugcross/http1/client.py
+++ b/src/lugcross/http1/client.py
@@ -217,7 +217,7 @@
         Called when the response just read belongs to an earlier request: the
         response to this request may still follow.
         """
-        rest, _ = self._h11.trailing_data
+        unread, _ = self._h11.trailing_data
         self._h11 = _h11_connection()
         # Nothing goes to the socket: this only puts the new h11 state machine
         # into the state after a sent request.
@@ -225,8 +225,8 @@
             h11.Request(method=method, target=b"/", headers=[(b"Host", b"-")])
         )
         self._h11.send(h11.EndOfMessage())
-        if rest:
-            self._h11.receive_data(rest)
+        if unread:
+            self._h11.receive_data(unread)
 
     def close(self) -> None:
         """Close immediately and discard unsent data."""
