--- a/src/lugcross/cli/ctl.py
+++ b/src/lugcross/cli/ctl.py
@@ -336,7 +336,7 @@
 @ctl.command()
 @click.pass_obj
 def status(session: _Session) -> None:
-    """Show the state of the entry host and the backend servers it reaches."""
+    """Show the state of the entry host and its peers."""
     reply = session.client.status()
     session.show(reply, lambda: render.print_status(reply))
 
@@ -345,7 +345,7 @@
 @click.argument("subject")
 @click.pass_obj
 def explain(session: _Session, subject: str) -> None:
-    """Show the decisions about a request, backend server or change."""
+    """Show decisions about a request, server or change."""
     reply = session.client.explain(subject)
     session.show(reply, lambda: render.print_decisions(reply))
 
@@ -358,7 +358,7 @@
 @click.option("--dry-run", is_flag=True, help="Only show the differences.")
 @click.pass_obj
 def apply(session: _Session, file: str, prune: bool, dry_run: bool) -> None:
-    """Show how FILE differs from the current configuration, and apply it."""
+    """Compare FILE with the current configuration and apply it."""
     text = pathlib.Path(file).read_text(encoding="utf-8")
     wanted = cfg.load_wanted(text, source=file)
     found = cfg.compare(
--- a/src/lugcross/http1/client.py
+++ b/src/lugcross/http1/client.py
@@ -17,7 +17,7 @@
 
 #: Result of ``TIOCOUTQ``: bytes in the socket's send queue that the peer's
 #: host has not acknowledged.
-_QUEUED_BYTES = struct.Struct("i")
+_SEND_QUEUE_SIZE = struct.Struct("i")
 _READ_BYTES = 65_536
 #: Limit of asyncio's read buffer, per connection.
 _MAX_BUFFERED_BYTES = 262_144
@@ -137,12 +137,12 @@
         sock: socket.socket = self._writer.get_extra_info("socket")
         try:
             raw = fcntl.ioctl(
-                sock, termios.TIOCOUTQ, bytes(_QUEUED_BYTES.size)
+                sock, termios.TIOCOUTQ, bytes(_SEND_QUEUE_SIZE.size)
             )
         except (OSError, ValueError) as exc:
             logging.debug("cannot read the socket's send queue: %s", exc)
             return False
-        queued: int = _QUEUED_BYTES.unpack(raw)[0]
+        queued: int = _SEND_QUEUE_SIZE.unpack(raw)[0]
         waiting = self._writer.transport.get_write_buffer_size()
         return queued + waiting >= self._last_request_bytes
 
