--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -71,7 +71,7 @@
             if response.head_written:
                 return
             await response.write_head(
-                exc.status, exc.headers(), exc.body(), whole=True
+                exc.status, exc.headers(), exc.body(), complete=True
             )
 
     def _check_request(
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -271,8 +271,11 @@
     ("priority", "expected"), [(1, 0), (2, 1), (5, 2), (9, 3), (0, 0)], ids=str
 )
 def test_more_urgent_priorities_of_a_service_are_counted(priority, expected):
-    assert _state(1, 2, 2, 5).priorities_ahead(SERVICE, priority) == expected
-    assert _state(1).priorities_ahead(ids.ServiceName("other"), 9) == 0
+    assert (
+        _state(1, 2, 2, 5).count_priorities_ahead(SERVICE, priority)
+        == expected
+    )
+    assert _state(1).count_priorities_ahead(ids.ServiceName("other"), 9) == 0
 
 
 def test_metrics_name_only_the_heaviest_workspaces():
