--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -47,7 +47,7 @@
 _DRAIN_CHECK_INTERVAL_S = 0.05
 #: Large enough for all callers that reconnect after this process was frozen
 #: for a second.
-_LISTEN_BACKLOG = 1024
+_MAX_PENDING_CONNECTIONS = 1024
 #: Bits of the random number that marks the map versions of this process.
 _MAP_OWNER_BITS = 16
 #: Upper bound of the age gauge, shown while the age is not known.
@@ -176,7 +176,7 @@
             await asyncio.start_server(
                 self._serve_caller,
                 *address.split_host_port(listen.callers),
-                backlog=_LISTEN_BACKLOG,
+                backlog=_MAX_PENDING_CONNECTIONS,
             ),
             await asyncio.start_server(
                 self._serve_readiness, *address.split_host_port(listen.ready)
