--- a/testing/test_constants.py
+++ b/testing/test_constants.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Constants have a unit, comments tell no tuning, code no deployment."""
+"""Checks of constants, comments and deployment names in the source."""
 
 import ast
 import io
@@ -12,8 +12,8 @@
 import lugcross
 
 ROOT = pathlib.Path(lugcross.__file__).parent
-#: Packages whose constants decide where users run.
-PACKAGES = (
+#: Packages whose constants must name a unit, or have a type that does.
+UNIT_CHECKED_PACKAGES = (
     "edge",
     "experts",
     "routing",
@@ -21,39 +21,43 @@
     "crash_suspects",
     "membership",
 )
-MODULES = sorted(
-    path for name in PACKAGES for path in (ROOT / name).rglob("*.py")
+UNIT_CHECKED_MODULES = sorted(
+    path
+    for name in UNIT_CHECKED_PACKAGES
+    for path in (ROOT / name).rglob("*.py")
 )
-EVERYTHING = sorted(ROOT.rglob("*.py"))
+ALL_MODULES = sorted(ROOT.rglob("*.py"))
 
 
 def _module_id(path: pathlib.Path) -> str:
     return path.relative_to(ROOT).as_posix()
 
 
-#: Names of deployments, of their services and of their kinds of requests.
-NAMES = re.compile(
+#: Names of users' deployments, their services and their kinds of requests.
+DEPLOYMENT_NAMES = re.compile(
     r"kstp|peticiona|obrador|bsas|capataz|planilla|modelo|registro"
     r"|repair-reply|lease-digest|resumen|clasifica|fichada|consulta"
     r"|nota-extras|horas-disputa|vake|saburtalo|didube|cba-|ros-a",
     re.IGNORECASE,
 )
 
-#: Words of a name that tell the unit of a number.
+#: Words that name a unit when they are part of a constant's name.
 UNIT_WORDS = frozenset(
     """S MS BYTES BITS CHARS PER COUNT RATIO FRACTION FACTOR WEIGHT
     PERCENTILE LEVEL PORT""".split()
 )
-#: A count named by what is counted: ``MAX_IDLE_CONNECTIONS``,
+#: A plural: ``CRASHES``, but not ``STATUS``, ``AXIS`` or ``LESS``.
+_PLURAL = r"[A-Z]{2,}(?<![SUI])S"
+#: A count, named by what is counted: ``MAX_IDLE_CONNECTIONS``,
 #: ``CRASHES_TO_REFUSE``.
 COUNT_NAME = re.compile(
-    r"^_?(?:(?:MAX|MIN)_(?:[A-Z]+_)*[A-Z]{2,}(?<![SUI])S(?:_[A-Z]+)*"
-    r"|[A-Z]{2,}(?<![SUI])S_(?:TO|BEFORE)_[A-Z_]+)$"
+    rf"^_?(?:(?:MAX|MIN)_(?:[A-Z]+_)*{_PLURAL}(?:_[A-Z]+)*"
+    rf"|{_PLURAL}_(?:TO|BEFORE)_[A-Z_]+)$"
 )
-#: Calls whose result is a number.
-NUMERIC_CALLS = frozenset({"int", "float", "round", "len", "min", "max"})
-#: Calls that tell the type of their result although in lower case.
-TYPED_CALLS = frozenset({"timedelta", "compile"})
+#: Functions that return a number.
+NUMBER_FUNCTIONS = frozenset({"int", "float", "round", "len", "min", "max"})
+#: Constructors and factories in lower case; their result has its own type.
+LOWER_CASE_CONSTRUCTORS = frozenset({"timedelta", "compile"})
 
 #: Quantities that the code measures and peers that it chooses while it runs.
 #: They say nothing of how a constant was found, so they are cut from a
@@ -84,7 +88,7 @@
     r"|\bexperiment(?:s|ed|ally)?\b|\bbenchmark(?:s|ed)?\b",
     re.IGNORECASE,
 )
-#: Words that tell of a run, its figures or its machine.
+#: Words about a trial: its length, its results or its machine.
 RUN_WORDS = re.compile(
     r"\bin virtual time\b|\bsimulat(?:ed|ions?)\b"
     r"|\b\w+ plays\b|\b\d+ (?:runs|seeds|soaks)\b"
@@ -95,12 +99,16 @@
     r"|\b(?:instead of|rather than) \d[\d.]*(?: ?(?:s|ms|%))?\b",
     re.IGNORECASE,
 )
-#: A figure of more than one digit; years and units of size aside.
-FIGURE = re.compile(r"(?<![\w.*=/-])(?!1970)(?:\d*\.\d+|\d{2,})(?![\w*])")
-#: Figures in one sentence from which on it is taken for the table of a run.
-MIN_TABLE_FIGURES = 4
-#: What only tells of the past: no participle of a present perfect or passive.
-PAST = re.compile(
+#: A number with a decimal point or at least two digits. It is not the year
+#: of the epoch and not part of a name, a path or a formula.
+NUMBER_IN_TEXT = re.compile(
+    r"(?<![\w.*=/-])(?!1970)(?:\d*\.\d+|\d{2,})(?![\w*])"
+)
+#: A sentence with this many numbers is taken for a table of results.
+MIN_TABLE_NUMBERS = 4
+#: Verbs in the past tense. The words excluded before them turn the same form
+#: into a participle or begin a relative clause, as in ``is refused``.
+PAST_TENSE = re.compile(
     r"(?<!\bhas )(?<!\bhave )(?<!\bis )(?<!\bare )(?<!\bbe )(?<!\bbeen )"
     r"(?<!\bjust )(?<!\balready )(?<!\bthat )(?<!\bwhich )"
     r"\b(?:was|were|had|got|took|gave|cost|fell|rose|grew|came|went|ran"
@@ -111,22 +119,25 @@
 )
 
 
-def _tells_of_a_run(text: str) -> bool:
-    """Tell whether a sentence gives a figure for what happened once.
+def _describes_a_run(text: str) -> bool:
+    """Tell whether a sentence reports the results of a trial.
 
-    One or two figures for what happens always, in the present tense, may be
-    a reason; many of them are the table of a run.
+    Words about a trial suffice, and so does a number with a verb in the past
+    tense. In the present tense, a few numbers may be a reason.
     """
-    figures = len(FIGURE.findall(text))
+    numbers = len(NUMBER_IN_TEXT.findall(text))
     return bool(
         RUN_WORDS.search(text)
-        or (figures and PAST.search(text))
-        or figures >= MIN_TABLE_FIGURES
+        or (numbers and PAST_TENSE.search(text))
+        or numbers >= MIN_TABLE_NUMBERS
     )
 
 
 def _constants(tree: ast.Module) -> list[tuple[str, ast.expr, int]]:
-    """Return name, value and line of each constant of modules and classes."""
+    """Return name, value and line of each constant of a module.
+
+    Constants in the body of a class are included.
+    """
     found = []
     bodies = [tree.body]
     bodies += [n.body for n in ast.walk(tree) if isinstance(n, ast.ClassDef)]
@@ -145,9 +156,11 @@
 
 
 def _has_bare_number(value: ast.expr, known: dict[str, ast.expr]) -> bool:
-    """Tell whether a value is, or holds, what its type does not explain.
+    """Tell whether a value is or contains a number whose type has no unit.
 
-    What is not recognised counts as a bare number.
+    An expression of an unknown kind counts as such a number.
+
+    :param known: the values of the module's constants, by name.
     """
     match value:
         case ast.Constant():
@@ -175,11 +188,12 @@
             owner = ast.unparse(value.value).rpartition(".")[2]
             return not owner[:1].isupper() or owner.isupper()
         case ast.Call():
+            # The result of a class, such as ``Rank(0)``, has its type.
             name = ast.unparse(value.func).rpartition(".")[2]
             if name in ("frozenset", "tuple", "set", "dict"):
                 return any(_has_bare_number(one, known) for one in value.args)
-            return name not in TYPED_CALLS and (
-                name in NUMERIC_CALLS or not name[:1].isupper()
+            return name not in LOWER_CASE_CONSTRUCTORS and (
+                name in NUMBER_FUNCTIONS or not name[:1].isupper()
             )
         case _:
             return True
@@ -191,8 +205,8 @@
     )
 
 
-def _without_unit(source: str) -> list[str]:
-    """Return the constants of a module that have no unit, with their lines."""
+def _constants_without_unit(source: str) -> list[str]:
+    """Return line and name of each constant of a module without a unit."""
     constants = _constants(ast.parse(source))
     known = {name: value for name, value, _ in constants}
     return [
@@ -203,7 +217,7 @@
 
 
 def _comments(source: str) -> list[tuple[int, str]]:
-    """Return each block of comment lines, joined, and its first line."""
+    """Return first line and joined text of each block of comments."""
     found: list[tuple[int, str]] = []
     last = 0
     for token in tokenize.generate_tokens(io.StringIO(source).readline):
@@ -220,7 +234,7 @@
 
 
 def _docstrings(source: str) -> list[tuple[int, str]]:
-    """Return each string that stands alone as a statement, and its line."""
+    """Return line and text of each string that is a statement."""
     return [
         (node.lineno, " ".join(node.value.value.split()))
         for node in ast.walk(ast.parse(source))
@@ -230,14 +244,17 @@
     ]
 
 
-def _tuning_stories(source: str) -> list[str]:
-    """Return what comments and docstrings tell of tuning and of runs."""
+def _sentences_about_tuning(source: str) -> list[str]:
+    """Return line and text of each sentence about tuning or a trial.
+
+    Comments and docstrings are searched.
+    """
     return [
         f"{line}: {sentence}"
         for line, text in _comments(source) + _docstrings(source)
-        for sentence in re.split(r"(?<=\w[.])\s|(?<=\W[.])\s|\s:param ", text)
+        for sentence in re.split(r"(?<=[.])\s|\s:param ", text)
         if TUNING.search(RUNTIME_PHRASES.sub("", sentence))
-        or _tells_of_a_run(sentence)
+        or _describes_a_run(sentence)
     ]
 
 
@@ -256,7 +273,7 @@
     ],
 )
 def test_a_bare_number_without_unit_is_found(line: str) -> None:
-    assert _without_unit(line)
+    assert _constants_without_unit(line)
 
 
 @pytest.mark.parametrize(
@@ -275,7 +292,7 @@
     ],
 )
 def test_a_unit_or_a_type_is_enough(line: str) -> None:
-    assert not _without_unit(line)
+    assert not _constants_without_unit(line)
 
 
 @pytest.mark.parametrize(
@@ -293,8 +310,8 @@
     ],
 )
 def test_a_story_of_tuning_is_found(text: str) -> None:
-    assert _tuning_stories(f"# {text}\n")
-    assert _tuning_stories(f'"""{text}"""\n')
+    assert _sentences_about_tuning(f"# {text}\n")
+    assert _sentences_about_tuning(f'"""{text}"""\n')
 
 
 @pytest.mark.parametrize(
@@ -314,8 +331,8 @@
     ],
 )
 def test_a_runtime_phrase_hides_no_story_of_tuning(text: str) -> None:
-    assert _tuning_stories(f"# {text}\n")
-    assert _tuning_stories(f'"""{text}"""\n')
+    assert _sentences_about_tuning(f"# {text}\n")
+    assert _sentences_about_tuning(f'"""{text}"""\n')
 
 
 @pytest.mark.parametrize(
@@ -334,20 +351,20 @@
     ],
 )
 def test_a_plain_reason_is_no_story(text: str) -> None:
-    assert not _tuning_stories(f"# {text}\n")
-    assert not _tuning_stories(f'"""{text}"""\n')
+    assert not _sentences_about_tuning(f"# {text}\n")
+    assert not _sentences_about_tuning(f'"""{text}"""\n')
 
 
-@pytest.mark.parametrize("path", MODULES, ids=_module_id)
+@pytest.mark.parametrize("path", UNIT_CHECKED_MODULES, ids=_module_id)
 def test_every_constant_has_a_unit(path: pathlib.Path) -> None:
-    assert not _without_unit(path.read_text())
+    assert not _constants_without_unit(path.read_text())
 
 
-@pytest.mark.parametrize("path", EVERYTHING, ids=_module_id)
+@pytest.mark.parametrize("path", ALL_MODULES, ids=_module_id)
 def test_no_comment_tells_of_tuning(path: pathlib.Path) -> None:
-    assert not _tuning_stories(path.read_text())
+    assert not _sentences_about_tuning(path.read_text())
 
 
-@pytest.mark.parametrize("path", EVERYTHING, ids=_module_id)
+@pytest.mark.parametrize("path", ALL_MODULES, ids=_module_id)
 def test_code_names_no_deployment(path: pathlib.Path) -> None:
-    assert not NAMES.findall(path.read_text())
+    assert not DEPLOYMENT_NAMES.findall(path.read_text())
