--- a/src/lugcross/clock.py
+++ b/src/lugcross/clock.py
@@ -24,7 +24,7 @@
 def boottime_s() -> float:
     """Return the seconds since boot, time in suspension included.
 
-    ``CLOCK_MONOTONIC`` stops while a host is suspended. Measured by it, a
+    ``CLOCK_MONOTONIC`` stops while a host is suspended. By that clock, a
     lease, a server list or a message from a peer would not age during the
     suspension and would still seem valid afterwards.
     """
