--- a/testing/soak/test_checks.py
+++ b/testing/soak/test_checks.py
@@ -6,38 +6,46 @@
 import pytest
 import soak_checks as checks
 
-SAFE, UNSAFE, STREAM = checks.Kind
+SAFE, UNSAFE, STREAM = checks.RequestKind
 
 
-def _call(kind: checks.Kind = SAFE, **fields: object) -> checks.Call:
+def _call(
+    kind: checks.RequestKind = SAFE, **fields: object
+) -> checks.CallResult:
     usual = {
         "name": "a",
         "kind": kind,
         "status": 200,
-        "body": checks.answer_to(kind, "a"),
-        "whole": True,
+        "body": checks.expected_body(kind, "a"),
+        "complete": True,
     }
-    return checks.Call(**(usual | fields))
+    return checks.CallResult(**(usual | fields))
 
 
-def _broken(call: checks.Call, *, ran: int = 1) -> list[str]:
-    history = checks.History(calls=[call], ran=collections.Counter({"a": ran}))
-    return history.broken()
+def _violations(call: checks.CallResult, *, ran: int = 1) -> list[str]:
+    history = checks.History(
+        calls=[call], run_counts=collections.Counter({"a": ran})
+    )
+    return history.violations()
 
 
-@pytest.mark.parametrize("kind", checks.Kind, ids=lambda kind: kind.value)
-def test_whole_answers_break_nothing(kind: checks.Kind):
-    assert _broken(_call(kind)) == []
+@pytest.mark.parametrize(
+    "kind", checks.RequestKind, ids=lambda kind: kind.value
+)
+def test_complete_answers_violate_nothing(kind: checks.RequestKind):
+    assert _violations(_call(kind)) == []
 
 
 @pytest.mark.parametrize(
-    ("call", "ran", "told"),
+    ("call", "ran", "message"),
     [
-        (_call(body=checks.answer_to(SAFE, "b")), 1, "not its own"),
+        (_call(body=checks.expected_body(SAFE, "b")), 1, "not its own"),
         (_call(body=b""), 1, "not its own"),
-        (_call(STREAM, body=checks.event("a", 2)), 1, "not its own"),
+        (_call(STREAM, body=checks.stream_event("a", 2)), 1, "not its own"),
         (
-            _call(STREAM, body=checks.event("a", 1) * 2, whole=False),
+            _call(
+                STREAM, body=checks.stream_event("a", 1) * 2, complete=False
+            ),
             1,
             "a part that is not",
         ),
@@ -45,7 +53,7 @@
         (_call(UNSAFE, status=429, body=b""), 1, "ran, though 429"),
         (_call(UNSAFE), 2, "ran 2 times"),
         (
-            _call(status=0, body=b"", whole=False, planned=True),
+            _call(status=0, body=b"", complete=False, planned_stops_only=True),
             1,
             "cut by a planned stop",
         ),
@@ -61,34 +69,50 @@
         "cut",
     ],
 )
-def test_broken_promise_is_told(call: checks.Call, ran: int, told: str):
-    found = _broken(call, ran=ran)
+def test_broken_promise_is_reported(
+    call: checks.CallResult, ran: int, message: str
+):
+    found = _violations(call, ran=ran)
     assert len(found) == 1
-    assert told in found[0]
+    assert message in found[0]
 
 
-def _visit(at: float, **fields: object) -> checks.Visit:
-    usual: dict[str, object] = {"server": "i-0", "sender": "n0-1", "at": at}
-    return checks.Visit(**(usual | fields))
+def _received_request(
+    received_s: float, **fields: object
+) -> checks.ReceivedRequest:
+    usual: dict[str, object] = {
+        "server": "i-0",
+        "sender": "n0-1",
+        "received_s": received_s,
+    }
+    return checks.ReceivedRequest(**(usual | fields))
 
 
 @pytest.mark.parametrize(
-    ("first", "later", "told"),
+    ("first", "later", "messages"),
     [
-        ({"rest_s": 2.0}, [0.6, 0.7, 1.9], ["3 requests in its rest"]),
-        ({"rest_s": 2.0}, [0.1, 0.2, 0.3, 0.6, 1.9, 2.1], []),
-        ({"leaves": True}, [2.1], ["long after it said"]),
-        ({"leaves": True}, [0.1, 1.9], []),
+        ({"backoff_s": 2.0}, [0.6, 0.7, 1.9], ["3 requests in its rest"]),
+        ({"backoff_s": 2.0}, [0.1, 0.2, 0.3, 0.6, 1.9, 2.1], []),
+        ({"leaving": True}, [2.1], ["long after it said"]),
+        ({"leaving": True}, [0.1, 1.9], []),
         ({}, [0.6, 0.7, 0.8, 2.1], []),
     ],
     ids=["in-rest", "crossing", "past-drain", "draining", "neither"],
 )
-def test_visits_that_a_server_asked_not_to_get_are_told(first, later, told):
-    visits = [_visit(0.0, **first), *map(_visit, later)]
-    others = [_visit(1.0, sender="n1-1"), _visit(1.0, server="i-1")] * 3
-    found = checks.History(visits=visits + others).broken()
-    assert len(found) == len(told)
-    assert all(part in one for part, one in zip(told, found, strict=True))
+def test_requests_during_backoff_or_leaving_are_reported(
+    first, later, messages
+):
+    received = [
+        _received_request(0.0, **first),
+        *map(_received_request, later),
+    ]
+    others = [
+        _received_request(1.0, sender="n1-1"),
+        _received_request(1.0, server="i-1"),
+    ] * 3
+    found = checks.History(received=received + others).violations()
+    assert len(found) == len(messages)
+    assert all(part in one for part, one in zip(messages, found, strict=True))
 
 
 @pytest.mark.parametrize(
@@ -97,21 +121,21 @@
         (_call(SAFE, status=503, body=b""), 1),
         (_call(UNSAFE, status=503, body=b""), 0),
         (_call(UNSAFE, status=502, body=b""), 1),
-        (_call(status=0, body=b"", whole=False), 1),
-        (_call(STREAM, body=checks.event("a", 1), whole=False), 1),
+        (_call(status=0, body=b"", complete=False), 1),
+        (_call(STREAM, body=checks.stream_event("a", 1), complete=False), 1),
     ],
     ids=["safe-again", "true-refusal", "unknown", "unplanned", "visibly-cut"],
 )
-def test_what_is_allowed_is_not_told(call: checks.Call, ran: int):
-    assert _broken(call, ran=ran) == []
+def test_allowed_outcome_is_not_reported(call: checks.CallResult, ran: int):
+    assert _violations(call, ran=ran) == []
 
 
-def test_version_that_goes_back_within_a_life_is_told():
+def test_version_regression_within_a_run_is_reported():
     versions = [
-        checks.Version("n0-1", 1),
-        checks.Version("n0-1", 3),
-        checks.Version("n0-2", 2),
-        checks.Version("n0-1", 2),
+        checks.AppliedVersion("n0-1", 1),
+        checks.AppliedVersion("n0-1", 3),
+        checks.AppliedVersion("n0-2", 2),
+        checks.AppliedVersion("n0-1", 2),
     ]
     history = checks.History(versions=versions)
-    assert history.broken() == ["n0-1: back to version 2"]
+    assert history.violations() == ["n0-1: back to version 2"]
--- a/testing/soak/test_soak.py
+++ b/testing/soak/test_soak.py
@@ -18,30 +18,30 @@
 import soak_checks
 import soak_fleet
 
-FIRST = int(os.environ.get("SOAK_SEED", "1"))
-COUNT = int(os.environ.get("SOAK_SEEDS", "3"))
+FIRST_SEED = int(os.environ.get("SOAK_SEED", "1"))
+SEED_COUNT = int(os.environ.get("SOAK_SEEDS", "3"))
 #: Seeds that failed once, with the cause.
-FAILED_ONCE: tuple[int, ...] = ()
+REGRESSION_SEEDS: tuple[int, ...] = ()
 PROCESSES = 3
 SERVERS = 4
 ROUNDS = 4
 #: Servers that may end under one request: two, or three where this machine
 #: is so busy that its runs seem to have ended at other points.
-MOST_ENDS = 3
+MAX_CRASHES = 3
 #: Rest that servers ask for, in seconds, and rounds of requests meanwhile.
-REST_S = 1.5
-RESTING_ROUNDS = 120
+BACKOFF_S = 1.5
+BACKOFF_ROUNDS = 120
 #: Callers turned away twice: each process by both servers that rest, at first
 #: and after each rest, of which there are five while requests are sent.
-MOST_TURNED_AWAY = 2 * PROCESSES * 6
+MAX_REFUSED = 2 * PROCESSES * 6
 #: Time between two looks at what processes list, in seconds.
-_LOOK_S = 0.02
+_POLL_S = 0.02
 #: Callers of each process, and requests of each in a round.
-CALLERS = 2
-REQUESTS = 6
+CALLERS_PER_PROCESS = 2
+REQUESTS_PER_ROUND = 6
 
 
-class _Day:
+class _SoakRun:
     """One fleet, its callers and the faults that a seed chooses."""
 
     def __init__(self, path: pathlib.Path, seed: int) -> None:
@@ -49,17 +49,17 @@
         self.fleet = soak_fleet.Fleet(
             path, processes=PROCESSES, servers=SERVERS
         )
-        self._half = asyncio.Event()
+        self._half_done = asyncio.Event()
         self._done = 0
         self._round = 0
-        self._left: list[soak_fleet.Process] = []
+        self._unused_processes: list[soak_fleet.EdgeProcess] = []
 
     async def run(self) -> soak_checks.History:
         await self.fleet.start()
         callers = [
             soak_fleet.Caller(one.ports["callers"], self.fleet.history)
             for one in self.fleet.processes
-            for _ in range(CALLERS)
+            for _ in range(CALLERS_PER_PROCESS)
         ]
         try:
             for _ in range(ROUNDS):
@@ -72,150 +72,159 @@
 
     async def _one_round(self, callers: list[soak_fleet.Caller]) -> None:
         self._round += 1
-        self._half.clear()
+        self._half_done.clear()
         self._done = 0
-        self._left = self.rng.sample(self.fleet.processes, PROCESSES)
+        self._unused_processes = self.rng.sample(
+            self.fleet.processes, PROCESSES
+        )
         faults = self.rng.sample(FAULTS, self.rng.randint(1, 3))
-        planned = faults == [stop_and_start]
-        self.fleet.change()
+        planned_stops_only = faults == [stop_and_restart_process]
+        self.fleet.change_desired_state()
         await asyncio.gather(
             *(fault(self) for fault in faults),
             *(
-                self._ask(num, caller, planned)
+                self._send_requests(num, caller, planned_stops_only)
                 for num, caller in enumerate(callers)
             ),
         )
-        await self.fleet.settled()
+        await self.fleet.wait_until_serving()
 
-    async def _ask(
-        self, num: int, caller: soak_fleet.Caller, planned: bool
+    async def _send_requests(
+        self, num: int, caller: soak_fleet.Caller, planned_stops_only: bool
     ) -> None:
-        for count in range(REQUESTS):
+        for count in range(REQUESTS_PER_ROUND):
             kind = random.Random(f"{self._round}-{num}-{count}").choice(
-                list(soak_checks.Kind)
+                list(soak_checks.RequestKind)
             )
             name = f"r{self._round}-c{num}-{count}"
-            await caller.ask(name, kind, planned=planned)
+            await caller.send(
+                name, kind, planned_stops_only=planned_stops_only
+            )
             self._done += 1
-            if self._done >= PROCESSES * CALLERS * REQUESTS // 2:
-                self._half.set()
+            if (
+                self._done
+                >= PROCESSES * CALLERS_PER_PROCESS * REQUESTS_PER_ROUND // 2
+            ):
+                self._half_done.set()
 
-    async def half(self) -> None:
+    async def wait_until_half_done(self) -> None:
         """Return once half of the round's requests have ended."""
-        await self._half.wait()
+        await self._half_done.wait()
 
-    def process(self) -> soak_fleet.Process:
+    def take_process(self) -> soak_fleet.EdgeProcess:
         """Return one that no other fault of this round has hit."""
-        return self._left.pop()
+        return self._unused_processes.pop()
 
 
-async def store_connections_go_silent(day: _Day) -> None:
-    for one in day.rng.sample(day.fleet.processes, 2):
-        one.store.silence()
+async def blackhole_store_connections(run: _SoakRun) -> None:
+    for one in run.rng.sample(run.fleet.processes, 2):
+        one.store_proxy.blackhole_open()
 
 
-async def server_connections_go_silent(day: _Day) -> None:
-    for way in day.rng.sample(day.fleet.ways, 2):
-        way.silence()
+async def blackhole_server_connections(run: _SoakRun) -> None:
+    for proxy in run.rng.sample(run.fleet.server_proxies, 2):
+        proxy.blackhole_open()
 
 
-async def server_connections_are_reset(day: _Day) -> None:
-    for way in day.rng.sample(day.fleet.ways, 2):
-        way.reset()
-    await day.half()
-    for way in day.fleet.ways:
-        way.reset()
+async def reset_server_connections(run: _SoakRun) -> None:
+    for proxy in run.rng.sample(run.fleet.server_proxies, 2):
+        proxy.reset()
+    await run.wait_until_half_done()
+    for proxy in run.fleet.server_proxies:
+        proxy.reset()
 
 
-async def answers_of_a_server_are_lost(day: _Day) -> None:
-    way = day.rng.choice(day.fleet.ways)
-    way.deaf = True
-    await day.half()
-    way.deaf = False
-    way.reset()
+async def drop_responses_of_a_server(run: _SoakRun) -> None:
+    proxy = run.rng.choice(run.fleet.server_proxies)
+    proxy.drops_responses = True
+    await run.wait_until_half_done()
+    proxy.drops_responses = False
+    proxy.reset()
 
 
-async def store_turns_all_away(day: _Day) -> None:
-    day.fleet.store.unavailable = True
-    await day.half()
-    day.fleet.store.unavailable = False
+async def make_store_unavailable(run: _SoakRun) -> None:
+    run.fleet.store.unavailable = True
+    await run.wait_until_half_done()
+    run.fleet.store.unavailable = False
 
 
-async def store_is_silent_to_one(day: _Day) -> None:
-    way = day.process().store
-    way.silent = True
-    way.silence()
-    await day.half()
-    way.silent = False
-    way.reset()
+async def blackhole_store_for_one_process(run: _SoakRun) -> None:
+    proxy = run.take_process().store_proxy
+    proxy.blackhole_new = True
+    proxy.blackhole_open()
+    await run.wait_until_half_done()
+    proxy.blackhole_new = False
+    proxy.reset()
 
 
-async def store_comes_back_from_a_copy(day: _Day) -> None:
-    copy = day.fleet.store.copy()
-    day.fleet.change()
-    await day.half()
-    day.fleet.come_back(copy)
+async def restore_store_from_copy(run: _SoakRun) -> None:
+    copy = run.fleet.store.copy()
+    run.fleet.change_desired_state()
+    await run.wait_until_half_done()
+    run.fleet.restore_store(copy)
 
 
-async def process_is_paused(day: _Day) -> None:
-    one = day.process()
+async def pause_process(run: _SoakRun) -> None:
+    one = run.take_process()
     one.signal(signal.SIGSTOP)
-    await day.half()
+    await run.wait_until_half_done()
     one.signal(signal.SIGCONT)
 
 
-async def process_is_killed(day: _Day) -> None:
-    await day.process().start_again(signal.SIGKILL)
+async def kill_process(run: _SoakRun) -> None:
+    await run.take_process().restart(signal.SIGKILL)
 
 
-async def stop_and_start(day: _Day) -> None:
-    await day.process().start_again(signal.SIGTERM)
+async def stop_and_restart_process(run: _SoakRun) -> None:
+    await run.take_process().restart(signal.SIGTERM)
 
 
-Fault = Callable[[_Day], Awaitable[None]]
+Fault = Callable[[_SoakRun], Awaitable[None]]
 FAULTS: list[Fault] = [
-    store_connections_go_silent,
-    server_connections_go_silent,
-    server_connections_are_reset,
-    answers_of_a_server_are_lost,
-    store_turns_all_away,
-    store_is_silent_to_one,
-    store_comes_back_from_a_copy,
-    process_is_paused,
-    process_is_killed,
-    stop_and_start,
+    blackhole_store_connections,
+    blackhole_server_connections,
+    reset_server_connections,
+    drop_responses_of_a_server,
+    make_store_unavailable,
+    blackhole_store_for_one_process,
+    restore_store_from_copy,
+    pause_process,
+    kill_process,
+    stop_and_restart_process,
 ]
 
 
-async def _all_list(fleet: soak_fleet.Fleet, ends: int) -> None:
+async def _wait_until_all_list(fleet: soak_fleet.Fleet, crashes: int) -> None:
     """Return once every process lists that many ends of a request."""
     for one in fleet.processes:
-        while await one.ends_listed() < ends:
-            await asyncio.sleep(_LOOK_S)
+        while await one.max_listed_crashes() < crashes:
+            await asyncio.sleep(_POLL_S)
 
 
-async def _send_what_ends(
-    fleet: soak_fleet.Fleet, kind: soak_checks.Kind
-) -> list[soak_checks.Call]:
+async def _send_crashing_requests(
+    fleet: soak_fleet.Fleet, kind: soak_checks.RequestKind
+) -> list[soak_checks.CallResult]:
     """Send it to each process, and to one that has started anew."""
     calls = []
     for num, one in enumerate([*fleet.processes, fleet.processes[0]]):
         if num == len(fleet.processes):
-            await one.start_again(signal.SIGKILL)
-            await fleet.settled()
-            await _all_list(fleet, fleet.ended)
+            await one.restart(signal.SIGKILL)
+            await fleet.wait_until_serving()
+            await _wait_until_all_list(fleet, fleet.crash_count)
         caller = soak_fleet.Caller(one.ports["callers"], fleet.history)
         name = f"ending-{num}"
-        call = await caller.ask(name, kind, last=soak_fleet.ENDING)
+        call = await caller.send(
+            name, kind, path_suffix=soak_fleet.CRASHING_PATH
+        )
         calls.append(call)
         caller.close()
-        await _all_list(fleet, fleet.ended)
+        await _wait_until_all_list(fleet, fleet.crash_count)
     return calls
 
 
-@pytest.mark.parametrize("kind", list(soak_checks.Kind))
-def test_request_that_ends_servers_is_stopped(
-    tmp_path: pathlib.Path, kind: soak_checks.Kind
+@pytest.mark.parametrize("kind", list(soak_checks.RequestKind))
+def test_request_that_crashes_servers_is_refused(
+    tmp_path: pathlib.Path, kind: soak_checks.RequestKind
 ):
     async def main():
         fleet = soak_fleet.Fleet(
@@ -223,39 +232,39 @@
         )
         await fleet.start()
         try:
-            calls = await _send_what_ends(fleet, kind)
+            calls = await _send_crashing_requests(fleet, kind)
         finally:
             await fleet.stop()
         return fleet, calls
 
     fleet, calls = asyncio.run(main())
-    assert 0 < fleet.ended <= MOST_ENDS
+    assert 0 < fleet.crash_count <= MAX_CRASHES
     assert calls[-1].status == soak_checks.REFUSED
     assert b"have ended while" in calls[-1].body
-    assert fleet.history.broken() == []
+    assert fleet.history.violations() == []
 
 
-async def _ask_all(fleet: soak_fleet.Fleet, batch: str) -> int:
+async def _send_from_all(fleet: soak_fleet.Fleet, batch: str) -> int:
     """Let callers of all processes ask; return how many were served."""
     callers = [
         soak_fleet.Caller(one.ports["callers"], fleet.history)
         for one in fleet.processes
     ]
     served = 0
-    for count in range(RESTING_ROUNDS):
+    for count in range(BACKOFF_ROUNDS):
         asked = [
-            caller.ask(f"{num}-{batch}-{count}", soak_checks.Kind.SAFE)
+            caller.send(f"{num}-{batch}-{count}", soak_checks.RequestKind.SAFE)
             for num, caller in enumerate(callers)
         ]
         calls = await asyncio.gather(*asked)
         served += sum(one.status == soak_checks.OK for one in calls)
-        await asyncio.sleep(_LOOK_S)
+        await asyncio.sleep(_POLL_S)
     for caller in callers:
         caller.close()
     return served
 
 
-def test_servers_that_ask_for_rest_or_leave_are_left_alone(
+def test_servers_that_back_off_or_leave_get_no_requests(
     tmp_path: pathlib.Path,
 ):
     async def main():
@@ -264,33 +273,34 @@
         )
         await fleet.start()
         try:
-            fleet.servers[0].rest_s = fleet.servers[1].rest_s = REST_S
-            fleet.servers[2].leaves = True
-            served = await _ask_all(fleet, "a")
-            await fleet.processes[0].start_again(signal.SIGTERM)
-            await fleet.settled()
-            fleet.servers[0].rest_s = 0.0
-            served += await _ask_all(fleet, "b")
+            fleet.servers[0].backoff_s = fleet.servers[1].backoff_s = BACKOFF_S
+            fleet.servers[2].leaving = True
+            served = await _send_from_all(fleet, "a")
+            await fleet.processes[0].restart(signal.SIGTERM)
+            await fleet.wait_until_serving()
+            fleet.servers[0].backoff_s = 0.0
+            served += await _send_from_all(fleet, "b")
         finally:
             await fleet.stop()
         return fleet.history, served
 
     history, served = asyncio.run(main())
-    assert history.broken() == []
-    assert any(one.rest_s for one in history.visits)
-    assert any(one.leaves for one in history.visits)
+    assert history.violations() == []
+    assert any(one.backoff_s for one in history.received)
+    assert any(one.leaving for one in history.received)
     # One server of four takes requests at least, and all of them.
-    assert served >= 2 * RESTING_ROUNDS * PROCESSES - MOST_TURNED_AWAY
+    assert served >= 2 * BACKOFF_ROUNDS * PROCESSES - MAX_REFUSED
 
 
 @pytest.mark.parametrize(
-    "seed", sorted({*range(FIRST, FIRST + COUNT), *FAILED_ONCE})
+    "seed",
+    sorted({*range(FIRST_SEED, FIRST_SEED + SEED_COUNT), *REGRESSION_SEEDS}),
 )
 def test_promises_hold_through_overlapping_faults(
     tmp_path: pathlib.Path, seed: int
 ):
-    history = asyncio.run(_Day(tmp_path, seed).run())
-    assert history.broken() == []
+    history = asyncio.run(_SoakRun(tmp_path, seed).run())
+    assert history.violations() == []
     answered = sum(call.status == soak_checks.OK for call in history.calls)
     # Without answers the checks would say nothing.
     assert answered > len(history.calls) / 3
--- a/testing/support/soak_checks.py
+++ b/testing/support/soak_checks.py
@@ -8,7 +8,7 @@
 import enum
 
 
-class Kind(enum.Enum):
+class RequestKind(enum.Enum):
     """What may be done with a request."""
 
     SAFE = "safe"
@@ -17,33 +17,35 @@
 
 
 #: Statuses that promise that a request has not run.
-NOT_RUN = (429, 503)
+NOT_RUN_STATUSES = (429, 503)
 OK = 200
 REFUSED = 503
 #: What was on its way may still arrive this long after a server has asked for
 #: rest, in seconds, and as many requests later.
-CROSSING_S = 0.5
-CROSSING_MOST = 2
+IN_FLIGHT_GRACE_S = 0.5
+MAX_IN_FLIGHT_REQUESTS = 2
 #: Time after which a server that leaves must get nothing, in seconds.
-DRAIN_S = 2.0
+LEAVING_GRACE_S = 2.0
 #: Events of each stream.
-EVENTS = 6
+EVENTS_PER_STREAM = 6
 
 
-def answer_to(kind: Kind, name: str) -> bytes:
+def expected_body(kind: RequestKind, name: str) -> bytes:
     """Return the whole answer that a backend server gives to a request."""
-    if kind is Kind.STREAM:
-        return b"".join(event(name, num) for num in range(1, EVENTS + 1))
+    if kind is RequestKind.STREAM:
+        return b"".join(
+            stream_event(name, num) for num in range(1, EVENTS_PER_STREAM + 1)
+        )
     return b"answer to " + name.encode()
 
 
-def event(name: str, num: int) -> bytes:
+def stream_event(name: str, num: int) -> bytes:
     """Return one event of a stream."""
     return b"id: %d\ndata: %s %d\n\n" % (num, name.encode(), num)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Call:
+class CallResult:
     """One request as its caller saw it.
 
     :param status: 0 where no answer began.
@@ -52,23 +54,23 @@
     """
 
     name: str
-    kind: Kind
+    kind: RequestKind
     status: int = 0
     body: bytes = b""
-    whole: bool = False
-    planned: bool = False
+    complete: bool = False
+    planned_stops_only: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
-class Version:
+class AppliedVersion:
     """A version that one life of a process put in force."""
 
-    life: str
+    run: str
     number: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Visit:
+class ReceivedRequest:
     """One request as its backend server saw it, and what that said.
 
     :param sender: life of the process that sent it.
@@ -79,93 +81,109 @@
 
     server: str
     sender: str
-    at: float
-    rest_s: float = 0.0
-    leaves: bool = False
+    received_s: float
+    backoff_s: float = 0.0
+    leaving: bool = False
 
 
 @dataclasses.dataclass
 class History:
     """All that was seen, by callers, backend servers and in logs."""
 
-    calls: list[Call] = dataclasses.field(default_factory=list)
-    ran: collections.Counter[str] = dataclasses.field(
+    calls: list[CallResult] = dataclasses.field(default_factory=list)
+    run_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    versions: list[Version] = dataclasses.field(default_factory=list)
+    versions: list[AppliedVersion] = dataclasses.field(default_factory=list)
     errors: list[str] = dataclasses.field(default_factory=list)
-    visits: list[Visit] = dataclasses.field(default_factory=list)
+    received: list[ReceivedRequest] = dataclasses.field(default_factory=list)
 
-    def broken(self) -> list[str]:
+    def violations(self) -> list[str]:
         """Return each promise that was broken, and by what."""
         return [
-            *self._wrong_answers(),
-            *self._parts_of_others(),
-            *self._false_refusals(),
-            *self._run_twice(),
-            *self._cut_by_stops(),
-            *_gone_back(self.versions),
-            *self._sent_into_rest(),
-            *self._sent_to_leaving(),
+            *self._wrong_bodies(),
+            *self._wrong_partial_bodies(),
+            *self._run_but_refused(),
+            *self._unsafe_run_twice(),
+            *self._cut_by_planned_stops(),
+            *_version_regressions(self.versions),
+            *self._sent_during_backoff(),
+            *self._sent_to_leaving_servers(),
             *self.errors,
         ]
 
-    def _wrong_answers(self) -> Iterable[str]:
+    def _wrong_bodies(self) -> Iterable[str]:
         for call in self.calls:
-            if call.status == OK and call.whole:
-                if call.body != answer_to(call.kind, call.name):
+            if call.status == OK and call.complete:
+                if call.body != expected_body(call.kind, call.name):
                     yield f"{call.name}: not its own whole answer"
 
-    def _parts_of_others(self) -> Iterable[str]:
+    def _wrong_partial_bodies(self) -> Iterable[str]:
         for call in self.calls:
-            if call.status == OK and not call.whole:
-                if not answer_to(call.kind, call.name).startswith(call.body):
+            if call.status == OK and not call.complete:
+                if not expected_body(call.kind, call.name).startswith(
+                    call.body
+                ):
                     yield f"{call.name}: a part that is not of its answer"
 
-    def _false_refusals(self) -> Iterable[str]:
+    def _run_but_refused(self) -> Iterable[str]:
         for call in self.calls:
-            if call.kind is Kind.UNSAFE and call.status in NOT_RUN:
-                if self.ran[call.name]:
+            if (
+                call.kind is RequestKind.UNSAFE
+                and call.status in NOT_RUN_STATUSES
+            ):
+                if self.run_counts[call.name]:
                     yield f"{call.name}: ran, though {call.status} was told"
 
-    def _run_twice(self) -> Iterable[str]:
+    def _unsafe_run_twice(self) -> Iterable[str]:
         for call in self.calls:
-            if call.kind is Kind.UNSAFE and self.ran[call.name] > 1:
-                yield f"{call.name}: ran {self.ran[call.name]} times"
-
-    def _sent_into_rest(self) -> Iterable[str]:
-        for asked in self.visits:
-            end = asked.at + asked.rest_s
+            if (
+                call.kind is RequestKind.UNSAFE
+                and self.run_counts[call.name] > 1
+            ):
+                yield f"{call.name}: ran {self.run_counts[call.name]} times"
+
+    def _sent_during_backoff(self) -> Iterable[str]:
+        for asked in self.received:
+            end = asked.received_s + asked.backoff_s
             late = [
-                one for one in self._after(asked, CROSSING_S) if one.at <= end
+                one
+                for one in self._later_requests(asked, IN_FLIGHT_GRACE_S)
+                if one.received_s <= end
             ]
-            if len(late) > CROSSING_MOST:
+            if len(late) > MAX_IN_FLIGHT_REQUESTS:
                 yield f"{asked.server}: {len(late)} requests in its rest"
 
-    def _sent_to_leaving(self) -> Iterable[str]:
-        for told in self.visits:
-            if told.leaves and self._after(told, DRAIN_S):
+    def _sent_to_leaving_servers(self) -> Iterable[str]:
+        for told in self.received:
+            if told.leaving and self._later_requests(told, LEAVING_GRACE_S):
                 yield f"{told.server}: requests long after it said it leaves"
 
-    def _after(self, first: Visit, by_s: float) -> list[Visit]:
+    def _later_requests(
+        self, first: ReceivedRequest, delay_s: float
+    ) -> list[ReceivedRequest]:
         """Return what the same sender sent later than that after a visit."""
         return [
             one
-            for one in self.visits
+            for one in self.received
             if one.server == first.server
             and one.sender == first.sender
-            and one.at > first.at + by_s
+            and one.received_s > first.received_s + delay_s
         ]
 
-    def _cut_by_stops(self) -> Iterable[str]:
+    def _cut_by_planned_stops(self) -> Iterable[str]:
         for call in self.calls:
-            if call.planned and self.ran[call.name] and not call.whole:
+            if (
+                call.planned_stops_only
+                and self.run_counts[call.name]
+                and not call.complete
+            ):
                 yield f"{call.name}: cut by a planned stop"
 
 
-def _gone_back(versions: Sequence[Version]) -> Iterable[str]:
-    newest: dict[str, int] = {}
+def _version_regressions(versions: Sequence[AppliedVersion]) -> Iterable[str]:
+    newest_by_run: dict[str, int] = {}
     for one in versions:
-        if one.number < newest.get(one.life, 0):
-            yield f"{one.life}: back to version {one.number}"
-        newest[one.life] = max(one.number, newest.get(one.life, 0))
+        if one.number < newest_by_run.get(one.run, 0):
+            yield f"{one.run}: back to version {one.number}"
+        newest_by_run[one.run] = max(one.number, newest_by_run.get(one.run, 0))
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -22,31 +22,33 @@
 
 HOST = soak_proxy.HOST
 #: Time that callers give a request, in ms; also the routes' limit.
-LIMIT_MS = 2000
+REQUEST_TIMEOUT_MS = 2000
 #: Longest wait of a caller for an answer, in seconds; past it, it leaves.
-_LEAVES_S = 6.0
-_WORK_S = 0.005
+_CALLER_TIMEOUT_S = 6.0
+_PROCESSING_S = 0.005
 #: Last part of the path of requests that end the server that runs them.
-ENDING = "ending"
+CRASHING_PATH = "ending"
 
 
-class Server:
+class BackendServer:
     """A backend server that keeps what it ran."""
 
-    def __init__(self, ran: collections.Counter[str]) -> None:
-        self._ran = ran
+    def __init__(self, run_counts: collections.Counter[str]) -> None:
+        self._run_counts = run_counts
         self._server: asyncio.Server | None = None
         self.port = 0
         #: Name of its life.
         self.name = ""
         #: What it answers instead of running requests, in seconds of rest.
-        self.rest_s = 0.0
+        self.backoff_s = 0.0
         #: Whether it says in its answers that it is leaving.
-        self.leaves = False
+        self.leaving = False
         #: Called with each request's name, and the rest that it is asked for.
-        self.visited: Callable[[str, float], None] = lambda name, rest_s: None
+        self.on_request: Callable[[str, float], None] = (
+            lambda name, backoff_s: None
+        )
         #: Called with a request that ends this server.
-        self.ends: Callable[[], None] = lambda: None
+        self.on_crash: Callable[[], None] = lambda: None
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, HOST, 0)
@@ -61,11 +63,11 @@
     ) -> None:
         try:
             while True:
-                await self._one(reader, writer)
+                await self._serve_request(reader, writer)
         except (OSError, asyncio.IncompleteReadError):
             writer.close()
 
-    async def _one(
+    async def _serve_request(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -74,31 +76,31 @@
         headers = {name.lower(): fields[name].strip() for name in fields}
         await reader.readexactly(int(headers.get(b"content-length", b"0")))
         name = headers[b"attempt-identifier"].decode()
-        kind = soak_checks.Kind(line.split(b"/")[1].decode())
-        self.visited(name, self.rest_s)
-        if self.rest_s:
+        kind = soak_checks.RequestKind(line.split(b"/")[1].decode())
+        self.on_request(name, self.backoff_s)
+        if self.backoff_s:
             writer.write(
                 b"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0"
                 b"\r\nAttempt-Identifier: %s\r\nRetry-After: %g\r\n\r\n"
-                % (name.encode(), self.rest_s)
+                % (name.encode(), self.backoff_s)
             )
             return
-        self._ran[name] += 1
-        await asyncio.sleep(_WORK_S)
-        if line.split(b" ")[1].endswith(ENDING.encode()):
-            self.ends()
+        self._run_counts[name] += 1
+        await asyncio.sleep(_PROCESSING_S)
+        if line.split(b" ")[1].endswith(CRASHING_PATH.encode()):
+            self.on_crash()
             raise ConnectionAbortedError
         writer.write(
             b"HTTP/1.1 200 OK\r\nResponse-Seal: s\r\nAttempt-Identifier: %s"
             b"\r\n" % name.encode()
         )
-        if self.leaves:
+        if self.leaving:
             writer.write(b"Server-Leaving: 1\r\n")
-        if kind is soak_checks.Kind.STREAM:
+        if kind is soak_checks.RequestKind.STREAM:
             last = int(headers.get(b"last-event-id", b"0"))
             await self._stream(writer, name, last)
         else:
-            body = soak_checks.answer_to(kind, name)
+            body = soak_checks.expected_body(kind, name)
             writer.write(b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
         await writer.drain()
 
@@ -109,27 +111,27 @@
             b"Content-Type: text/event-stream\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n"
         )
-        for num in range(last + 1, soak_checks.EVENTS + 1):
-            event = soak_checks.event(name, num)
-            writer.write(b"%x\r\n%s\r\n" % (len(event), event))
+        for num in range(last + 1, soak_checks.EVENTS_PER_STREAM + 1):
+            stream_event = soak_checks.stream_event(name, num)
+            writer.write(b"%x\r\n%s\r\n" % (len(stream_event), stream_event))
             await writer.drain()
-            await asyncio.sleep(_WORK_S)
+            await asyncio.sleep(_PROCESSING_S)
         writer.write(b"0\r\n\r\n")
 
 
-class Process:
+class EdgeProcess:
     """One edge process; started again at the same ports."""
 
     def __init__(
         self,
         name: str,
         domain: str,
-        store: soak_proxy.Proxy,
+        store_proxy: soak_proxy.Proxy,
         path: pathlib.Path,
     ) -> None:
         self.name = name
-        self.store = store
-        self.lives = 0
+        self.store_proxy = store_proxy
+        self.start_count = 0
         self.ports = {
             what: edge_rig.free_port()
             for what in ("callers", "ready", "state", "peers", "metrics")
@@ -139,7 +141,7 @@
             "node": name,
             "domain": domain,
             "listen": listen,
-            "store": {"address": f"{HOST}:{store.port}", "form": "log"},
+            "store": {"address": f"{HOST}:{store_proxy.port}", "form": "log"},
             "bounds": {
                 "grace_s": 8,
                 "drain_ms": 2000,
@@ -157,9 +159,9 @@
 
     async def start(self) -> None:
         """Start a new life."""
-        self.lives += 1
+        self.start_count += 1
         with self._log.open("ab") as log:
-            log.write(b'{"message": "life"}\n')
+            log.write(b'{"message": "process started"}\n')
             log.flush()
             self._proc = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -171,12 +173,12 @@
                 stderr=log,
             )
 
-    async def start_again(self, num: signal.Signals) -> None:
+    async def restart(self, num: signal.Signals) -> None:
         """End this life by a signal, and start a new one."""
         self.signal(num)
         # One that is paused does not heed a request to stop.
         self.signal(signal.SIGCONT)
-        await self.ended()
+        await self.wait()
         await self.start()
 
     def signal(self, num: signal.Signals) -> None:
@@ -184,10 +186,10 @@
         if self._proc.returncode is None:
             self._proc.send_signal(num)
 
-    async def ends_listed(self) -> int:
+    async def max_listed_crashes(self) -> int:
         """Return the most ends that it lists under one request."""
         conn = await http1.connect(
-            HOST, self.ports["metrics"], timeout_s=_LEAVES_S
+            HOST, self.ports["metrics"], timeout_s=_CALLER_TIMEOUT_S
         )
         headers = [(b"Host", b"h"), (b"Connection", b"close")]
         conn.send(b"GET", b"/suspects", headers, b"")
@@ -196,28 +198,28 @@
         conn.close()
         return max((len(one["ends"]) for one in listed), default=0)
 
-    async def ended(self) -> None:
+    async def wait(self) -> None:
         assert self._proc is not None
         await self._proc.wait()
 
-    def versions(self) -> list[soak_checks.Version]:
+    def applied_versions(self) -> list[soak_checks.AppliedVersion]:
         """Return what its log tells of versions put in force."""
         found = []
-        life = 0
+        run = 0
         for line in self._log.read_text(encoding="utf-8").splitlines():
             if not line.startswith("{"):
                 continue
             told = json.loads(line)
-            if told["message"] == "life":
-                life += 1
+            if told["message"] == "process started":
+                run += 1
             elif told["message"] == "desired state":
-                one = soak_checks.Version(
-                    f"{self.name}-{life}", told["version"]
+                one = soak_checks.AppliedVersion(
+                    f"{self.name}-{run}", told["version"]
                 )
                 found.append(one)
         return found
 
-    def errors(self) -> list[str]:
+    def non_log_lines(self) -> list[str]:
         """Return what is no line of the product's log: tracebacks."""
         text = self._log.read_text(encoding="utf-8")
         return [line for line in text.splitlines() if line[:1] != "{"]
@@ -231,14 +233,16 @@
         self.history = soak_checks.History()
         self.store = standin.StoreStandin()
         self.store.era = "1"
-        self.servers = [Server(self.history.ran) for _ in range(servers)]
-        self.ways: list[soak_proxy.Proxy] = []
-        self.processes: list[Process] = []
-        self._count = processes
-        self._lives = itertools.count()
+        self.servers = [
+            BackendServer(self.history.run_counts) for _ in range(servers)
+        ]
+        self.server_proxies: list[soak_proxy.Proxy] = []
+        self.processes: list[EdgeProcess] = []
+        self._process_count = processes
+        self._life_numbers = itertools.count()
         #: How many servers have ended under a request.
-        self.ended = 0
-        self._begun_anew: set[asyncio.Task[None]] = set()
+        self.crash_count = 0
+        self._restart_tasks: set[asyncio.Task[None]] = set()
         self.version = 0
 
     async def start(self) -> None:
@@ -246,101 +250,110 @@
         _, _, port = (await self.store.start(HOST)).rpartition(":")
         for num, server in enumerate(self.servers):
             await server.start()
-            self.ways.append(soak_proxy.Proxy(server.port))
-            await self._begin(num)
-        self.change()
-        for num in range(self._count):
-            store_way = soak_proxy.Proxy(int(port))
-            await store_way.start()
-            one = Process(f"n{num}", f"d{num % 3}", store_way, self._path)
+            self.server_proxies.append(soak_proxy.Proxy(server.port))
+            await self._start_life(num)
+        self.change_desired_state()
+        for num in range(self._process_count):
+            store_proxy = soak_proxy.Proxy(int(port))
+            await store_proxy.start()
+            one = EdgeProcess(
+                f"n{num}", f"d{num % 3}", store_proxy, self._path
+            )
             self.processes.append(one)
             await one.start()
-        await self.settled()
+        await self.wait_until_serving()
 
-    async def _begin(self, num: int) -> None:
+    async def _start_life(self, num: int) -> None:
         """Begin a life of a server."""
-        way = self.ways[num]
-        await way.start()
-        name = f"i-{next(self._lives)}"
+        proxy = self.server_proxies[num]
+        await proxy.start()
+        name = f"i-{next(self._life_numbers)}"
         self.servers[num].name = name
-        self._write(num)
-        self.servers[num].visited = functools.partial(self._visited, num)
-        self.servers[num].ends = functools.partial(self._end, num, name)
+        self._publish_server(num)
+        self.servers[num].on_request = functools.partial(
+            self._record_request, num
+        )
+        self.servers[num].on_crash = functools.partial(
+            self._crash_server, num, name
+        )
 
-    def _write(self, num: int) -> None:
+    def _publish_server(self, num: int) -> None:
         row = edge_rig.backend_entry(
-            "app", f"{HOST}:{self.ways[num].port}", f"d{num % 3}", slots=8
+            "app",
+            f"{HOST}:{self.server_proxies[num].port}",
+            f"d{num % 3}",
+            slots=8,
         )
         name = self.servers[num].name
         self.store.append(platform.BACKENDS_TOPIC, name, row)
 
-    def _visited(self, num: int, name: str, rest_s: float) -> None:
+    def _record_request(self, num: int, name: str, backoff_s: float) -> None:
         """Note a request of which the name tells its process, ``NUM-...``."""
         number, _, _ = name.partition("-")
         if not number.isdigit():
             return
         sender = self.processes[int(number)]
         server = self.servers[num]
-        self.history.visits.append(
-            soak_checks.Visit(
+        self.history.received.append(
+            soak_checks.ReceivedRequest(
                 server=server.name,
-                sender=f"{sender.name}-{sender.lives}",
-                at=asyncio.get_running_loop().time(),
-                rest_s=rest_s,
-                leaves=server.leaves,
+                sender=f"{sender.name}-{sender.start_count}",
+                received_s=asyncio.get_running_loop().time(),
+                backoff_s=backoff_s,
+                leaving=server.leaving,
             )
         )
 
-    def _end(self, num: int, name: str) -> None:
+    def _crash_server(self, num: int, name: str) -> None:
         """End a server at once; its next life has another address."""
-        self.ended += 1
-        self.ways[num].close()
-        self.ways[num] = soak_proxy.Proxy(self.servers[num].port)
+        self.crash_count += 1
+        self.server_proxies[num].close()
+        self.server_proxies[num] = soak_proxy.Proxy(self.servers[num].port)
         self.store.append(platform.BACKENDS_TOPIC, name, b"")
-        task = asyncio.create_task(self._begin(num))
-        self._begun_anew.add(task)
-        task.add_done_callback(self._begun_anew.discard)
+        task = asyncio.create_task(self._start_life(num))
+        self._restart_tasks.add(task)
+        task.add_done_callback(self._restart_tasks.discard)
 
     async def stop(self) -> None:
         """End what this fleet has started."""
         for one in self.processes:
             one.signal(signal.SIGCONT)
             one.signal(signal.SIGKILL)
-            await one.ended()
-            self.history.versions += one.versions()
-            self.history.errors += one.errors()
-            one.store.close()
-        for way in self.ways:
-            way.close()
+            await one.wait()
+            self.history.versions += one.applied_versions()
+            self.history.errors += one.non_log_lines()
+            one.store_proxy.close()
+        for proxy in self.server_proxies:
+            proxy.close()
         for server in self.servers:
             server.close()
         self.store.close()
 
-    def come_back(self, older: standin.StoreStandin) -> None:
+    def restore_store(self, older: standin.StoreStandin) -> None:
         """Bring the store back from a copy; who wrote to it does so again."""
         self.store.restore_from(older)
         for num in range(len(self.servers)):
-            self._write(num)
-        self._write_state()
+            self._publish_server(num)
+        self._publish_desired_state()
 
-    def change(self) -> None:
+    def change_desired_state(self) -> None:
         """Let the operator change the desired state."""
         self.version += 1
-        self._write_state()
+        self._publish_desired_state()
 
-    def _write_state(self) -> None:
+    def _publish_desired_state(self) -> None:
         routes = [
             {
                 "name": kind.value,
                 "host": "h",
                 "path_prefix": f"/{kind.value}/",
                 "kind": "streaming" if kind.value == "stream" else kind.value,
-                "timeout_ms": LIMIT_MS,
+                "timeout_ms": REQUEST_TIMEOUT_MS,
                 "service": "app",
                 "attempts": 3,
                 "resumable": kind.value == "stream",
             }
-            for kind in soak_checks.Kind
+            for kind in soak_checks.RequestKind
         ]
         state = {
             "version": self.version,
@@ -359,7 +372,7 @@
             json.dumps(state).encode(),
         )
 
-    async def settled(self) -> None:
+    async def wait_until_serving(self) -> None:
         """Return once each process serves a request on a new connection."""
         for num, one in enumerate(self.processes):
             tries = 0
@@ -367,7 +380,7 @@
                 tries += 1
                 name = f"settle-{self.version}-{num}-{tries}"
                 caller = Caller(one.ports["callers"], self.history)
-                call = await caller.ask(name, soak_checks.Kind.SAFE)
+                call = await caller.send(name, soak_checks.RequestKind.SAFE)
                 caller.close()
                 if call.status == soak_checks.OK:
                     break
@@ -387,37 +400,41 @@
             self._conn.close()
             self._conn = None
 
-    async def ask(
+    async def send(
         self,
         name: str,
-        kind: soak_checks.Kind,
+        kind: soak_checks.RequestKind,
         *,
-        planned: bool = False,
-        last: str = "x",
-    ) -> soak_checks.Call:
+        planned_stops_only: bool = False,
+        path_suffix: str = "x",
+    ) -> soak_checks.CallResult:
         """Send one request; keep and return what came of it.
 
         :param last: last part of its path.
         """
         parts: list[bytes] = []
-        status, whole = 0, False
+        status, complete = 0, False
         try:
-            async with asyncio.timeout(_LEAVES_S):
+            async with asyncio.timeout(_CALLER_TIMEOUT_S):
                 conn = await self._open()
-                method = b"POST" if kind is soak_checks.Kind.UNSAFE else b"GET"
+                method = (
+                    b"POST"
+                    if kind is soak_checks.RequestKind.UNSAFE
+                    else b"GET"
+                )
                 headers = [
                     (b"Host", b"h"),
                     (b"Attempt-Identifier", name.encode()),
-                    (b"Time-Remaining", b"%d" % LIMIT_MS),
+                    (b"Time-Remaining", b"%d" % REQUEST_TIMEOUT_MS),
                 ]
                 if method == b"POST":
                     headers.append((b"Content-Length", b"0"))
-                target = f"/{kind.value}/{last}".encode()
+                target = f"/{kind.value}/{path_suffix}".encode()
                 conn.send(method, target, headers, b"")
                 status = (await conn.read_head()).status
                 while (data := await conn.read_data()) is not None:
                     parts.append(data)
-                whole = True
+                complete = True
         except (
             http1.ConnectionBrokenError,
             http1.NoConnectionError,
@@ -426,16 +443,16 @@
             self.close()
         if self._conn is not None and not self._conn.reusable:
             self.close()
-        got = soak_checks.Call(
+        result = soak_checks.CallResult(
             name=name,
             kind=kind,
             status=status,
             body=b"".join(parts),
-            whole=whole,
-            planned=planned,
+            complete=complete,
+            planned_stops_only=planned_stops_only,
         )
-        self._history.calls.append(got)
-        return got
+        self._history.calls.append(result)
+        return result
 
     async def _open(self) -> http1.ClientConn:
         if self._conn is None or self._conn.closing:
--- a/testing/support/soak_proxy.py
+++ b/testing/support/soak_proxy.py
@@ -5,10 +5,10 @@
 import contextlib
 
 HOST = "127.0.0.1"
-_READ = 65_536
+_READ_BYTES = 65_536
 
 
-class _Pair:
+class _ProxiedConnection:
     """One connection and its other half.
 
     :ivar silent: whether bytes are taken and dropped, both ways.
@@ -17,17 +17,17 @@
 
     def __init__(
         self,
-        near: asyncio.StreamWriter,
-        far: asyncio.StreamWriter,
+        client: asyncio.StreamWriter,
+        upstream: asyncio.StreamWriter,
     ) -> None:
-        self.near = near
-        self.far = far
-        self.silent = False
-        self.deaf = False
+        self.client = client
+        self.upstream = upstream
+        self.blackholed = False
+        self.drops_responses = False
 
     def reset(self) -> None:
         """End both halves with a reset."""
-        for writer in (self.near, self.far):
+        for writer in (self.client, self.upstream):
             writer.transport.abort()
 
 
@@ -40,11 +40,11 @@
 
     def __init__(self, port: int) -> None:
         self._target = port
-        self._pairs: set[_Pair] = set()
+        self._conns: set[_ProxiedConnection] = set()
         self._server: asyncio.Server | None = None
         self.port = 0
-        self.silent = False
-        self.deaf = False
+        self.blackhole_new = False
+        self.drops_responses = False
 
     async def start(self) -> None:
         """Listen."""
@@ -57,49 +57,51 @@
             self._server.close()
         self.reset()
 
-    def silence(self) -> None:
+    def blackhole_open(self) -> None:
         """Make what is open say nothing more, for good."""
-        for pair in self._pairs:
-            pair.silent = True
+        for conn in self._conns:
+            conn.blackholed = True
 
     def reset(self) -> None:
         """Reset what is open."""
-        for pair in list(self._pairs):
-            pair.reset()
+        for conn in list(self._conns):
+            conn.reset()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            other, far = await asyncio.open_connection(HOST, self._target)
+            other, upstream = await asyncio.open_connection(HOST, self._target)
         except OSError:
             writer.transport.abort()
             return
-        pair = _Pair(writer, far)
-        pair.silent = self.silent
-        self._pairs.add(pair)
+        conn = _ProxiedConnection(writer, upstream)
+        conn.blackholed = self.blackhole_new
+        self._conns.add(conn)
         try:
             await asyncio.gather(
-                self._pass(pair, reader, far, back=False),
-                self._pass(pair, other, writer, back=True),
+                self._forward(conn, reader, upstream, is_response=False),
+                self._forward(conn, other, writer, is_response=True),
             )
         finally:
-            self._pairs.discard(pair)
+            self._conns.discard(conn)
 
-    async def _pass(
+    async def _forward(
         self,
-        pair: _Pair,
+        conn: _ProxiedConnection,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        back: bool,
+        is_response: bool,
     ) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(_READ):
-                dropped = pair.silent or (back and self.deaf)
+            while data := await reader.read(_READ_BYTES):
+                dropped = conn.blackholed or (
+                    is_response and self.drops_responses
+                )
                 if not dropped:
                     writer.write(data)
                     await writer.drain()
         # An end is as silent as the rest.
-        if not pair.silent:
+        if not conn.blackholed:
             writer.close()
