--- a/testing/soak/test_checks.py
+++ b/testing/soak/test_checks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Each check of the soak says so when it is fed a broken promise."""
+"""Each soak check reports a violation, and nothing that is allowed."""
 
 import collections
 
@@ -39,34 +39,50 @@
 @pytest.mark.parametrize(
     ("call", "ran", "message"),
     [
-        (_call(body=checks.expected_body(SAFE, "b")), 1, "not its own"),
-        (_call(body=b""), 1, "not its own"),
-        (_call(STREAM, body=checks.stream_event("a", 2)), 1, "not its own"),
+        (
+            _call(body=checks.expected_body(SAFE, "b")),
+            1,
+            "not the complete answer",
+        ),
+        (_call(body=b""), 1, "not the complete answer"),
+        (
+            _call(STREAM, body=checks.stream_event("a", 2)),
+            1,
+            "not the complete answer",
+        ),
         (
             _call(
                 STREAM, body=checks.stream_event("a", 1) * 2, complete=False
             ),
             1,
-            "a part that is not",
+            "partial body is not of its answer",
+        ),
+        (
+            _call(UNSAFE, status=503, body=b""),
+            1,
+            "ran, but answered with 503",
+        ),
+        (
+            _call(UNSAFE, status=429, body=b""),
+            1,
+            "ran, but answered with 429",
         ),
-        (_call(UNSAFE, status=503, body=b""), 1, "ran, though 503"),
-        (_call(UNSAFE, status=429, body=b""), 1, "ran, though 429"),
         (_call(UNSAFE), 2, "ran 2 times"),
         (
             _call(status=0, body=b"", complete=False, planned_stops_only=True),
             1,
-            "cut by a planned stop",
+            "truncated by a planned stop",
         ),
     ],
     ids=[
-        "of-another",
+        "other-request",
         "empty",
-        "events-left-out",
-        "event-twice",
-        "false-503",
-        "false-429",
-        "twice",
-        "cut",
+        "missing-events",
+        "repeated-event",
+        "run-but-503",
+        "run-but-429",
+        "unsafe-run-twice",
+        "truncated",
     ],
 )
 def test_broken_promise_is_reported(
@@ -91,13 +107,23 @@
 @pytest.mark.parametrize(
     ("first", "later", "messages"),
     [
-        ({"backoff_s": 2.0}, [0.6, 0.7, 1.9], ["3 requests in its rest"]),
+        (
+            {"backoff_s": 2.0},
+            [0.6, 0.7, 1.9],
+            ["3 requests in its backoff"],
+        ),
         ({"backoff_s": 2.0}, [0.1, 0.2, 0.3, 0.6, 1.9, 2.1], []),
-        ({"leaving": True}, [2.1], ["long after it said"]),
+        ({"leaving": True}, [2.1], ["after the grace for leaving"]),
         ({"leaving": True}, [0.1, 1.9], []),
         ({}, [0.6, 0.7, 0.8, 2.1], []),
     ],
-    ids=["in-rest", "crossing", "past-drain", "draining", "neither"],
+    ids=[
+        "in-backoff",
+        "in-flight",
+        "after-grace",
+        "within-grace",
+        "neither",
+    ],
 )
 def test_requests_during_backoff_or_leaving_are_reported(
     first, later, messages
@@ -124,7 +150,7 @@
         (_call(status=0, body=b"", complete=False), 1),
         (_call(STREAM, body=checks.stream_event("a", 1), complete=False), 1),
     ],
-    ids=["safe-again", "true-refusal", "unknown", "unplanned", "visibly-cut"],
+    ids=["safe-run", "not-run", "unknown", "unplanned", "visibly-truncated"],
 )
 def test_allowed_outcome_is_not_reported(call: checks.CallResult, ran: int):
     assert _violations(call, ran=ran) == []
--- a/testing/soak/test_soak.py
+++ b/testing/soak/test_soak.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Real processes keep their promises while all around them fails.
+"""Real edge processes keep the promises to callers under injected faults.
 
-By hand, with other seeds: ``make soak SEED=100 SEEDS=50``. A seed names the
-faults, their order and who is hit; how requests and faults interleave is up
-to the machine.
+Other seeds are run by ``make soak SEED=100 SEEDS=50``. A seed decides which
+faults occur, in which order and where; how they interleave with requests
+depends on the machine.
 """
 
 import asyncio
@@ -20,29 +20,27 @@
 
 FIRST_SEED = int(os.environ.get("SOAK_SEED", "1"))
 SEED_COUNT = int(os.environ.get("SOAK_SEEDS", "3"))
-#: Seeds that failed once, with the cause.
+#: Seeds that failed before, with the cause, which run every time.
 REGRESSION_SEEDS: tuple[int, ...] = ()
 PROCESSES = 3
 SERVERS = 4
 ROUNDS = 4
-#: Servers that may end under one request: two, or three where this machine
-#: is so busy that its runs seem to have ended at other points.
+#: Servers that one request may crash: two, or three where a busy machine
+#: makes the crashes look as if they came at different times of the request.
 MAX_CRASHES = 3
-#: Rest that servers ask for, in seconds, and rounds of requests meanwhile.
+#: Backoff that servers ask for, and rounds of requests in that test.
 BACKOFF_S = 1.5
 BACKOFF_ROUNDS = 120
-#: Callers turned away twice: each process by both servers that rest, at first
-#: and after each rest, of which there are five while requests are sent.
+#: Requests that may be refused: each process may try both servers that back
+#: off, at first and after each of the five backoffs that fit into the test.
 MAX_REFUSED = 2 * PROCESSES * 6
-#: Time between two looks at what processes list, in seconds.
 _POLL_S = 0.02
-#: Callers of each process, and requests of each in a round.
 CALLERS_PER_PROCESS = 2
 REQUESTS_PER_ROUND = 6
 
 
 class _SoakRun:
-    """One fleet, its callers and the faults that a seed chooses."""
+    """A fleet, its callers and the faults that a seed selects."""
 
     def __init__(self, path: pathlib.Path, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -108,11 +106,11 @@
                 self._half_done.set()
 
     async def wait_until_half_done(self) -> None:
-        """Return once half of the round's requests have ended."""
+        """Wait until half of the round's requests are done."""
         await self._half_done.wait()
 
     def take_process(self) -> soak_fleet.EdgeProcess:
-        """Return one that no other fault of this round has hit."""
+        """Return a process that no other fault of this round is applied to."""
         return self._unused_processes.pop()
 
 
@@ -195,7 +193,7 @@
 
 
 async def _wait_until_all_list(fleet: soak_fleet.Fleet, crashes: int) -> None:
-    """Return once every process lists that many ends of a request."""
+    """Wait until every process lists a suspect with that many crashes."""
     for one in fleet.processes:
         while await one.max_listed_crashes() < crashes:
             await asyncio.sleep(_POLL_S)
@@ -204,7 +202,7 @@
 async def _send_crashing_requests(
     fleet: soak_fleet.Fleet, kind: soak_checks.RequestKind
 ) -> list[soak_checks.CallResult]:
-    """Send it to each process, and to one that has started anew."""
+    """Send a crashing request to each process, then to a restarted one."""
     calls = []
     for num, one in enumerate([*fleet.processes, fleet.processes[0]]):
         if num == len(fleet.processes):
@@ -245,7 +243,7 @@
 
 
 async def _send_from_all(fleet: soak_fleet.Fleet, batch: str) -> int:
-    """Let callers of all processes ask; return how many were served."""
+    """Send requests to all processes; return how many were served."""
     callers = [
         soak_fleet.Caller(one.ports["callers"], fleet.history)
         for one in fleet.processes
@@ -288,7 +286,7 @@
     assert history.violations() == []
     assert any(one.backoff_s for one in history.received)
     assert any(one.leaving for one in history.received)
-    # One server of four takes requests at least, and all of them.
+    # One of four servers takes all requests but those that may be refused.
     assert served >= 2 * BACKOFF_ROUNDS * PROCESSES - MAX_REFUSED
 
 
@@ -302,5 +300,5 @@
     history = asyncio.run(_SoakRun(tmp_path, seed).run())
     assert history.violations() == []
     answered = sum(call.status == soak_checks.OK for call in history.calls)
-    # Without answers the checks would say nothing.
+    # The checks prove nothing unless many requests were answered.
     assert answered > len(history.calls) / 3
--- a/testing/support/soak_checks.py
+++ b/testing/support/soak_checks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What callers and backend servers saw, and which promises it breaks."""
+"""Observations of a soak run, and the checks of the promises to callers."""
 
 import collections
 from collections.abc import Iterable
@@ -9,29 +9,28 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be done with a request."""
+    """Kind of a request, which decides whether it may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
     STREAM = "stream"
 
 
-#: Statuses that promise that a request has not run.
+#: Statuses by which the edge promises that the request was not run.
 NOT_RUN_STATUSES = (429, 503)
 OK = 200
 REFUSED = 503
-#: What was on its way may still arrive this long after a server has asked for
-#: rest, in seconds, and as many requests later.
+#: Requests that were sent before the sender read a server's backoff may still
+#: arrive: any number for this long after the answer, and this many later.
 IN_FLIGHT_GRACE_S = 0.5
 MAX_IN_FLIGHT_REQUESTS = 2
-#: Time after which a server that leaves must get nothing, in seconds.
+#: Time after which a server that said it leaves must get no requests.
 LEAVING_GRACE_S = 2.0
-#: Events of each stream.
 EVENTS_PER_STREAM = 6
 
 
 def expected_body(kind: RequestKind, name: str) -> bytes:
-    """Return the whole answer that a backend server gives to a request."""
+    """Return the complete body with which a backend server answers."""
     if kind is RequestKind.STREAM:
         return b"".join(
             stream_event(name, num) for num in range(1, EVENTS_PER_STREAM + 1)
@@ -40,7 +39,7 @@
 
 
 def stream_event(name: str, num: int) -> bytes:
-    """Return one event of a stream."""
+    """Return the bytes of one server-sent event."""
     return b"id: %d\ndata: %s %d\n\n" % (num, name.encode(), num)
 
 
@@ -48,9 +47,10 @@
 class CallResult:
     """One request as its caller saw it.
 
-    :param status: 0 where no answer began.
-    :param whole: whether the answer had its end.
-    :param planned: whether nothing but planned stops was under way.
+    :param status: HTTP status; 0 where no response head was read.
+    :param complete: whether the body was read to its end.
+    :param planned_stops_only: whether planned stops of edge processes were
+        the only faults in the round.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class AppliedVersion:
-    """A version that one life of a process put in force."""
+    """A desired state version that one run of an edge process applied."""
 
     run: str
     number: int
@@ -71,12 +71,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReceivedRequest:
-    """One request as its backend server saw it, and what that said.
+    """One request as its backend server received and answered it.
 
-    :param sender: life of the process that sent it.
-    :param at: when it came, in seconds.
-    :param rest_s: rest that the server asked for in its answer; 0 for none.
-    :param leaves: whether its answer said that it leaves.
+    :param sender: run of the edge process that sent it.
+    :param received_s: time of the event loop, in seconds.
+    :param backoff_s: backoff that the server asked for in its answer, or 0.
+    :param leaving: whether the server was leaving, which its answers say
+        unless they ask for a backoff.
     """
 
     server: str
@@ -88,7 +89,11 @@
 
 @dataclasses.dataclass
 class History:
-    """All that was seen, by callers, backend servers and in logs."""
+    """What callers, backend servers and the logs of edge processes recorded.
+
+    :ivar run_counts: how often backend servers ran each request, by its name.
+    :ivar errors: lines in the output of edge processes that are not log lines.
+    """
 
     calls: list[CallResult] = dataclasses.field(default_factory=list)
     run_counts: collections.Counter[str] = dataclasses.field(
@@ -99,7 +104,7 @@
     received: list[ReceivedRequest] = dataclasses.field(default_factory=list)
 
     def violations(self) -> list[str]:
-        """Return each promise that was broken, and by what."""
+        """Return a message for each violation of a promise."""
         return [
             *self._wrong_bodies(),
             *self._wrong_partial_bodies(),
@@ -116,7 +121,7 @@
         for call in self.calls:
             if call.status == OK and call.complete:
                 if call.body != expected_body(call.kind, call.name):
-                    yield f"{call.name}: not its own whole answer"
+                    yield f"{call.name}: body is not the complete answer to it"
 
     def _wrong_partial_bodies(self) -> Iterable[str]:
         for call in self.calls:
@@ -124,7 +129,7 @@
                 if not expected_body(call.kind, call.name).startswith(
                     call.body
                 ):
-                    yield f"{call.name}: a part that is not of its answer"
+                    yield f"{call.name}: partial body is not of its answer"
 
     def _run_but_refused(self) -> Iterable[str]:
         for call in self.calls:
@@ -133,7 +138,7 @@
                 and call.status in NOT_RUN_STATUSES
             ):
                 if self.run_counts[call.name]:
-                    yield f"{call.name}: ran, though {call.status} was told"
+                    yield f"{call.name}: ran, but answered with {call.status}"
 
     def _unsafe_run_twice(self) -> Iterable[str]:
         for call in self.calls:
@@ -152,17 +157,17 @@
                 if one.received_s <= end
             ]
             if len(late) > MAX_IN_FLIGHT_REQUESTS:
-                yield f"{asked.server}: {len(late)} requests in its rest"
+                yield f"{asked.server}: {len(late)} requests in its backoff"
 
     def _sent_to_leaving_servers(self) -> Iterable[str]:
-        for told in self.received:
-            if told.leaving and self._later_requests(told, LEAVING_GRACE_S):
-                yield f"{told.server}: requests long after it said it leaves"
+        for first in self.received:
+            if first.leaving and self._later_requests(first, LEAVING_GRACE_S):
+                yield f"{first.server}: requests after the grace for leaving"
 
     def _later_requests(
         self, first: ReceivedRequest, delay_s: float
     ) -> list[ReceivedRequest]:
-        """Return what the same sender sent later than that after a visit."""
+        """Return what this sender sent there more than ``delay_s`` later."""
         return [
             one
             for one in self.received
@@ -178,7 +183,7 @@
                 and self.run_counts[call.name]
                 and not call.complete
             ):
-                yield f"{call.name}: cut by a planned stop"
+                yield f"{call.name}: truncated by a planned stop"
 
 
 def _version_regressions(versions: Sequence[AppliedVersion]) -> Iterable[str]:
--- a/testing/support/soak_fleet.py
+++ b/testing/support/soak_fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Real edge processes between callers, backend servers and a store."""
+"""Real edge processes with callers, backend servers and a store stand-in."""
 
 import asyncio
 import collections
@@ -21,33 +21,34 @@
 from lugcross.standin import store as standin
 
 HOST = soak_proxy.HOST
-#: Time that callers give a request, in ms; also the routes' limit.
+#: Deadline that callers send with a request, and timeout of the routes.
 REQUEST_TIMEOUT_MS = 2000
-#: Longest wait of a caller for an answer, in seconds; past it, it leaves.
+#: A caller closes its connection when an answer takes longer than this.
 _CALLER_TIMEOUT_S = 6.0
 _PROCESSING_S = 0.005
-#: Last part of the path of requests that end the server that runs them.
+#: Last part of the path of requests that crash the server that runs them.
 CRASHING_PATH = "ending"
 
 
 class BackendServer:
-    """A backend server that keeps what it ran."""
+    """A backend server that counts how often it ran each request."""
 
     def __init__(self, run_counts: collections.Counter[str]) -> None:
         self._run_counts = run_counts
         self._server: asyncio.Server | None = None
         self.port = 0
-        #: Name of its life.
+        #: Id of its current life, as published in the store.
         self.name = ""
-        #: What it answers instead of running requests, in seconds of rest.
+        #: Backoff that it answers with instead of running requests, or 0.
         self.backoff_s = 0.0
-        #: Whether it says in its answers that it is leaving.
+        #: Whether its answers say that it is leaving.
         self.leaving = False
-        #: Called with each request's name, and the rest that it is asked for.
+        #: Called with the name of each request and the backoff it is answered
+        #: with, in seconds.
         self.on_request: Callable[[str, float], None] = (
             lambda name, backoff_s: None
         )
-        #: Called with a request that ends this server.
+        #: Called when a request crashes this server.
         self.on_crash: Callable[[], None] = lambda: None
 
     async def start(self) -> None:
@@ -120,7 +121,7 @@
 
 
 class EdgeProcess:
-    """One edge process; started again at the same ports."""
+    """An edge process, which keeps its ports when it is restarted."""
 
     def __init__(
         self,
@@ -158,7 +159,7 @@
         self._proc: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start a new life."""
+        """Start the process; its output is appended to one file."""
         self.start_count += 1
         with self._log.open("ab") as log:
             log.write(b'{"message": "process started"}\n')
@@ -174,9 +175,9 @@
             )
 
     async def restart(self, num: signal.Signals) -> None:
-        """End this life by a signal, and start a new one."""
+        """End the process by a signal, wait for it and start it again."""
         self.signal(num)
-        # One that is paused does not heed a request to stop.
+        # A paused process handles SIGTERM only once it continues.
         self.signal(signal.SIGCONT)
         await self.wait()
         await self.start()
@@ -187,7 +188,7 @@
             self._proc.send_signal(num)
 
     async def max_listed_crashes(self) -> int:
-        """Return the most ends that it lists under one request."""
+        """Return the highest number of crashes it lists for one suspect."""
         conn = await http1.connect(
             HOST, self.ports["metrics"], timeout_s=_CALLER_TIMEOUT_S
         )
@@ -203,30 +204,30 @@
         await self._proc.wait()
 
     def applied_versions(self) -> list[soak_checks.AppliedVersion]:
-        """Return what its log tells of versions put in force."""
+        """Return the desired state versions that its log says it applied."""
         found = []
         run = 0
         for line in self._log.read_text(encoding="utf-8").splitlines():
             if not line.startswith("{"):
                 continue
-            told = json.loads(line)
-            if told["message"] == "process started":
+            entry = json.loads(line)
+            if entry["message"] == "process started":
                 run += 1
-            elif told["message"] == "desired state":
+            elif entry["message"] == "desired state":
                 one = soak_checks.AppliedVersion(
-                    f"{self.name}-{run}", told["version"]
+                    f"{self.name}-{run}", entry["version"]
                 )
                 found.append(one)
         return found
 
     def non_log_lines(self) -> list[str]:
-        """Return what is no line of the product's log: tracebacks."""
+        """Return the output that is no JSON log line, such as tracebacks."""
         text = self._log.read_text(encoding="utf-8")
         return [line for line in text.splitlines() if line[:1] != "{"]
 
 
 class Fleet:
-    """Processes, the proxies around them, and what was seen."""
+    """Edge processes, backend servers, a store and proxies between them."""
 
     def __init__(self, path: pathlib.Path, *, processes: int, servers: int):
         self._path = path
@@ -240,13 +241,13 @@
         self.processes: list[EdgeProcess] = []
         self._process_count = processes
         self._life_numbers = itertools.count()
-        #: How many servers have ended under a request.
+        #: Servers that crashed so far.
         self.crash_count = 0
         self._restart_tasks: set[asyncio.Task[None]] = set()
         self.version = 0
 
     async def start(self) -> None:
-        """Start everything and wait until all processes are ready."""
+        """Start everything and wait until all processes serve requests."""
         _, _, port = (await self.store.start(HOST)).rpartition(":")
         for num, server in enumerate(self.servers):
             await server.start()
@@ -264,7 +265,7 @@
         await self.wait_until_serving()
 
     async def _start_life(self, num: int) -> None:
-        """Begin a life of a server."""
+        """Start a life of a server, with a new id and address."""
         proxy = self.server_proxies[num]
         await proxy.start()
         name = f"i-{next(self._life_numbers)}"
@@ -288,7 +289,7 @@
         self.store.append(platform.BACKENDS_TOPIC, name, row)
 
     def _record_request(self, num: int, name: str, backoff_s: float) -> None:
-        """Note a request of which the name tells its process, ``NUM-...``."""
+        """Record a request named ``NUM-...`` after the process it went to."""
         number, _, _ = name.partition("-")
         if not number.isdigit():
             return
@@ -305,7 +306,7 @@
         )
 
     def _crash_server(self, num: int, name: str) -> None:
-        """End a server at once; its next life has another address."""
+        """Crash a server: reset its connections and start its next life."""
         self.crash_count += 1
         self.server_proxies[num].close()
         self.server_proxies[num] = soak_proxy.Proxy(self.servers[num].port)
@@ -315,7 +316,7 @@
         task.add_done_callback(self._restart_tasks.discard)
 
     async def stop(self) -> None:
-        """End what this fleet has started."""
+        """Kill all processes, collect their logs and close everything else."""
         for one in self.processes:
             one.signal(signal.SIGCONT)
             one.signal(signal.SIGKILL)
@@ -330,14 +331,14 @@
         self.store.close()
 
     def restore_store(self, older: standin.StoreStandin) -> None:
-        """Bring the store back from a copy; who wrote to it does so again."""
+        """Restore the store from a copy, and publish all entries again."""
         self.store.restore_from(older)
         for num in range(len(self.servers)):
             self._publish_server(num)
         self._publish_desired_state()
 
     def change_desired_state(self) -> None:
-        """Let the operator change the desired state."""
+        """Publish a new version of the desired state."""
         self.version += 1
         self._publish_desired_state()
 
@@ -373,7 +374,7 @@
         )
 
     async def wait_until_serving(self) -> None:
-        """Return once each process serves a request on a new connection."""
+        """Wait until each process serves a request on a new connection."""
         for num, one in enumerate(self.processes):
             tries = 0
             while True:
@@ -388,7 +389,7 @@
 
 
 class Caller:
-    """Sends requests on one connection for as long as that is open."""
+    """A caller that keeps its connection open between requests."""
 
     def __init__(self, port: int, history: soak_checks.History) -> None:
         self._port = port
@@ -408,9 +409,9 @@
         planned_stops_only: bool = False,
         path_suffix: str = "x",
     ) -> soak_checks.CallResult:
-        """Send one request; keep and return what came of it.
+        """Send one request; record and return its result.
 
-        :param last: last part of its path.
+        :param path_suffix: last part of the path.
         """
         parts: list[bytes] = []
         status, complete = 0, False
--- a/testing/support/soak_proxy.py
+++ b/testing/support/soak_proxy.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A loopback proxy that harms the connections that go through it."""
+"""A loopback TCP proxy that injects faults into its connections."""
 
 import asyncio
 import contextlib
@@ -9,10 +9,9 @@
 
 
 class _ProxiedConnection:
-    """One connection and its other half.
+    """A client's connection and the one to the target.
 
-    :ivar silent: whether bytes are taken and dropped, both ways.
-    :ivar deaf: whether what comes back is dropped.
+    :ivar blackholed: whether bytes are read and discarded both ways.
     """
 
     def __init__(
@@ -26,16 +25,17 @@
         self.drops_responses = False
 
     def reset(self) -> None:
-        """End both halves with a reset."""
+        """Reset both connections."""
         for writer in (self.client, self.upstream):
             writer.transport.abort()
 
 
 class Proxy:
-    """Passes connections on to one address.
+    """Forwards connections to one port.
 
-    :ivar silent: whether new connections are silent from the start.
-    :ivar deaf: whether answers are dropped, on all connections.
+    :ivar blackhole_new: whether new connections are blackholed.
+    :ivar drops_responses: whether bytes from the target are discarded, on all
+        connections.
     """
 
     def __init__(self, port: int) -> None:
@@ -47,7 +47,7 @@
         self.drops_responses = False
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a free port, which :attr:`port` then holds."""
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -58,12 +58,12 @@
         self.reset()
 
     def blackhole_open(self) -> None:
-        """Make what is open say nothing more, for good."""
+        """Discard all further bytes of the connections that are open now."""
         for conn in self._conns:
             conn.blackholed = True
 
     def reset(self) -> None:
-        """Reset what is open."""
+        """Reset all open connections."""
         for conn in list(self._conns):
             conn.reset()
 
@@ -102,6 +102,6 @@
                 if not dropped:
                     writer.write(data)
                     await writer.drain()
-        # An end is as silent as the rest.
+        # A blackholed connection does not pass on that one side closed.
         if not conn.blackholed:
             writer.close()
--- a/testing/support/virtual_time.py
+++ b/testing/support/virtual_time.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An event loop whose time moves only when nothing else is left to do."""
+"""An event loop in virtual time, which advances when no callback is due."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,31 +13,33 @@
 
 
 class _Selector(selectors.DefaultSelector):
-    """Moves the time on instead of waiting."""
+    """A selector that advances the time instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout=None):
         ready = super().select(0)
         if not ready:
-            assert timeout is not None, "nothing is left to happen"
+            assert timeout is not None, (
+                "deadlock: no callback or timer is pending"
+            )
             self.now += max(timeout, 0.0)
         return ready
 
 
-class Loop(asyncio.SelectorEventLoop):
-    """A loop in virtual time; nothing in it may use sockets."""
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop in virtual time; nothing that runs in it may do I/O."""
 
     def __init__(self) -> None:
-        self._virtual = _Selector()
-        super().__init__(self._virtual)
+        self._virtual_selector = _Selector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._virtual.now
+        return self._virtual_selector.now
 
 
 class LoopClock:
-    """The running loop's time as a clock."""
+    """A clock that shows the time of the running event loop."""
 
     def now(self) -> datetime.datetime:
         return _START + self.monotonic()
@@ -47,6 +49,6 @@
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine in virtual time; the same on every run."""
-    with asyncio.Runner(loop_factory=Loop) as runner:
+    """Run a coroutine in virtual time and return its result."""
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
