--- a/bench/slopes.py
+++ b/bench/bench_stats.py
@@ -7,7 +7,7 @@
 import time
 
 
-def seconds_each(func: Callable[[], object], *, count: int) -> float:
+def median_call_s(func: Callable[[], object], *, count: int) -> float:
     """Return the median of five runs of ``count`` calls, per call."""
     times = []
     gc.collect()
@@ -19,7 +19,7 @@
     return sorted(times)[2]
 
 
-def slope(points: Sequence[tuple[float, float]]) -> tuple[float, float]:
+def fit_line(points: Sequence[tuple[float, float]]) -> tuple[float, float]:
     """Return slope and intercept of the least-squares line."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
--- a/bench/config.py
+++ b/bench/config.py
@@ -18,6 +18,8 @@
 
 import click
 
+import bench_stats
+
 from lugcross import cfg
 from lugcross import clock
 from lugcross import ids
@@ -25,8 +27,7 @@
 from lugcross import membership
 from lugcross import standin
 from lugcross import wire
-import procs
-import slopes
+import process_fleet
 
 _LINK_MS = 2.0
 _MICRO = 1e6
@@ -151,7 +152,7 @@
     rng = random.Random(seed)
     took = []
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder), domains=3, entries=entries, engines=engines
         )
         try:
@@ -165,19 +166,21 @@
     return {
         "entries": 3 * entries,
         "agents": 3 * (engines + 1),
-        "median_ms": slopes.percentile(took, 0.5),
-        "p99_ms": slopes.percentile(took, 0.99),
+        "median_ms": bench_stats.percentile(took, 0.5),
+        "p99_ms": bench_stats.percentile(took, 0.99),
         "log_reads_a_change": (after - reads) / _CHANGES,
     }
 
 
-def _log_reads(fleet: procs.Fleet) -> int:
+def _log_reads(fleet: process_fleet.Fleet) -> int:
     url = f"{fleet.standin_url('log')}{standin.log.COUNTS_PATH}"
-    counts: dict[str, int] = fleet.control.request("GET", url).json()
+    counts: dict[str, int] = fleet.control_http.request("GET", url).json()
     return counts["reads"]
 
 
-def _one_change(fleet: procs.Fleet, rng: random.Random, num: int) -> float:
+def _one_change(
+    fleet: process_fleet.Fleet, rng: random.Random, num: int
+) -> float:
     entry = rng.choice(sorted(fleet.entries))
     with fleet.operator(entry) as client:
         expect = next(
@@ -199,9 +202,9 @@
     return (time.perf_counter() - began) * 1000
 
 
-def _wait(fleet: procs.Fleet, entry: str, offset: int) -> None:
+def _wait(fleet: process_fleet.Fleet, entry: str, offset: int) -> None:
     with fleet.operator(entry) as client:
-        procs.wait_until(
+        process_fleet.wait_until(
             lambda: client.status().offset >= offset, what="in force"
         )
 
--- a/bench/control.py
+++ b/bench/control.py
@@ -18,14 +18,15 @@
 
 import click
 
+import bench_stats
+
 from lugcross import cfg
 from lugcross import ids
 from lugcross import membership
 from lugcross import routing
 from lugcross import shares
 from lugcross import wire
-import procs
-import slopes
+import process_fleet
 
 _MICRO = 1e6
 _IDLE_S = 10.0
@@ -114,9 +115,13 @@
         found[name] = {
             "bytes": len(frame),
             "encode_us": _MICRO
-            * slopes.seconds_each(lambda m=msg: wire.encode([m]), count=2000),
+            * bench_stats.median_call_s(
+                lambda m=msg: wire.encode([m]), count=2000
+            ),
             "decode_us": _MICRO
-            * slopes.seconds_each(lambda f=frame: wire.decode(f), count=2000),
+            * bench_stats.median_call_s(
+                lambda f=frame: wire.decode(f), count=2000
+            ),
         }
     return found
 
@@ -129,11 +134,11 @@
         group = cfg.WorkspaceGroup(name="new", share=1.0)
         data = cfg.encode(_change(1, group))
         offset = ids.Offset(config.offset + 1)
-        took = slopes.seconds_each(
+        took = bench_stats.median_call_s(
             lambda c=config, o=offset, d=data: cfg.step(c, o, d), count=200
         )
         points.append((float(backends + 252), took * _MICRO))
-    rate, base = slopes.slope(points)
+    rate, base = bench_stats.fit_line(points)
     return {
         "record_bytes": len(cfg.encode(_change(1, _backend(1)))),
         "apply_us_at_1012_objects": points[-1][1],
@@ -158,14 +163,14 @@
             )
             for num in range(count)
         ]
-        found[f"choice_us_at_{count}"] = _MICRO * slopes.seconds_each(
+        found[f"choice_us_at_{count}"] = _MICRO * bench_stats.median_call_s(
             lambda c=candidates: routing.choose_backend(
                 c, own_domain=ids.DomainName("d1"), tried=(), rng=rng
             ),
             count=300,
         )
     backends = [_backend(num) for num in range(760)]
-    found["subset_ms_at_760"] = 1000 * slopes.seconds_each(
+    found["subset_ms_at_760"] = 1000 * bench_stats.median_call_s(
         lambda: membership.choose_backend_subset(
             ids.NodeName("e"),
             ids.DomainName("domain-1"),
@@ -174,7 +179,7 @@
         ),
         count=20,
     )
-    found["fair_queue_us_push_and_pop"] = _MICRO * slopes.seconds_each(
+    found["fair_queue_us_push_and_pop"] = _MICRO * bench_stats.median_call_s(
         _turns(), count=2000
     )
     return found
@@ -233,7 +238,7 @@
         "bare_mb": bare / 1e6,
         "agent_imports_mb": agent / 1e6,
         "entry_imports_mb": entry / 1e6,
-        "bytes_a_replica_known": slopes.slope(points)[0],
+        "bytes_a_replica_known": bench_stats.fit_line(points)[0],
     }
 
 
@@ -241,11 +246,11 @@
     """Idle cost of links, from real processes: processor and memory."""
     cpu: list[tuple[float, float]] = []
     agent_cpu: list[tuple[float, float]] = []
-    rss: list[tuple[float, float]] = []
+    rss_bytes: list[tuple[float, float]] = []
     agents_rss: list[float] = []
     for count in counts:
         with tempfile.TemporaryDirectory() as folder:
-            fleet = procs.Fleet(pathlib.Path(folder), engines=count)
+            fleet = process_fleet.Fleet(pathlib.Path(folder), engines=count)
             try:
                 fleet.start()
                 entry = next(iter(fleet.entries.values()))
@@ -260,21 +265,21 @@
                         (agent.threads_cpu_s() - before[1]) / _IDLE_S * 100,
                     )
                 )
-                rss.append((float(count + 1), float(entry.rss())))
-                agents_rss.append(float(agent.rss()))
+                rss_bytes.append((float(count + 1), float(entry.rss_bytes())))
+                agents_rss.append(float(agent.rss_bytes()))
             finally:
                 fleet.stop()
     load = len(
         wire.encode([wire.Load(queued=9, running=8, capacity=8, waiting=9)])
     )
-    rate, base = slopes.slope(cpu)
-    rss_rate, rss_base = slopes.slope(rss)
+    rate, base = bench_stats.fit_line(cpu)
+    rss_rate, rss_base = bench_stats.fit_line(rss_bytes)
     return {
         "links": [int(x) for x, _ in cpu],
         "entry_idle_cpu_percent": [round(y, 2) for _, y in cpu],
         "entry_cpu_percent_a_link": rate,
         "entry_cpu_percent_base": base,
-        "entry_rss_mb": [round(y / 1e6, 1) for _, y in rss],
+        "entry_rss_mb": [round(y / 1e6, 1) for _, y in rss_bytes],
         "entry_rss_kb_a_link": rss_rate / 1e3,
         "entry_rss_mb_base": rss_base / 1e6,
         "agent_idle_cpu_percent": [round(y, 2) for _, y in agent_cpu],
@@ -288,7 +293,7 @@
     """Memory of entry host and agent against open streams."""
     points: dict[str, list[tuple[float, float]]] = {"entry": [], "agent": []}
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder), capacity=128, step_s=0.02, threads=128
         )
         try:
@@ -297,13 +302,13 @@
             agent = fleet.agents["model-d0-0"]
             for count in counts:
                 with _open_streams(fleet, count):
-                    points["entry"].append((float(count), entry.rss()))
-                    points["agent"].append((float(count), agent.rss()))
+                    points["entry"].append((float(count), entry.rss_bytes()))
+                    points["agent"].append((float(count), agent.rss_bytes()))
         finally:
             fleet.stop()
     found: dict[str, Any] = {"streams": list(counts)}
     for name, values in points.items():
-        rate, base = slopes.slope(values)
+        rate, base = bench_stats.fit_line(values)
         found[f"{name}_rss_mb"] = [round(y / 1e6, 1) for _, y in values]
         found[f"{name}_kb_a_stream"] = rate / 1e3
         found[f"{name}_base_mb"] = base / 1e6
@@ -311,11 +316,11 @@
 
 
 @contextlib.contextmanager
-def _open_streams(fleet: procs.Fleet, count: int) -> Iterator[None]:
+def _open_streams(fleet: process_fleet.Fleet, count: int) -> Iterator[None]:
     """Keep ``count`` streams open, each some tokens far."""
     body = json.dumps(
         {
-            "model": procs.MODEL,
+            "model": process_fleet.MODEL,
             "prompt": "a prompt",
             "max_tokens": 2000,
             "stream": True,
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -26,7 +26,7 @@
 import urllib3
 
 from lugcross.demo import calls
-import procs
+import process_fleet
 
 _TOKENS = 4
 _TIMEOUT_S = 10.0
@@ -58,7 +58,9 @@
 class Load:
     """Callers that send requests one after the other."""
 
-    def __init__(self, fleet: procs.Fleet, callers: int, seed: int) -> None:
+    def __init__(
+        self, fleet: process_fleet.Fleet, callers: int, seed: int
+    ) -> None:
         self._fleet = fleet
         self._callers = callers
         self._seed = seed
@@ -102,7 +104,7 @@
                 http,
                 rng,
                 seen,
-                f"/services/{procs.LEDGER}/charge",
+                f"/services/{process_fleet.LEDGER}/charge",
                 b'{"rent": 1}',
                 {"Idempotency-Key": seen.id},
             )
@@ -119,7 +121,7 @@
     ) -> None:
         body = json.dumps(
             {
-                "model": procs.MODEL,
+                "model": process_fleet.MODEL,
                 "prompt": seen.id,
                 "max_tokens": _TOKENS,
                 "stream": True,
@@ -185,7 +187,7 @@
 class Faults:
     """Draws a fault, lets it last, and mends it."""
 
-    def __init__(self, fleet: procs.Fleet, seed: int) -> None:
+    def __init__(self, fleet: process_fleet.Fleet, seed: int) -> None:
         self._fleet = fleet
         self._rng = random.Random(seed)
         self.counts: collections.Counter[str] = collections.Counter()
@@ -208,8 +210,8 @@
         self.counts[name] += 1
 
     def _pick(
-        self, processes: dict[str, procs.Process]
-    ) -> tuple[str, procs.Process]:
+        self, processes: dict[str, process_fleet.Process]
+    ) -> tuple[str, process_fleet.Process]:
         name = self._rng.choice(sorted(processes))
         return name, processes[name]
 
@@ -223,7 +225,7 @@
         process.kill()
         process.start("links")
 
-    def _freeze(self, processes: dict[str, procs.Process]) -> None:
+    def _freeze(self, processes: dict[str, process_fleet.Process]) -> None:
         _, process = self._pick(processes)
         process.signal(signal.SIGSTOP)
         time.sleep(self._rng.uniform(0.2, 4.0))
@@ -241,31 +243,31 @@
         name = self._rng.choice(sorted(self._fleet.relays))
         self._fleet.relays[name].cut()
         time.sleep(self._rng.uniform(0.0, 1.5))
-        self._fleet.relays[name].mend()
+        self._fleet.relays[name].restore()
 
     def _log_down(self) -> None:
-        self._fleet.faults("log", down=True)
+        self._fleet.set_faults("log", down=True)
         time.sleep(self._rng.uniform(0.1, 2.0))
-        self._fleet.faults("log")
+        self._fleet.set_faults("log")
 
     def _lost_answers(self) -> None:
-        self._fleet.faults("log", lose_answers=3)
+        self._fleet.set_faults("log", lose_answers=3)
         time.sleep(0.2)
-        self._fleet.faults("log")
+        self._fleet.set_faults("log")
 
     def _close_early(self) -> None:
         engines = [n for n in self._fleet.standins if n.startswith("engine")]
-        self._fleet.faults(self._rng.choice(engines), close_early=3)
+        self._fleet.set_faults(self._rng.choice(engines), close_early=3)
 
 
-def judge(fleet: procs.Fleet, seen: list[Seen]) -> dict[str, Any]:
+def judge(fleet: process_fleet.Fleet, seen: list[Seen]) -> dict[str, Any]:
     """Hold what callers saw against what truly ran."""
-    ran = fleet.ran()
-    model_ran = fleet.model_ran()
+    ran = fleet.ledger_run_counts()
+    model_run_counts = fleet.model_run_counts()
     counts: collections.Counter[str] = collections.Counter()
     bad: list[str] = []
     for one in seen:
-        times = (ran if one.keyed else model_ran).get(one.id, 0)
+        times = (ran if one.keyed else model_run_counts).get(one.id, 0)
         doubled = one.keyed and times > 1
         # A keyed request that was refused every time must not have run.
         only_not_run = set(one.every) <= {"not-run"} and bool(one.every)
@@ -303,7 +305,7 @@
 ) -> dict[str, Any]:
     """Run the load and the faults, and judge."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder),
             domains=3,
             entries=1,
--- a/bench/once.py
+++ b/bench/once.py
@@ -16,13 +16,14 @@
 
 import click
 
+import bench_stats
+
 from lugcross.agent import claimer as claimer_lib
 from lugcross.agent import claims
 from lugcross import clock
 from lugcross import ids
 from lugcross import logservice
 from lugcross import standin
-import slopes
 
 _HOST = "127.0.0.1"
 _MILLI = 1000.0
@@ -90,8 +91,8 @@
         "keys_a_s": asked / took_s,
         "appends_a_s": log.appends / took_s,
         "refused": sum(one.away for one in running),
-        "median_ms": slopes.percentile(took, 0.5),
-        "p99_ms": slopes.percentile(took, 0.99),
+        "median_ms": bench_stats.percentile(took, 0.5),
+        "p99_ms": bench_stats.percentile(took, 0.99),
     }
 
 
@@ -128,8 +129,8 @@
         "keys_a_s": len(futs) / took_s,
         "appends_a_s": log.appends / took_s,
         "refused": refused,
-        "median_ms": slopes.percentile(took, 0.5),
-        "p99_ms": slopes.percentile(took, 0.99),
+        "median_ms": bench_stats.percentile(took, 0.5),
+        "p99_ms": bench_stats.percentile(took, 0.99),
     }
 
 
@@ -147,7 +148,7 @@
         index.apply(ids.Offset(num + 1), batch, now)
         index.rule(claim)
 
-    each = slopes.seconds_each(one, count=5000)
+    each = bench_stats.median_call_s(one, count=5000)
     return {"median_ms": each * _MILLI, "appends_a_s": 0.0}
 
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -16,8 +16,8 @@
 import click
 import urllib3
 
-import procs
-import slopes
+import bench_stats
+import process_fleet
 
 _TOKENS = 40
 _ROUNDS = 60
@@ -30,7 +30,7 @@
     """Return when each token came, in seconds from the start."""
     body = json.dumps(
         {
-            "model": procs.MODEL,
+            "model": process_fleet.MODEL,
             "prompt": prompt,
             "max_tokens": tokens,
             "stream": True,
@@ -55,7 +55,7 @@
     return times
 
 
-def _latencies(fleet: procs.Fleet) -> dict[str, Any]:
+def _latencies(fleet: process_fleet.Fleet) -> dict[str, Any]:
     ways = {
         "direct": fleet.standin_url("engine-d0-0"),
         "through": fleet.urls()[0],
@@ -74,8 +74,8 @@
     for what, samples in (("first_ms", first), ("token_ms", between)):
         for name, values in samples.items():
             found[f"{what}_{name}"] = {
-                "median": slopes.percentile(values, 0.5),
-                "p99": slopes.percentile(values, 0.99),
+                "median": bench_stats.percentile(values, 0.5),
+                "p99": bench_stats.percentile(values, 0.99),
             }
         medians = [found[f"{what}_{name}"]["median"] for name in ways]
         found[f"{what}_added_median"] = medians[1] - medians[0]
@@ -83,7 +83,7 @@
     return found
 
 
-def _capacity(fleet: procs.Fleet, callers: int, seconds: float) -> Any:
+def _capacity(fleet: process_fleet.Fleet, callers: int, seconds: float) -> Any:
     """Requests and tokens a second of processor time of each role."""
     url = fleet.urls()[0]
     stop = threading.Event()
@@ -117,7 +117,7 @@
         "requests_a_s_a_core_of_entry": requests / entry_s,
         "tokens_a_s_a_core_of_entry": requests * _TOKENS / entry_s,
         "tokens_a_s_a_core_of_agent": requests * _TOKENS / agents_s,
-        "entry_rss_mb": entry.rss() / 1e6,
+        "entry_rss_mb": entry.rss_bytes() / 1e6,
     }
 
 
@@ -128,7 +128,7 @@
 def main(as_json: bool, callers: int, seconds: float) -> None:
     """Measure latency added, and capacity of one entry host."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder), engines=3, capacity=32, step_s=0.01
         )
         try:
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -14,8 +14,9 @@
 import click
 import numpy as np
 
+import bench_stats
+
 from lugcross import placement
-import slopes
 
 _WINDOWS = 96
 _Planner = Callable[[list[placement.Loads], placement.Slots], placement.Slots]
@@ -148,7 +149,7 @@
     held_s = moved * cfg.expert_bytes / cfg.transfer_bytes_s
     return {
         "skew_mean": float(np.mean(skews)),
-        "skew_p99": slopes.percentile(skews, 0.99),
+        "skew_p99": bench_stats.percentile(skews, 0.99),
         "experts_moved": moved,
         "gb_moved": moved * cfg.expert_bytes / 1e9,
         "switches": switches,
--- a/bench/procs.py
+++ b/bench/process_fleet.py
@@ -24,7 +24,7 @@
 import urllib3
 import yaml
 
-import relay
+import tcp_relay
 
 from lugcross import cfg
 from lugcross import demo
@@ -42,10 +42,10 @@
 
 #: Longest wait for a process to listen, in seconds. A start takes one or
 #: two; beside heavy load it was once seen to take over 20.
-_START_S = 60.0
+_START_TIMEOUT_S = 60.0
 _POLL_S = 0.02
-_PAGE = os.sysconf("SC_PAGE_SIZE")
-_TICKS = os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @final
@@ -76,25 +76,27 @@
             text=True,
         )
         threading.Thread(target=self._read, daemon=True).start()
-        until = time.monotonic() + _START_S
+        until = time.monotonic() + _START_TIMEOUT_S
         while not set(ports) <= set(self.ports):
-            line = self.next_line(until - time.monotonic())
+            line = self.next_log_line(until - time.monotonic())
             if line["message"] == "listening":
                 self.ports[line["what"]] = line["port"]
         return self
 
-    def next_line(self, timeout: float) -> dict[str, Any]:
+    def next_log_line(self, timeout: float) -> dict[str, Any]:
         """Return the next log line."""
         try:
             return self._lines.get(timeout=max(0.0, timeout))
         except queue.Empty:
             raise RuntimeError(f"{self.name}: {self.log[-5:]}") from None
 
-    def wait_line(self, message: str, timeout: float = 20.0) -> dict[str, Any]:
+    def wait_for_log_line(
+        self, message: str, timeout: float = 20.0
+    ) -> dict[str, Any]:
         """Return the next log line that says ``message``."""
         until = time.monotonic() + timeout
         while True:
-            line = self.next_line(until - time.monotonic())
+            line = self.next_log_line(until - time.monotonic())
             if line["message"] == message:
                 return line
 
@@ -129,7 +131,7 @@
         """Return its processor time so far, in seconds."""
         stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / _TICKS
+        return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
     def threads_cpu_s(self) -> float:
         """Return the time of the threads that live now, finely."""
@@ -137,10 +139,10 @@
         stats = [(task / "schedstat").read_text() for task in tasks]
         return sum(int(text.split()[0]) for text in stats) / 1e9
 
-    def rss(self) -> int:
+    def rss_bytes(self) -> int:
         """Return its memory now, in bytes."""
         statm = pathlib.Path(f"/proc/{self.pid}/statm").read_text()
-        return int(statm.split()[1]) * _PAGE
+        return int(statm.split()[1]) * _PAGE_BYTES
 
     def _read(self) -> None:
         assert self._popen is not None and self._popen.stderr is not None
@@ -207,19 +209,19 @@
         self._relay_loop = wire.LoopThread(name="relays") if relays else None
         if self._relay_loop:
             self._relay_loop.start()
-        self.relays: dict[str, relay.Relay] = {}
+        self.relays: dict[str, tcp_relay.Relay] = {}
         self.key = cfg.new_key()
         self.timeout_s = 60.0
         self.http = urllib3.PoolManager(retries=False, maxsize=128)
         # Switches may be set twice without harm, so these calls are
         # repeated where a kept connection was closed meanwhile.
-        self.control = urllib3.PoolManager(
+        self.control_http = urllib3.PoolManager(
             retries=urllib3.Retry(5, allowed_methods=None), maxsize=64
         )
         self.standins: dict[str, Process] = {}
         self.agents: dict[str, Process] = {}
         self.entries: dict[str, Process] = {}
-        self._links: dict[str, cfg.BackendServer] = {}
+        self._backends: dict[str, cfg.BackendServer] = {}
 
     def start(self) -> "Fleet":
         """Start all processes and publish the configuration."""
@@ -227,17 +229,23 @@
         entries = [
             (d, n) for d in self._domains for n in range(self._entry_count)
         ]
-        self._at_once(
-            lambda: self._standin("log", "log", "--rate", "1000"),
-            lambda: self._standin("hosts", "hosts", "--lag", "1"),
-            lambda: self._standin("ledger", "service"),
-            *(functools.partial(self._engine, *one) for one in models),
+        self._run_concurrently(
+            lambda: self._start_standin("log", "log", "--rate", "1000"),
+            lambda: self._start_standin("hosts", "hosts", "--lag", "1"),
+            lambda: self._start_standin("ledger", "service"),
+            *(functools.partial(self._start_engine, *one) for one in models),
         )
-        self._at_once(
-            *(functools.partial(self._model, *one) for one in models),
-            *(functools.partial(self._plain, d) for d in self._domains),
+        self._run_concurrently(
+            *(
+                functools.partial(self._start_model_agent, *one)
+                for one in models
+            ),
+            *(
+                functools.partial(self._start_plain_agent, d)
+                for d in self._domains
+            ),
         )
-        self._at_once(
+        self._run_concurrently(
             *(
                 functools.partial(self.add_entry, d, f"entry-{d}-{n}")
                 for d, n in entries
@@ -248,11 +256,11 @@
         self.standins = dict(sorted(self.standins.items()))
         self.agents = dict(sorted(self.agents.items()))
         self.entries = dict(sorted(self.entries.items()))
-        self.publish(self.objects())
+        self.publish(self.config_objects())
         self.wait_linked()
         return self
 
-    def _at_once(self, *starts: Callable[[], object]) -> None:
+    def _run_concurrently(self, *starts: Callable[[], object]) -> None:
         with concurrent.futures.ThreadPoolExecutor(8) as pool:
             for fut in [pool.submit(start) for start in starts]:
                 fut.result()
@@ -296,40 +304,40 @@
         finally:
             client.close()
 
-    def host(self, name: str, state: logservice.HostState) -> None:
+    def set_host_state(self, name: str, state: logservice.HostState) -> None:
         """Let the platform's list show a host's state, after its lag."""
         host = logservice.Host(name=name, domain="", state=state)
-        self.control.request(
+        self.control_http.request(
             "POST",
             f"{self.standin_url('hosts')}/hosts",
             body=msgspec.json.encode(host),
         )
 
-    def faults(self, name: str, **switches: Any) -> None:
+    def set_faults(self, name: str, **switches: Any) -> None:
         """Set the switches of a stand-in; others go back to normal."""
         body = msgspec.json.encode(standin.Faults(**switches))
         url = f"{self.standin_url(name)}{standin.FAULTS_PATH}"
-        self.control.request("POST", url, body=body)
+        self.control_http.request("POST", url, body=body)
 
-    def ran(self) -> dict[str, int]:
+    def ledger_run_counts(self) -> dict[str, int]:
         """Return how often the plain service ran each request."""
-        return self._ran_of("ledger")
+        return self._run_counts("ledger")
 
-    def model_ran(self) -> dict[str, int]:
+    def model_run_counts(self) -> dict[str, int]:
         """Return how often the engines ran each request."""
         counts: collections.Counter[str] = collections.Counter()
         for name in self.standins:
             if name.startswith("engine"):
-                counts.update(self._ran_of(name))
+                counts.update(self._run_counts(name))
         return counts
 
-    def model_ran_at(self, engine: str) -> int:
+    def engine_run_count(self, engine: str) -> int:
         """Return how many requests one engine ran."""
-        return sum(self._ran_of(engine).values())
+        return sum(self._run_counts(engine).values())
 
-    def _ran_of(self, name: str) -> dict[str, int]:
+    def _run_counts(self, name: str) -> dict[str, int]:
         url = f"{self.standin_url(name)}{standin.RUN_COUNTS_PATH}"
-        counts: dict[str, int] = self.control.request("GET", url).json()
+        counts: dict[str, int] = self.control_http.request("GET", url).json()
         return counts
 
     def publish(self, objects: list[cfg.Object]) -> None:
@@ -338,11 +346,11 @@
             for obj in objects:
                 client.put(obj, expect=0)
 
-    def sender(self) -> demo.Sender:
+    def new_sender(self) -> demo.Sender:
         """Return a caller with the workspace's key."""
         return demo.Sender(self.key, model=MODEL, ledger=LEDGER)
 
-    def objects(self) -> list[cfg.Object]:
+    def config_objects(self) -> list[cfg.Object]:
         """Return the configuration of this fleet."""
         return [
             cfg.WorkspaceGroup(name="g", share=1.0),
@@ -361,7 +369,7 @@
                 repeatable=False,
                 timeout_s=self.timeout_s,
             ),
-            *self._links.values(),
+            *self._backends.values(),
         ]
 
     def wait_linked(self) -> None:
@@ -369,48 +377,50 @@
         for name in self.entries:
             with self.operator(name) as client:
                 wait_until(
-                    lambda c=client: self._linked(c),
+                    lambda c=client: self._is_linked_to_all(c),
                     what=f"links of {name}",
                 )
 
     def add_agent(
-        self, domain: str, name: str, service: str, behind: str
+        self, domain: str, name: str, service: str, standin_name: str
     ) -> Process:
         """Start an agent before a stand-in."""
         settings = cfg.settings.Agent(
-            **self._common(domain, name),
+            **self._common_settings(domain, name),
             backend=name,
             link=cfg.settings.Address(host=HOST, port=0),
-            services={service: self.standin_url(behind)},
+            services={service: self.standin_url(standin_name)},
         )
-        process = self._daemon("agent", name, settings)
+        process = self._new_daemon("agent", name, settings)
         self.agents[name] = process.start("links")
-        self._links[name] = cfg.BackendServer(
+        self._backends[name] = cfg.BackendServer(
             name=name,
             domain=domain,
             host=HOST,
-            port=self._published(name, process.ports["links"]),
+            port=self._published_port(name, process.ports["links"]),
             services=(service,),
             capacity=self._capacity,
         )
         # A restart must come back on the port that was published.
         fixed = cfg.settings.Address(host=HOST, port=process.ports["links"])
-        self._write(name, msgspec.structs.replace(settings, link=fixed))
+        self._write_settings(
+            name, msgspec.structs.replace(settings, link=fixed)
+        )
         return process
 
-    def _published(self, name: str, port: int) -> int:
+    def _published_port(self, name: str, port: int) -> int:
         """Return the port that entry hosts reach an agent by."""
         if self._relay_loop is None:
             return port
-        self.relays[name] = relay.Relay(self._relay_loop, HOST, port)
+        self.relays[name] = tcp_relay.Relay(self._relay_loop, HOST, port)
         return self.relays[name].port
 
     def add_entry(
-        self, domain: str, name: str, *, alone: bool = False
+        self, domain: str, name: str, *, isolated: bool = False
     ) -> Process:
         """Start an entry host.
 
-        :param alone: let it reach neither the log nor any agent.
+        :param isolated: let it reach neither the log nor any agent.
         """
         operator = cfg.settings.Operator(
             name="bench",
@@ -423,7 +433,7 @@
             token_sha256=hashlib.sha256(VIEWER_TOKEN.encode()).hexdigest(),
         )
         settings = cfg.settings.Entry(
-            **self._common(domain, name),
+            **self._common_settings(domain, name),
             http=cfg.settings.Address(host=HOST, port=0),
             rpc=cfg.settings.Address(host=HOST, port=0),
             operators=(operator, viewer),
@@ -431,50 +441,52 @@
             threads=self._threads,
             seeds=tuple(
                 cfg.settings.Address(host=HOST, port=link.port)
-                for link in self._links.values()
+                for link in self._backends.values()
             ),
         )
-        if alone:
+        if isolated:
             nowhere = cfg.settings.Platform(log=f"http://{HOST}:9")
             settings = msgspec.structs.replace(
                 settings, platform=nowhere, seeds=()
             )
-        process = self._daemon("entry", name, settings)
+        process = self._new_daemon("entry", name, settings)
         self.entries[name] = process.start("http", "rpc")
         return process
 
-    def _linked(self, client: rpc.OperatorClient) -> bool:
+    def _is_linked_to_all(self, client: rpc.OperatorClient) -> bool:
         peers = client.status().peers
         return len(peers) == len(self.agents) and all(p.linked for p in peers)
 
-    def _engine(self, domain: str, num: int) -> None:
+    def _start_engine(self, domain: str, num: int) -> None:
         args = ["--step", str(self._step_s), "--batch", str(self._capacity)]
         traces = ["--traces"] if self._traces else []
-        self._standin(f"engine-{domain}-{num}", "engine", *args, *traces)
+        self._start_standin(f"engine-{domain}-{num}", "engine", *args, *traces)
 
-    def _model(self, domain: str, num: int) -> None:
+    def _start_model_agent(self, domain: str, num: int) -> None:
         name = f"model-{domain}-{num}"
         self.add_agent(domain, name, MODEL, f"engine-{domain}-{num}")
 
-    def _plain(self, domain: str) -> None:
+    def _start_plain_agent(self, domain: str) -> None:
         self.add_agent(domain, f"plain-{domain}", LEDGER, "ledger")
 
-    def _standin(self, name: str, kind: str, *args: str) -> None:
+    def _start_standin(self, name: str, kind: str, *args: str) -> None:
         process = Process(name, ["standin", "--name", name, kind, *args])
         self.standins[name] = process.start("http")
 
-    def _daemon(
+    def _new_daemon(
         self, program: str, name: str, settings: cfg.settings.Daemon
     ) -> Process:
-        path = self._write(name, settings)
+        path = self._write_settings(name, settings)
         return Process(name, [program, str(path)])
 
-    def _write(self, name: str, settings: cfg.settings.Daemon) -> pathlib.Path:
+    def _write_settings(
+        self, name: str, settings: cfg.settings.Daemon
+    ) -> pathlib.Path:
         path = self._folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(msgspec.to_builtins(settings)))
         return path
 
-    def _common(self, domain: str, name: str) -> dict[str, Any]:
+    def _common_settings(self, domain: str, name: str) -> dict[str, Any]:
         exporter = (
             cfg.settings.Exporter.LOG
             if self._traces
--- a/bench/relay.py
+++ b/bench/tcp_relay.py
@@ -7,7 +7,7 @@
 
 from lugcross import wire
 
-_PIECE = 65_536
+_READ_BYTES = 65_536
 
 
 @final
@@ -25,9 +25,9 @@
     def cut(self) -> None:
         """Drop all connections and refuse new ones."""
         self._cut = True
-        self._loop.call(self._drop(), timeout_s=5)
+        self._loop.call(self._reset_connections(), timeout_s=5)
 
-    def mend(self) -> None:
+    def restore(self) -> None:
         """Take connections again."""
         self._cut = False
 
@@ -36,7 +36,7 @@
         port: int = server.sockets[0].getsockname()[1]
         return port
 
-    async def _drop(self) -> None:
+    async def _reset_connections(self) -> None:
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -47,23 +47,24 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self._host, self._target
             )
         except OSError:
             writer.transport.abort()
             return
         await asyncio.gather(
-            self._pass(reader, far_writer), self._pass(far_reader, writer)
+            self._forward(reader, target_writer),
+            self._forward(target_reader, writer),
         )
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
         try:
             with contextlib.suppress(OSError):
-                while data := await reader.read(_PIECE):
+                while data := await reader.read(_READ_BYTES):
                     writer.write(data)
                     await writer.drain()
         finally:
--- a/testing/test_bad_input.py
+++ b/testing/test_bad_input.py
@@ -17,15 +17,15 @@
 from lugcross import errors
 from lugcross import ids
 from lugcross import wire
-import procs
+import process_fleet
 
 
 @pytest.fixture(scope="module")
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[procs.Fleet]:
+) -> Iterator[process_fleet.Fleet]:
     """One entry host and one engine."""
-    running = procs.Fleet(tmp_path_factory.mktemp("bad"))
+    running = process_fleet.Fleet(tmp_path_factory.mktemp("bad"))
     try:
         yield running.start()
     finally:
@@ -33,7 +33,7 @@
 
 
 def post(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
     body: bytes,
     *,
     path: str = "/v1/completions",
@@ -41,7 +41,7 @@
     headers: dict[str, str] | None = None,
 ) -> tuple[int, str, str]:
     """Return status, kind and outcome of a request."""
-    resp = fleet.control.request(
+    resp = fleet.control_http.request(
         "POST",
         fleet.urls()[0] + path,
         body=body,
@@ -65,7 +65,7 @@
         (b"x" * 2**23, "", "/v1/completions", (413, "too-large")),
         (b"{}", "", "/v1/nothing", (404, "no-service")),
         (b"{}", "", "/services/none/x", (404, "no-service")),
-        (b"{}", "", f"/services/{procs.MODEL}/x", (404, "no-service")),
+        (b"{}", "", f"/services/{process_fleet.MODEL}/x", (404, "no-service")),
     ],
     ids=[
         "unknown-key",
@@ -78,7 +78,7 @@
     ],
 )
 def test_bad_request_is_refused_as_not_run(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
     body: bytes,
     key: str,
     path: str,
@@ -86,29 +86,31 @@
 ) -> None:
     if len(body) == 2**21:
         body = json.dumps(
-            {"model": procs.MODEL, "prompt": body.decode()}
+            {"model": process_fleet.MODEL, "prompt": body.decode()}
         ).encode()
     assert post(fleet, body, key=key, path=path) == (*expected, "not-run")
 
 
-def test_slow_headers_hold_no_other_caller_up(fleet: procs.Fleet) -> None:
-    host, port = procs.HOST, int(fleet.urls()[0].rsplit(":", 1)[1])
+def test_slow_headers_hold_no_other_caller_up(
+    fleet: process_fleet.Fleet,
+) -> None:
+    host, port = process_fleet.HOST, int(fleet.urls()[0].rsplit(":", 1)[1])
     slow = [socket.create_connection((host, port)) for _ in range(100)]
     for sock in slow:
         sock.sendall(b"POST /v1/completions HTTP/1.1\r\nHost:")
-    resp = fleet.control.request("GET", f"{fleet.urls()[0]}/healthz")
+    resp = fleet.control_http.request("GET", f"{fleet.urls()[0]}/healthz")
     for sock in slow:
         sock.close()
     assert resp.status == 200
 
 
-def agent_port(fleet: procs.Fleet) -> int:
+def agent_port(fleet: process_fleet.Fleet) -> int:
     return fleet.agents["model-d0-0"].ports["links"]
 
 
 async def open_raw(port: int) -> Any:
     return await ws_client.connect(
-        f"ws://{procs.HOST}:{port}", proxy=None, compression=None
+        f"ws://{process_fleet.HOST}:{port}", proxy=None, compression=None
     )
 
 
@@ -118,7 +120,7 @@
     ids=["not-cbor", "deep", "wrong-message", "text"],
 )
 def test_peer_that_does_not_shake_hands_is_closed(
-    fleet: procs.Fleet, frame: bytes | str
+    fleet: process_fleet.Fleet, frame: bytes | str
 ) -> None:
     async def talk() -> None:
         ws = await open_raw(agent_port(fleet))
@@ -131,10 +133,12 @@
     fleet.wait_linked()
 
 
-def test_peer_without_the_secret_is_refused(fleet: procs.Fleet) -> None:
+def test_peer_without_the_secret_is_refused(
+    fleet: process_fleet.Fleet,
+) -> None:
     async def talk() -> None:
         await wire.connect(
-            procs.HOST,
+            process_fleet.HOST,
             agent_port(fleet),
             secret="not the fleet's secret",
             node=ids.NodeName("intruder"),
@@ -144,7 +148,7 @@
     with pytest.raises(errors.WireError):
         asyncio.run(talk())
     log = fleet.agents["model-d0-0"].log
-    procs.wait_until(
+    process_fleet.wait_until(
         lambda: any("intruder" in line.get("why", "") for line in log),
         what="the refusal in the agent's log",
     )
@@ -156,11 +160,11 @@
     ids=["malformed", "oversized"],
 )
 def test_bad_frame_costs_its_own_link_and_no_other(
-    fleet: procs.Fleet, frame: bytes
+    fleet: process_fleet.Fleet, frame: bytes
 ) -> None:
     async def talk() -> None:
         ws = await open_raw(agent_port(fleet))
-        shake = wire.Handshake(procs.SECRET)
+        shake = wire.Handshake(process_fleet.SECRET)
         (challenge,) = wire.decode(await ws.recv())
         hello = shake.hello(
             challenge, ids.NodeName("broken"), ids.DomainName("d0")
@@ -184,16 +188,18 @@
 # The operators' command line.
 
 
-def run_ctl(fleet: procs.Fleet, *args: str, code: int = 0) -> str:
-    target = f"{procs.HOST}:{fleet.entries['entry-d0-0'].ports['rpc']}"
+def run_ctl(fleet: process_fleet.Fleet, *args: str, code: int = 0) -> str:
+    target = f"{process_fleet.HOST}:{fleet.entries['entry-d0-0'].ports['rpc']}"
     result = click_testing.CliRunner().invoke(
-        ctl.ctl, ["--entry", target, "--token", procs.TOKEN, *args]
+        ctl.ctl, ["--entry", target, "--token", process_fleet.TOKEN, *args]
     )
     assert result.exit_code == code, result.output
     return result.output
 
 
-def test_ctl_puts_shows_and_removes_a_group(fleet: procs.Fleet) -> None:
+def test_ctl_puts_shows_and_removes_a_group(
+    fleet: process_fleet.Fleet,
+) -> None:
     run_ctl(fleet, "put-group", "new", "--share", "2.5")
     assert "share=2.5" in run_ctl(fleet, "config")
     reply = json.loads(run_ctl(fleet, "--json", "remove", "group", "new"))
@@ -202,7 +208,9 @@
     assert "accepted" in again
 
 
-def test_ctl_tells_why_a_change_was_rejected(fleet: procs.Fleet) -> None:
+def test_ctl_tells_why_a_change_was_rejected(
+    fleet: process_fleet.Fleet,
+) -> None:
     text = run_ctl(
         fleet, "put-group", "g", "--share", "1", "--expect", "0", code=1
     )
@@ -210,7 +218,7 @@
     assert "by bench" in text
 
 
-def test_ctl_makes_a_key_that_works(fleet: procs.Fleet) -> None:
+def test_ctl_makes_a_key_that_works(fleet: process_fleet.Fleet) -> None:
     text = run_ctl(
         fleet, "put-workspace", "keyed", "--group", "g", "--new-key"
     )
@@ -224,7 +232,7 @@
 
 
 def test_ctl_apply_shows_the_difference_and_applies_it_once(
-    fleet: procs.Fleet, tmp_path: Any
+    fleet: process_fleet.Fleet, tmp_path: Any
 ) -> None:
     path = tmp_path / "wanted.yaml"
     path.write_text("groups: [{name: applied, share: 4.0}]\n")
@@ -234,12 +242,12 @@
     assert "nothing to change" in run_ctl(fleet, "apply", "-f", str(path))
 
 
-def test_ctl_explains_a_request(fleet: procs.Fleet) -> None:
-    fleet.control.request(
+def test_ctl_explains_a_request(fleet: process_fleet.Fleet) -> None:
+    fleet.control_http.request(
         "POST",
         f"{fleet.urls()[0]}/v1/completions",
         body=json.dumps(
-            {"model": procs.MODEL, "prompt": "p", "max_tokens": 1}
+            {"model": process_fleet.MODEL, "prompt": "p", "max_tokens": 1}
         ),
         headers={
             "Authorization": f"Bearer {fleet.key}",
@@ -249,7 +257,7 @@
     assert "model-d0-0" in run_ctl(fleet, "explain", "why-there")
 
 
-def test_ctl_status_shows_every_node(fleet: procs.Fleet) -> None:
+def test_ctl_status_shows_every_node(fleet: process_fleet.Fleet) -> None:
     fields = json.loads(run_ctl(fleet, "--json", "status"))
     assert {peer["backend"] for peer in fields["peers"]} == set(fleet.agents)
     assert all(peer["linked"] for peer in fields["peers"])
--- a/testing/test_config_processes.py
+++ b/testing/test_config_processes.py
@@ -8,7 +8,7 @@
 
 from lugcross import cfg
 from lugcross.rpc import lugcross_pb2 as pb
-import procs
+import process_fleet
 
 GROUP = cfg.Ref(cfg.Kind.GROUP, "g")
 
@@ -16,9 +16,9 @@
 @pytest.fixture(scope="module")
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[procs.Fleet]:
+) -> Iterator[process_fleet.Fleet]:
     """One failure domain with three entry hosts."""
-    running = procs.Fleet(tmp_path_factory.mktemp("config"), entries=3)
+    running = process_fleet.Fleet(tmp_path_factory.mktemp("config"), entries=3)
     try:
         yield running.start()
     finally:
@@ -26,13 +26,13 @@
 
 
 @pytest.fixture(autouse=True)
-def whole_fleet(fleet: procs.Fleet) -> None:
+def whole_fleet(fleet: process_fleet.Fleet) -> None:
     """Each test begins with every process up and linked."""
     fleet.wait_linked()
 
 
 def put(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
     share: float,
     *,
     entry: str = "",
@@ -56,7 +56,7 @@
     )
 
 
-def shares(fleet: procs.Fleet) -> list[float]:
+def shares(fleet: process_fleet.Fleet) -> list[float]:
     """Return the group's share in force at each entry host."""
     found = []
     for name in fleet.entries:
@@ -66,14 +66,14 @@
     return found
 
 
-def wait_share(fleet: procs.Fleet, share: float) -> None:
-    procs.wait_until(
+def wait_share(fleet: process_fleet.Fleet, share: float) -> None:
+    process_fleet.wait_until(
         lambda: shares(fleet) == [share] * len(fleet.entries),
         what=f"share {share} everywhere",
     )
 
 
-def relays(fleet: procs.Fleet) -> list[str]:
+def relays(fleet: process_fleet.Fleet) -> list[str]:
     """Return the entry hosts that read the log for the others."""
     found = []
     for name in fleet.entries:
@@ -83,13 +83,15 @@
     return found
 
 
-def test_change_at_one_entry_is_in_force_at_all(fleet: procs.Fleet) -> None:
+def test_change_at_one_entry_is_in_force_at_all(
+    fleet: process_fleet.Fleet,
+) -> None:
     assert put(fleet, 2.0).standing == pb.STANDING_ACCEPTED
     wait_share(fleet, 2.0)
 
 
 def test_two_operators_at_once_on_one_object_one_wins(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
     with fleet.operator() as client:
         expect = revision(client.config())
@@ -114,23 +116,23 @@
 
 
 def test_append_whose_answer_is_lost_is_settled_by_reading_on(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
-    fleet.faults("log", lose_answers=1)
+    fleet.set_faults("log", lose_answers=1)
     reply = put(fleet, 3.0)
-    fleet.faults("log")
+    fleet.set_faults("log")
     assert reply.standing == pb.STANDING_ACCEPTED
     wait_share(fleet, 3.0)
 
 
 def test_change_while_the_log_is_away_is_never_called_accepted(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
     with fleet.operator() as client:
         expect = revision(client.config())
-    fleet.faults("log", down=True)
+    fleet.set_faults("log", down=True)
     reply = put(fleet, 4.0, expect=expect, change_id="outage")
-    fleet.faults("log")
+    fleet.set_faults("log")
     assert reply.standing == pb.STANDING_NOT_KNOWN_YET
     assert "outage" in reply.reason
     again = put(fleet, 4.0, expect=expect, change_id="outage")
@@ -139,14 +141,16 @@
 
 
 def test_there_are_two_relays_and_a_killed_one_is_followed(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
-    procs.wait_until(lambda: len(relays(fleet)) == 2, what="two relays")
+    process_fleet.wait_until(
+        lambda: len(relays(fleet)) == 2, what="two relays"
+    )
     first = relays(fleet)[0]
     fleet.entries[first].kill()
     others = {n: p for n, p in fleet.entries.items() if n != first}
     whole, fleet.entries = fleet.entries, others
-    procs.wait_until(lambda: len(relays(fleet)) == 2, what="two again")
+    process_fleet.wait_until(lambda: len(relays(fleet)) == 2, what="two again")
     assert put(fleet, 5.0).standing == pb.STANDING_ACCEPTED
     wait_share(fleet, 5.0)
     fleet.entries = whole
@@ -155,38 +159,38 @@
 
 
 def test_entry_that_starts_while_the_log_is_away_is_supplied_by_a_peer(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
     assert put(fleet, 6.0).standing == pb.STANDING_ACCEPTED
     wait_share(fleet, 6.0)
-    fleet.faults("log", down=True)
+    fleet.set_faults("log", down=True)
     entry = fleet.entries["entry-d0-0"]
     entry.kill()
     entry.start("http", "rpc")
     wait_share(fleet, 6.0)
-    procs.wait_until(
+    process_fleet.wait_until(
         lambda: ready(fleet, "entry-d0-0"), what="ready without the log"
     )
-    fleet.faults("log")
+    fleet.set_faults("log")
 
 
 def test_agent_that_starts_while_the_log_is_away_is_supplied_by_a_peer(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
-    fleet.faults("log", down=True)
+    fleet.set_faults("log", down=True)
     agent = fleet.agents["model-d0-0"]
     agent.kill()
     agent.start("links")
-    agent.wait_line("configuration")
-    fleet.faults("log")
+    agent.wait_for_log_line("configuration")
+    fleet.set_faults("log")
 
 
 def test_entry_with_no_source_at_all_says_why_it_is_not_ready(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
-    lonely = fleet.add_entry("d9", "lonely", alone=True)
-    url = f"http://{procs.HOST}:{lonely.ports['http']}"
-    resp = fleet.control.request("GET", f"{url}/readyz")
+    lonely = fleet.add_entry("d9", "lonely", isolated=True)
+    url = f"http://{process_fleet.HOST}:{lonely.ports['http']}"
+    resp = fleet.control_http.request("GET", f"{url}/readyz")
     del fleet.entries["lonely"]
     lonely.stop()
     assert resp.status == 503
@@ -195,10 +199,10 @@
 
 
 def test_malformed_record_is_kept_out_and_the_rest_goes_on(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
     url = f"{fleet.standin_url('log')}/streams/{cfg.STREAM}/records"
-    fleet.control.request("POST", url, body=b"\xff not a record")
+    fleet.control_http.request("POST", url, body=b"\xff not a record")
     with fleet.operator() as client:
         expect = revision(client.config())
     assert put(fleet, 7.0, expect=expect).standing == pb.STANDING_ACCEPTED
@@ -206,17 +210,17 @@
 
 
 def test_change_by_an_operator_without_the_role_is_refused(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
     with pytest.raises(Exception, match="token"):
         with fleet.operator(token="nobody's") as client:
             client.status()
-    with fleet.operator(token=procs.VIEWER_TOKEN) as client:
+    with fleet.operator(token=process_fleet.VIEWER_TOKEN) as client:
         assert client.status().node
         with pytest.raises(Exception, match="needs editor"):
             client.put(cfg.WorkspaceGroup(name="g", share=1.0), expect=0)
 
 
-def ready(fleet: procs.Fleet, entry: str) -> bool:
-    resp = fleet.control.request("GET", f"{fleet.url(entry)}/readyz")
+def ready(fleet: process_fleet.Fleet, entry: str) -> bool:
+    resp = fleet.control_http.request("GET", f"{fleet.url(entry)}/readyz")
     return resp.status == 200
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -10,16 +10,16 @@
 import pytest
 
 from lugcross import demo
-import procs
+import process_fleet
 
 
 @pytest.fixture(scope="module")
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[procs.Fleet]:
+) -> Iterator[process_fleet.Fleet]:
     """Two failure domains, started once for this file."""
     folder = tmp_path_factory.mktemp("fleet")
-    running = procs.Fleet(folder, domains=2, traces=True)
+    running = process_fleet.Fleet(folder, domains=2, traces=True)
     try:
         yield running.start()
     finally:
@@ -27,14 +27,14 @@
 
 
 @pytest.fixture
-def sender(fleet: procs.Fleet) -> demo.Sender:
+def sender(fleet: process_fleet.Fleet) -> demo.Sender:
     """A caller with the fleet's workspace key."""
-    return fleet.sender()
+    return fleet.new_sender()
 
 
 @pytest.mark.parametrize("stream", [True, False], ids=["stream", "whole"])
 def test_completion_is_whole_and_its_own(
-    fleet: procs.Fleet, sender: demo.Sender, stream: bool
+    fleet: process_fleet.Fleet, sender: demo.Sender, stream: bool
 ) -> None:
     results = [
         sender.complete(url, f"prompt {url}", tokens=8, stream=stream)
@@ -44,7 +44,7 @@
 
 
 def test_many_streams_share_one_link_without_mixing(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     with concurrent.futures.ThreadPoolExecutor(24) as pool:
         results = pool.map(
@@ -57,23 +57,25 @@
 
 
 def test_repeat_under_one_key_at_another_entry_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     results = [sender.charge(url, b"{}", key="twice") for url in fleet.urls()]
     assert results[0].body == results[1].body
-    assert fleet.ran()["twice"] == 1
+    assert fleet.ledger_run_counts()["twice"] == 1
 
 
 def test_spans_of_a_request_form_one_trace(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     sender.complete(fleet.urls()[0], "trace me", tokens=2, stream=True)
     hops = {"entry.request", "agent.run", "engine.complete"}
-    procs.wait_until(lambda: hops in _traces(fleet), what="a whole trace")
+    process_fleet.wait_until(
+        lambda: hops in _traces(fleet), what="a whole trace"
+    )
 
 
 def test_sigterm_to_an_entry_lets_its_stream_end_whole(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     name = next(iter(fleet.entries))
     entry = fleet.entries[name]
@@ -83,11 +85,11 @@
         fut = pool.submit(
             sender.complete, url, "long", tokens=1500, stream=True
         )
-        procs.wait_until(
+        process_fleet.wait_until(
             lambda: _inflight(fleet, name) == 1, what="request in progress"
         )
         entry.signal(signal.SIGTERM)
-        entry.wait_line("stopping")
+        entry.wait_for_log_line("stopping")
         ready = fleet.http.request("GET", f"{url}/readyz")
         assert ready.status == 503
         assert fut.result().whole
@@ -97,7 +99,7 @@
 
 
 def test_sigterm_to_an_agent_lets_its_stream_end_whole(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     url = fleet.urls()[0]
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
@@ -108,7 +110,7 @@
             for num in range(8)
         ]
         name = next(iter(fleet.entries))
-        procs.wait_until(
+        process_fleet.wait_until(
             lambda: _inflight(fleet, name) == 8, what="requests in progress"
         )
         agent = fleet.agents["model-d0-0"]
@@ -122,7 +124,7 @@
 
 
 def test_log_lines_are_json_with_the_node_in_each(
-    fleet: procs.Fleet,
+    fleet: process_fleet.Fleet,
 ) -> None:
     for name, process in fleet.entries.items():
         assert process.log
@@ -135,16 +137,16 @@
 ) -> None:
     path = tmp_path / "entry.yaml"
     path.write_text("program: entry\nnode: {name: e, domain: a, rack: 1}\n")
-    process = procs.Process("bad", ["check", str(path)])
+    process = process_fleet.Process("bad", ["check", str(path)])
     process.start()
     assert process.wait() == 1
-    text = process.next_line(5)["text"]
+    text = process.next_log_line(5)["text"]
     assert str(path) in text
     assert "$.node" in text and "rack" in text
     assert "fields are" in text
 
 
-def _traces(fleet: procs.Fleet) -> list[set[str]]:
+def _traces(fleet: process_fleet.Fleet) -> list[set[str]]:
     """Return the names of the spans of each trace in the logs."""
     traces: dict[str, set[str]] = {}
     for process in (
@@ -158,6 +160,6 @@
     return list(traces.values())
 
 
-def _inflight(fleet: procs.Fleet, entry: str) -> int:
+def _inflight(fleet: process_fleet.Fleet, entry: str) -> int:
     with fleet.operator(entry) as client:
         return client.status().inflight
--- a/testing/test_promises.py
+++ b/testing/test_promises.py
@@ -16,7 +16,7 @@
 from lugcross import demo
 from lugcross.demo import calls
 from lugcross import logservice
-import procs
+import process_fleet
 
 AGENTS = ("model-d0-0", "model-d1-0")
 ENGINES = ("engine-d0-0", "engine-d1-0")
@@ -25,9 +25,9 @@
 @pytest.fixture(scope="module")
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[procs.Fleet]:
+) -> Iterator[process_fleet.Fleet]:
     """Two failure domains with a relay before each agent."""
-    running = procs.Fleet(
+    running = process_fleet.Fleet(
         tmp_path_factory.mktemp("promises"),
         domains=2,
         relays=True,
@@ -42,19 +42,19 @@
 
 
 @pytest.fixture(autouse=True)
-def whole_fleet(fleet: procs.Fleet) -> None:
+def whole_fleet(fleet: process_fleet.Fleet) -> None:
     """Each test begins with every process up and linked."""
     fleet.wait_linked()
 
 
 @pytest.fixture
-def sender(fleet: procs.Fleet) -> demo.Sender:
+def sender(fleet: process_fleet.Fleet) -> demo.Sender:
     """A caller with the fleet's workspace key."""
-    return fleet.sender()
+    return fleet.new_sender()
 
 
 @pytest.fixture
-def url(fleet: procs.Fleet) -> str:
+def url(fleet: process_fleet.Fleet) -> str:
     """The first entry host, in the domain of the first agent."""
     return fleet.url("entry-d0-0")
 
@@ -63,10 +63,12 @@
 class Stream:
     """A stream of which a test reads a part before something happens."""
 
-    def __init__(self, fleet: procs.Fleet, url: str, tokens: int) -> None:
+    def __init__(
+        self, fleet: process_fleet.Fleet, url: str, tokens: int
+    ) -> None:
         self._want = calls.expected("a prompt", tokens)
         body = {
-            "model": procs.MODEL,
+            "model": process_fleet.MODEL,
             "prompt": "a prompt",
             "max_tokens": tokens,
             "stream": True,
@@ -98,42 +100,42 @@
         return calls.stream_text(self._data) is not None
 
 
-def runner_of(fleet: procs.Fleet) -> str:
+def runner_of(fleet: process_fleet.Fleet) -> str:
     """Return the agent that runs the only request there is."""
-    procs.wait_until(lambda: _running(fleet, ""), what="running")
+    process_fleet.wait_until(lambda: _running(fleet, ""), what="running")
     return _running(fleet, "")
 
 
-def wait_running(fleet: procs.Fleet, count: int) -> None:
+def wait_running(fleet: process_fleet.Fleet, count: int) -> None:
     """Wait until engines run ``count`` requests."""
 
     def running() -> bool:
         found = 0
         for name in ENGINES:
             url = f"{fleet.standin_url(name)}/load"
-            load = fleet.control.request("GET", url).json()
+            load = fleet.control_http.request("GET", url).json()
             found += load["running"]
         return bool(found == count)
 
-    procs.wait_until(running, what=f"{count} running")
+    process_fleet.wait_until(running, what=f"{count} running")
 
 
 # Whole answer, own request.
 
 
 def test_link_cut_mid_stream_resumes_without_gap_or_double(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 300)
     stream.read(20)
     relay = fleet.relays[runner_of(fleet)]
     relay.cut()
-    relay.mend()
+    relay.restore()
     assert stream.whole()
 
 
 def test_agent_killed_mid_stream_goes_on_at_another_replica(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 300)
     stream.read(20)
@@ -145,19 +147,19 @@
 
 
 def test_engine_that_closes_early_is_never_taken_for_whole(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     for name in ENGINES:
-        fleet.faults(name, close_early=1)
+        fleet.set_faults(name, close_early=1)
     result = sender.complete(url, "early", tokens=20, stream=True)
     for name in ENGINES:
-        fleet.faults(name)
+        fleet.set_faults(name)
     # Both replicas closed early; a third attempt made it whole.
     assert result.whole
 
 
 def test_caller_that_hangs_up_frees_its_slot(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 100_000)
     stream.read(5)
@@ -167,7 +169,7 @@
 
 
 def test_request_id_used_again_gets_its_own_answer(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     texts = []
     for prompt in ("one", "two"):
@@ -175,7 +177,11 @@
             "POST",
             f"{url}/v1/completions",
             body=json.dumps(
-                {"model": procs.MODEL, "prompt": prompt, "max_tokens": 3}
+                {
+                    "model": process_fleet.MODEL,
+                    "prompt": prompt,
+                    "max_tokens": 3,
+                }
             ),
             headers={
                 "Authorization": f"Bearer {fleet.key}",
@@ -190,7 +196,7 @@
 
 
 def test_backend_that_takes_no_connection_is_not_run(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     ledger = fleet.standins["ledger"]
     port = ledger.ports["http"]
@@ -199,26 +205,26 @@
     ledger.args[1:1] = ["--port", str(port)]
     ledger.start("http")
     assert result.outcome == "not-run"
-    assert "refused" not in fleet.ran()
+    assert "refused" not in fleet.ledger_run_counts()
 
 
 def test_agent_killed_after_dispatch_is_not_called_not_run(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("ledger", frozen=True)
+    fleet.set_faults("ledger", frozen=True)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(sender.charge, url, b"{}", key="killed")
-        procs.wait_until(lambda: _plain_runs(fleet), what="dispatch")
+        process_fleet.wait_until(lambda: _plain_runs(fleet), what="dispatch")
         agent = fleet.agents[_plain_runs(fleet)]
         agent.kill()
         result = fut.result()
-    fleet.faults("ledger")
+    fleet.set_faults("ledger")
     agent.start("links")
     assert result.outcome == "unknown"
 
 
 def test_entry_killed_is_a_cut_and_not_a_refusal(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 3000)
     stream.read(5)
@@ -233,7 +239,7 @@
 
 
 def test_same_key_at_two_entries_at_once_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
         results = list(
@@ -245,28 +251,28 @@
             )
         )
     assert {result.body for result in results} == {results[0].body}
-    assert fleet.ran()["at once"] == 1
+    assert fleet.ledger_run_counts()["at once"] == 1
 
 
 def test_key_after_its_entry_died_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("ledger", delay_s=0.5)
+    fleet.set_faults("ledger", delay_s=0.5)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(sender.charge, url, b"{}", key="orphan")
-        procs.wait_until(lambda: _plain_runs(fleet), what="dispatch")
+        process_fleet.wait_until(lambda: _plain_runs(fleet), what="dispatch")
         fleet.entries["entry-d0-0"].kill()
         result = sender.charge(fleet.url("entry-d1-0"), b"{}", key="orphan")
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             fut.result()
-    fleet.faults("ledger")
+    fleet.set_faults("ledger")
     fleet.entries["entry-d0-0"].start("http", "rpc")
     assert result.whole
-    assert fleet.ran()["orphan"] == 1
+    assert fleet.ledger_run_counts()["orphan"] == 1
 
 
 def test_key_after_its_agent_was_restarted_does_not_run_again(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     assert sender.charge(url, b"{}", key="restart").whole
     for name in ("plain-d0", "plain-d1"):
@@ -275,48 +281,48 @@
     fleet.wait_linked()
     again = sender.charge(url, b"{}", key="restart")
     assert (again.kind, again.outcome) == ("key-lost", "unknown")
-    assert fleet.ran()["restart"] == 1
+    assert fleet.ledger_run_counts()["restart"] == 1
 
 
 def test_claim_whose_append_lost_its_answer_still_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("log", lose_answers=1)
+    fleet.set_faults("log", lose_answers=1)
     assert sender.charge(url, b"{}", key="lost answer").whole
-    fleet.faults("log")
-    assert fleet.ran()["lost answer"] == 1
+    fleet.set_faults("log")
+    assert fleet.ledger_run_counts()["lost answer"] == 1
 
 
 def test_key_while_the_log_is_away_is_refused_at_once_and_runs_later(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("log", down=True)
+    fleet.set_faults("log", down=True)
     result = sender.charge(url, b"{}", key="no log")
-    fleet.faults("log")
+    fleet.set_faults("log")
     assert (result.kind, result.outcome) == ("once-unavailable", "not-run")
     assert result.retry_after_s > 0
-    assert "no log" not in fleet.ran()
+    assert "no log" not in fleet.ledger_run_counts()
     assert sender.charge(url, b"{}", key="no log").whole
 
 
 def test_key_while_the_log_is_away_runs_once_from_memory_if_so_set(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     with _served_from_memory(fleet):
-        fleet.faults("log", down=True)
+        fleet.set_faults("log", down=True)
         results = [
             sender.charge(one, b"{}", key="memory") for one in fleet.urls()
         ]
-        fleet.faults("log")
+        fleet.set_faults("log")
     assert [result.whole for result in results] == [True, True]
-    assert fleet.ran()["memory"] == 1
+    assert fleet.ledger_run_counts()["memory"] == 1
     # The claim was appended when the log came back.
     assert sender.charge(url, b"{}", key="memory").whole
-    assert fleet.ran()["memory"] == 1
+    assert fleet.ledger_run_counts()["memory"] == 1
 
 
 def test_agent_paused_past_the_deadline_and_woken_runs_no_key_twice(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     frozen = [fleet.agents[name] for name in ("plain-d0", "plain-d1")]
     for agent in frozen:
@@ -327,52 +333,52 @@
     assert first.outcome == "unknown"
     fleet.wait_linked()
     sender.charge(url, b"{}", key="paused")
-    assert fleet.ran().get("paused", 0) <= 1
+    assert fleet.ledger_run_counts().get("paused", 0) <= 1
 
 
 def test_domain_that_is_cut_off_gives_its_keys_to_nobody_else(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     assert sender.charge(url, b"{}", key="cut off").whole
     relays = [fleet.relays[name] for name in ("plain-d0", "plain-d1")]
     for relay in relays:
         relay.cut()
         result = sender.charge(url, b"{}", key="cut off")
-        relay.mend()
+        relay.restore()
         fleet.wait_linked()
         assert result.whole or result.outcome == "unknown"
-    assert fleet.ran()["cut off"] == 1
+    assert fleet.ledger_run_counts()["cut off"] == 1
 
 
 # Leaving gets nothing new; a planned stop cuts nothing.
 
 
 def test_backend_set_to_leaving_by_an_operator_gets_nothing_new(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     with _left(fleet, "model-d0-0"):
-        before = fleet.model_ran_at(ENGINES[0])
+        before = fleet.engine_run_count(ENGINES[0])
         results = [
             sender.complete(url, f"op {num}", tokens=2, stream=False)
             for num in range(10)
         ]
-        after = fleet.model_ran_at(ENGINES[0])
+        after = fleet.engine_run_count(ENGINES[0])
     assert all(result.whole for result in results)
     assert after == before
 
 
 def test_backend_shown_as_leaving_by_the_late_list_gets_nothing_new(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.host("model-d0-0", logservice.HostState.LEAVING)
-    procs.wait_until(
+    fleet.set_host_state("model-d0-0", logservice.HostState.LEAVING)
+    process_fleet.wait_until(
         lambda: _leaving(fleet, "model-d0-0"), what="leaving by the list"
     )
-    before = fleet.model_ran_at(ENGINES[0])
+    before = fleet.engine_run_count(ENGINES[0])
     result = sender.complete(url, "by the list", tokens=2, stream=False)
-    after = fleet.model_ran_at(ENGINES[0])
-    fleet.host("model-d0-0", logservice.HostState.LIVE)
-    procs.wait_until(
+    after = fleet.engine_run_count(ENGINES[0])
+    fleet.set_host_state("model-d0-0", logservice.HostState.LIVE)
+    process_fleet.wait_until(
         lambda: not _leaving(fleet, "model-d0-0"), what="back by the list"
     )
     assert result.whole
@@ -380,7 +386,7 @@
 
 
 def test_sigterm_to_entry_and_agent_at_once_cuts_nothing(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 150)
     stream.read(5)
@@ -396,7 +402,7 @@
 
 
 def test_stream_longer_than_the_grace_goes_on_at_another_replica(
-    fleet: procs.Fleet, url: str
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 600)
     stream.read(5)
@@ -409,14 +415,14 @@
 
 
 def test_rolling_stop_of_every_process_under_load_cuts_nothing(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     stop = threading.Event()
     results: list[calls.Result] = []
     keys: list[str] = []
 
     def call_on(num: int) -> None:
-        own = fleet.sender()
+        own = fleet.new_sender()
         for count in range(100_000):
             if stop.is_set():
                 return
@@ -443,12 +449,12 @@
         if not result.whole and result.outcome != "not-run"
     ]
     assert broken == []
-    ran = fleet.ran()
+    ran = fleet.ledger_run_counts()
     assert {ran[key] for key in keys} == {1}
 
 
 def _on_ready(
-    fleet: procs.Fleet, sender: demo.Sender, num: int, key: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, num: int, key: str
 ) -> calls.Result:
     """Send as behind the platform's balancer: only to ready hosts."""
     while True:
@@ -460,10 +466,10 @@
             return sender.complete(url, key, tokens=10, stream=True)
 
 
-def _ready(fleet: procs.Fleet, url: str) -> bool:
+def _ready(fleet: process_fleet.Fleet, url: str) -> bool:
     """Ask for readiness as the balancer does, over a new connection."""
     try:
-        resp = fleet.control.request(
+        resp = fleet.control_http.request(
             "GET",
             f"{url}/readyz",
             headers={"Connection": "close"},
@@ -474,12 +480,12 @@
     return resp.status == 200
 
 
-def _plain_runs(fleet: procs.Fleet) -> str:
+def _plain_runs(fleet: process_fleet.Fleet) -> str:
     """Return the plain agent that runs something, if any."""
     return _running(fleet, "plain")
 
 
-def _running(fleet: procs.Fleet, kind: str) -> str:
+def _running(fleet: process_fleet.Fleet, kind: str) -> str:
     """Return an agent of a kind that runs something, if any."""
     with fleet.operator("entry-d1-0") as client:
         peers = client.status().peers
@@ -487,18 +493,18 @@
     return running[0] if running else ""
 
 
-def _leaving(fleet: procs.Fleet, backend: str) -> bool:
+def _leaving(fleet: process_fleet.Fleet, backend: str) -> bool:
     with fleet.operator("entry-d0-0") as client:
         peers = client.status().peers
     return any(p.backend == backend and p.leaving for p in peers)
 
 
 @contextlib.contextmanager
-def _served_from_memory(fleet: procs.Fleet) -> Iterator[None]:
+def _served_from_memory(fleet: process_fleet.Fleet) -> Iterator[None]:
     """Let the plain service run from memory while the log is away."""
     for away in (cfg.OnceLogAway.MEMORY, cfg.OnceLogAway.REFUSE):
         service = cfg.Service(
-            name=procs.LEDGER,
+            name=process_fleet.LEDGER,
             type=cfg.ServiceType.PLAIN,
             repeatable=False,
             timeout_s=fleet.timeout_s,
@@ -511,7 +517,7 @@
                 if item.service.name == service.name
             )
             offset = client.put(service, expect=revision).offset
-        procs.wait_until(
+        process_fleet.wait_until(
             lambda want=offset: _agents_have(fleet, want),
             what="service in force",
         )
@@ -519,13 +525,13 @@
             yield
 
 
-def _agents_have(fleet: procs.Fleet, offset: int) -> bool:
+def _agents_have(fleet: process_fleet.Fleet, offset: int) -> bool:
     with fleet.operator("entry-d0-0") as client:
         return all(p.offset >= offset for p in client.status().peers)
 
 
 @contextlib.contextmanager
-def _left(fleet: procs.Fleet, backend: str) -> Iterator[None]:
+def _left(fleet: process_fleet.Fleet, backend: str) -> Iterator[None]:
     """Let an operator set a backend server to leaving for a while."""
     ref = cfg.Ref(cfg.Kind.BACKEND, backend)
     for leaving in (True, False):
@@ -536,7 +542,7 @@
                 if item.backend.name == ref.name
             )
             client.set_leaving(backend, leaving, expect=revision)
-        procs.wait_until(
+        process_fleet.wait_until(
             lambda want=leaving: _leaving(fleet, backend) == want,
             what="leaving in force",
         )
