--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -23,24 +23,26 @@
 
 #: Tests that fail for a real fault that is not mended yet, one line each:
 #: ``TEST: CAUSE (ISSUE)``.
-_KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
+_KNOWN_FAILURES_FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 _SEPARATOR = ": "
-_MOST_RED = 3
+_MAX_KNOWN_FAILURES = 3
 
 
-def _known_red() -> dict[str, str]:
+def _known_failures() -> dict[str, str]:
     """Return the cause by the id of each listed test."""
-    if not _KNOWN_RED.exists():
+    if not _KNOWN_FAILURES_FILE.exists():
         return {}
-    lines = _KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = _KNOWN_FAILURES_FILE.read_text(encoding="utf-8").splitlines()
     listed = dict(line.split(_SEPARATOR, 1) for line in lines if line)
-    assert len(listed) <= _MOST_RED, "mend some: too many tests are red"
+    assert len(listed) <= _MAX_KNOWN_FAILURES, (
+        "mend some: too many tests are red"
+    )
     return listed
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Pass over just the listed tests; one that passes must be struck."""
-    listed = _known_red()
+    listed = _known_failures()
     for item in items:
         cause = listed.get(item.nodeid)
         if cause is not None:
@@ -49,4 +51,4 @@
 
 def pytest_report_header() -> list[str]:
     """Print the listed tests at the head of each run."""
-    return [f"known red: {name}" for name in _known_red()]
+    return [f"known red: {name}" for name in _known_failures()]
--- a/testing/test_bad_input.py
+++ b/testing/test_bad_input.py
@@ -32,7 +32,7 @@
         running.stop()
 
 
-def post(
+def post_expecting_error(
     fleet: process_fleet.Fleet,
     body: bytes,
     *,
@@ -88,10 +88,13 @@
         body = json.dumps(
             {"model": process_fleet.MODEL, "prompt": body.decode()}
         ).encode()
-    assert post(fleet, body, key=key, path=path) == (*expected, "not-run")
+    assert post_expecting_error(fleet, body, key=key, path=path) == (
+        *expected,
+        "not-run",
+    )
 
 
-def test_slow_headers_hold_no_other_caller_up(
+def test_slow_headers_do_not_delay_other_callers(
     fleet: process_fleet.Fleet,
 ) -> None:
     host, port = process_fleet.HOST, int(fleet.urls()[0].rsplit(":", 1)[1])
@@ -104,7 +107,7 @@
     assert resp.status == 200
 
 
-def agent_port(fleet: process_fleet.Fleet) -> int:
+def agent_links_port(fleet: process_fleet.Fleet) -> int:
     return fleet.agents["model-d0-0"].ports["links"]
 
 
@@ -119,11 +122,11 @@
     [b"\xff", b"\x81" * 1000, wire.encode([wire.Leaving(reason="x")]), "text"],
     ids=["not-cbor", "deep", "wrong-message", "text"],
 )
-def test_peer_that_does_not_shake_hands_is_closed(
+def test_peer_with_bad_handshake_is_disconnected(
     fleet: process_fleet.Fleet, frame: bytes | str
 ) -> None:
     async def talk() -> None:
-        ws = await open_raw(agent_port(fleet))
+        ws = await open_raw(agent_links_port(fleet))
         await ws.recv()
         await ws.send(frame)
         with pytest.raises(ws_exceptions.ConnectionClosed):
@@ -139,7 +142,7 @@
     async def talk() -> None:
         await wire.connect(
             process_fleet.HOST,
-            agent_port(fleet),
+            agent_links_port(fleet),
             secret="not the fleet's secret",
             node=ids.NodeName("intruder"),
             domain=ids.DomainName("d0"),
@@ -159,11 +162,11 @@
     [b"\x82\x01", b"\x00" * (wire.MAX_FRAME + 1)],
     ids=["malformed", "oversized"],
 )
-def test_bad_frame_costs_its_own_link_and_no_other(
+def test_bad_frame_closes_only_its_own_link(
     fleet: process_fleet.Fleet, frame: bytes
 ) -> None:
     async def talk() -> None:
-        ws = await open_raw(agent_port(fleet))
+        ws = await open_raw(agent_links_port(fleet))
         shake = wire.Handshake(process_fleet.SECRET)
         (challenge,) = wire.decode(await ws.recv())
         hello = shake.hello(
@@ -208,7 +211,7 @@
     assert "accepted" in again
 
 
-def test_ctl_tells_why_a_change_was_rejected(
+def test_ctl_prints_why_a_change_was_rejected(
     fleet: process_fleet.Fleet,
 ) -> None:
     text = run_ctl(
--- a/testing/test_config_processes.py
+++ b/testing/test_config_processes.py
@@ -26,12 +26,12 @@
 
 
 @pytest.fixture(autouse=True)
-def whole_fleet(fleet: process_fleet.Fleet) -> None:
+def linked_fleet(fleet: process_fleet.Fleet) -> None:
     """Each test begins with every process up and linked."""
     fleet.wait_linked()
 
 
-def put(
+def put_share(
     fleet: process_fleet.Fleet,
     share: float,
     *,
@@ -42,7 +42,7 @@
     """Change the group's share through one entry host."""
     with fleet.operator(entry) as client:
         if expect is None:
-            expect = revision(client.config())
+            expect = share_revision(client.config())
         return client.put(
             cfg.WorkspaceGroup(name="g", share=share),
             expect=expect,
@@ -50,13 +50,13 @@
         )
 
 
-def revision(config: pb.Config) -> int:
+def share_revision(config: pb.Config) -> int:
     return next(
         item.revision for item in config.items if item.group.name == "g"
     )
 
 
-def shares(fleet: process_fleet.Fleet) -> list[float]:
+def effective_shares(fleet: process_fleet.Fleet) -> list[float]:
     """Return the group's share in force at each entry host."""
     found = []
     for name in fleet.entries:
@@ -66,14 +66,14 @@
     return found
 
 
-def wait_share(fleet: process_fleet.Fleet, share: float) -> None:
+def wait_for_share(fleet: process_fleet.Fleet, share: float) -> None:
     process_fleet.wait_until(
-        lambda: shares(fleet) == [share] * len(fleet.entries),
+        lambda: effective_shares(fleet) == [share] * len(fleet.entries),
         what=f"share {share} everywhere",
     )
 
 
-def relays(fleet: process_fleet.Fleet) -> list[str]:
+def log_relays(fleet: process_fleet.Fleet) -> list[str]:
     """Return the entry hosts that read the log for the others."""
     found = []
     for name in fleet.entries:
@@ -86,19 +86,19 @@
 def test_change_at_one_entry_is_in_force_at_all(
     fleet: process_fleet.Fleet,
 ) -> None:
-    assert put(fleet, 2.0).standing == pb.STANDING_ACCEPTED
-    wait_share(fleet, 2.0)
+    assert put_share(fleet, 2.0).standing == pb.STANDING_ACCEPTED
+    wait_for_share(fleet, 2.0)
 
 
-def test_two_operators_at_once_on_one_object_one_wins(
+def test_one_of_concurrent_changes_to_an_object_is_accepted(
     fleet: process_fleet.Fleet,
 ) -> None:
     with fleet.operator() as client:
-        expect = revision(client.config())
+        expect = share_revision(client.config())
     with concurrent.futures.ThreadPoolExecutor(3) as pool:
         replies = list(
             pool.map(
-                lambda pair: put(
+                lambda pair: put_share(
                     fleet, 10.0 + pair[0], entry=pair[1], expect=expect
                 ),
                 enumerate(fleet.entries),
@@ -112,69 +112,71 @@
     assert len(accepted) == 1
     losers = [r for r in replies if r.standing == pb.STANDING_REJECTED]
     assert [r.current_author for r in losers] == ["bench"] * 2
-    wait_share(fleet, 10.0 + accepted[0])
+    wait_for_share(fleet, 10.0 + accepted[0])
 
 
-def test_append_whose_answer_is_lost_is_settled_by_reading_on(
+def test_append_with_lost_answer_is_resolved_by_reading_the_log(
     fleet: process_fleet.Fleet,
 ) -> None:
     fleet.set_faults("log", lose_answers=1)
-    reply = put(fleet, 3.0)
+    reply = put_share(fleet, 3.0)
     fleet.set_faults("log")
     assert reply.standing == pb.STANDING_ACCEPTED
-    wait_share(fleet, 3.0)
+    wait_for_share(fleet, 3.0)
 
 
-def test_change_while_the_log_is_away_is_never_called_accepted(
+def test_change_is_not_reported_as_accepted_while_the_log_is_down(
     fleet: process_fleet.Fleet,
 ) -> None:
     with fleet.operator() as client:
-        expect = revision(client.config())
+        expect = share_revision(client.config())
     fleet.set_faults("log", down=True)
-    reply = put(fleet, 4.0, expect=expect, change_id="outage")
+    reply = put_share(fleet, 4.0, expect=expect, change_id="outage")
     fleet.set_faults("log")
     assert reply.standing == pb.STANDING_NOT_KNOWN_YET
     assert "outage" in reply.reason
-    again = put(fleet, 4.0, expect=expect, change_id="outage")
+    again = put_share(fleet, 4.0, expect=expect, change_id="outage")
     assert again.standing == pb.STANDING_ACCEPTED
-    wait_share(fleet, 4.0)
+    wait_for_share(fleet, 4.0)
 
 
-def test_there_are_two_relays_and_a_killed_one_is_followed(
+def test_killed_log_relay_is_replaced(
     fleet: process_fleet.Fleet,
 ) -> None:
     process_fleet.wait_until(
-        lambda: len(relays(fleet)) == 2, what="two relays"
+        lambda: len(log_relays(fleet)) == 2, what="two relays"
     )
-    first = relays(fleet)[0]
+    first = log_relays(fleet)[0]
     fleet.entries[first].kill()
     others = {n: p for n, p in fleet.entries.items() if n != first}
     whole, fleet.entries = fleet.entries, others
-    process_fleet.wait_until(lambda: len(relays(fleet)) == 2, what="two again")
-    assert put(fleet, 5.0).standing == pb.STANDING_ACCEPTED
-    wait_share(fleet, 5.0)
+    process_fleet.wait_until(
+        lambda: len(log_relays(fleet)) == 2, what="two again"
+    )
+    assert put_share(fleet, 5.0).standing == pb.STANDING_ACCEPTED
+    wait_for_share(fleet, 5.0)
     fleet.entries = whole
     fleet.entries[first].start("http", "rpc")
-    wait_share(fleet, 5.0)
+    wait_for_share(fleet, 5.0)
 
 
-def test_entry_that_starts_while_the_log_is_away_is_supplied_by_a_peer(
+def test_entry_gets_configuration_from_a_peer_while_the_log_is_down(
     fleet: process_fleet.Fleet,
 ) -> None:
-    assert put(fleet, 6.0).standing == pb.STANDING_ACCEPTED
-    wait_share(fleet, 6.0)
+    assert put_share(fleet, 6.0).standing == pb.STANDING_ACCEPTED
+    wait_for_share(fleet, 6.0)
     fleet.set_faults("log", down=True)
     entry = fleet.entries["entry-d0-0"]
     entry.kill()
     entry.start("http", "rpc")
-    wait_share(fleet, 6.0)
+    wait_for_share(fleet, 6.0)
     process_fleet.wait_until(
-        lambda: ready(fleet, "entry-d0-0"), what="ready without the log"
+        lambda: is_ready(fleet, "entry-d0-0"), what="ready without the log"
     )
     fleet.set_faults("log")
 
 
-def test_agent_that_starts_while_the_log_is_away_is_supplied_by_a_peer(
+def test_agent_gets_configuration_from_a_peer_while_the_log_is_down(
     fleet: process_fleet.Fleet,
 ) -> None:
     fleet.set_faults("log", down=True)
@@ -185,28 +187,30 @@
     fleet.set_faults("log")
 
 
-def test_entry_with_no_source_at_all_says_why_it_is_not_ready(
+def test_entry_without_configuration_says_why_it_is_not_ready(
     fleet: process_fleet.Fleet,
 ) -> None:
-    lonely = fleet.add_entry("d9", "lonely", isolated=True)
-    url = f"http://{process_fleet.HOST}:{lonely.ports['http']}"
+    isolated = fleet.add_entry("d9", "isolated", isolated=True)
+    url = f"http://{process_fleet.HOST}:{isolated.ports['http']}"
     resp = fleet.control_http.request("GET", f"{url}/readyz")
-    del fleet.entries["lonely"]
-    lonely.stop()
+    del fleet.entries["isolated"]
+    isolated.stop()
     assert resp.status == 503
     assert "no configuration" in resp.json()["why"]
     assert "log" in resp.json()["why"]
 
 
-def test_malformed_record_is_kept_out_and_the_rest_goes_on(
+def test_malformed_record_is_skipped(
     fleet: process_fleet.Fleet,
 ) -> None:
     url = f"{fleet.standin_url('log')}/streams/{cfg.STREAM}/records"
     fleet.control_http.request("POST", url, body=b"\xff not a record")
     with fleet.operator() as client:
-        expect = revision(client.config())
-    assert put(fleet, 7.0, expect=expect).standing == pb.STANDING_ACCEPTED
-    wait_share(fleet, 7.0)
+        expect = share_revision(client.config())
+    assert (
+        put_share(fleet, 7.0, expect=expect).standing == pb.STANDING_ACCEPTED
+    )
+    wait_for_share(fleet, 7.0)
 
 
 def test_change_by_an_operator_without_the_role_is_refused(
@@ -221,6 +225,6 @@
             client.put(cfg.WorkspaceGroup(name="g", share=1.0), expect=0)
 
 
-def ready(fleet: process_fleet.Fleet, entry: str) -> bool:
+def is_ready(fleet: process_fleet.Fleet, entry: str) -> bool:
     resp = fleet.control_http.request("GET", f"{fleet.url(entry)}/readyz")
     return resp.status == 200
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False], ids=["stream", "whole"])
-def test_completion_is_whole_and_its_own(
+def test_completion_is_complete_and_of_its_own_request(
     fleet: process_fleet.Fleet, sender: demo.Sender, stream: bool
 ) -> None:
     results = [
@@ -56,7 +56,7 @@
     assert [result.whole for result in results] == [True] * 48
 
 
-def test_repeat_under_one_key_at_another_entry_runs_once(
+def test_same_key_at_another_entry_runs_once(
     fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     results = [sender.charge(url, b"{}", key="twice") for url in fleet.urls()]
@@ -70,11 +70,11 @@
     sender.complete(fleet.urls()[0], "trace me", tokens=2, stream=True)
     hops = {"entry.request", "agent.run", "engine.complete"}
     process_fleet.wait_until(
-        lambda: hops in _traces(fleet), what="a whole trace"
+        lambda: hops in _span_names_by_trace(fleet), what="a whole trace"
     )
 
 
-def test_sigterm_to_an_entry_lets_its_stream_end_whole(
+def test_sigterm_to_an_entry_lets_its_stream_complete(
     fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     name = next(iter(fleet.entries))
@@ -98,7 +98,7 @@
     fleet.wait_linked()
 
 
-def test_sigterm_to_an_agent_lets_its_stream_end_whole(
+def test_sigterm_to_an_agent_lets_its_streams_complete(
     fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     url = fleet.urls()[0]
@@ -132,7 +132,7 @@
         assert json.dumps(process.log[0])
 
 
-def test_settings_file_that_a_daemon_cannot_use_names_the_remedy(
+def test_error_of_invalid_settings_file_names_the_valid_fields(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "entry.yaml"
@@ -146,7 +146,7 @@
     assert "fields are" in text
 
 
-def _traces(fleet: process_fleet.Fleet) -> list[set[str]]:
+def _span_names_by_trace(fleet: process_fleet.Fleet) -> list[set[str]]:
     """Return the names of the spans of each trace in the logs."""
     traces: dict[str, set[str]] = {}
     for process in (
--- a/testing/test_promises.py
+++ b/testing/test_promises.py
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture(autouse=True)
-def whole_fleet(fleet: process_fleet.Fleet) -> None:
+def linked_fleet(fleet: process_fleet.Fleet) -> None:
     """Each test begins with every process up and linked."""
     fleet.wait_linked()
 
@@ -66,7 +66,7 @@
     def __init__(
         self, fleet: process_fleet.Fleet, url: str, tokens: int
     ) -> None:
-        self._want = calls.expected("a prompt", tokens)
+        self._expected = calls.expected("a prompt", tokens)
         body = {
             "model": process_fleet.MODEL,
             "prompt": "a prompt",
@@ -83,27 +83,27 @@
         )
         self._data = b""
 
-    def read(self, events: int) -> None:
+    def read_events(self, events: int) -> None:
         """Read so many events."""
         while self._data.count(b"\n\n") < events:
             self._data += self.resp.readline()
 
-    def whole(self) -> bool:
+    def read_to_end(self) -> bool:
         """Read to the end; tell whether it is whole and its own."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             self._data += self.resp.read()
-        return calls.stream_text(self._data) == self._want
+        return calls.stream_text(self._data) == self._expected
 
     @property
-    def looks_whole(self) -> bool:
+    def looks_complete(self) -> bool:
         """Whether a caller would take it for whole."""
         return calls.stream_text(self._data) is not None
 
 
-def runner_of(fleet: process_fleet.Fleet) -> str:
+def running_agent(fleet: process_fleet.Fleet) -> str:
     """Return the agent that runs the only request there is."""
-    process_fleet.wait_until(lambda: _running(fleet, ""), what="running")
-    return _running(fleet, "")
+    process_fleet.wait_until(lambda: _running_agent(fleet, ""), what="running")
+    return _running_agent(fleet, "")
 
 
 def wait_running(fleet: process_fleet.Fleet, count: int) -> None:
@@ -123,30 +123,30 @@
 # Whole answer, own request.
 
 
-def test_link_cut_mid_stream_resumes_without_gap_or_double(
+def test_stream_resumes_after_link_cut_without_gap_or_duplicate(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 300)
-    stream.read(20)
-    relay = fleet.relays[runner_of(fleet)]
+    stream.read_events(20)
+    relay = fleet.relays[running_agent(fleet)]
     relay.cut()
     relay.restore()
-    assert stream.whole()
+    assert stream.read_to_end()
 
 
-def test_agent_killed_mid_stream_goes_on_at_another_replica(
+def test_stream_continues_at_another_agent_after_a_kill(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 300)
-    stream.read(20)
-    agent = fleet.agents[runner_of(fleet)]
+    stream.read_events(20)
+    agent = fleet.agents[running_agent(fleet)]
     agent.kill()
-    whole = stream.whole()
+    whole = stream.read_to_end()
     agent.start("links")
     assert whole
 
 
-def test_engine_that_closes_early_is_never_taken_for_whole(
+def test_early_close_by_engine_is_not_taken_for_a_complete_answer(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     for name in ENGINES:
@@ -158,17 +158,17 @@
     assert result.whole
 
 
-def test_caller_that_hangs_up_frees_its_slot(
+def test_disconnected_caller_frees_its_slot(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 100_000)
-    stream.read(5)
+    stream.read_events(5)
     wait_running(fleet, 1)
     stream.resp.close()
     wait_running(fleet, 0)
 
 
-def test_request_id_used_again_gets_its_own_answer(
+def test_reused_request_id_gets_its_own_answer(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     texts = []
@@ -195,7 +195,7 @@
 # "Not run" is true.
 
 
-def test_backend_that_takes_no_connection_is_not_run(
+def test_request_to_unreachable_backend_is_reported_as_not_run(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     ledger = fleet.standins["ledger"]
@@ -208,14 +208,16 @@
     assert "refused" not in fleet.ledger_run_counts()
 
 
-def test_agent_killed_after_dispatch_is_not_called_not_run(
+def test_agent_kill_after_dispatch_is_reported_as_unknown(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.set_faults("ledger", frozen=True)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(sender.charge, url, b"{}", key="killed")
-        process_fleet.wait_until(lambda: _plain_runs(fleet), what="dispatch")
-        agent = fleet.agents[_plain_runs(fleet)]
+        process_fleet.wait_until(
+            lambda: _running_plain_agent(fleet), what="dispatch"
+        )
+        agent = fleet.agents[_running_plain_agent(fleet)]
         agent.kill()
         result = fut.result()
     fleet.set_faults("ledger")
@@ -223,15 +225,15 @@
     assert result.outcome == "unknown"
 
 
-def test_entry_killed_is_a_cut_and_not_a_refusal(
+def test_entry_kill_visibly_truncates_the_stream(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 3000)
-    stream.read(5)
+    stream.read_events(5)
     entry = fleet.entries["entry-d0-0"]
     entry.kill()
-    assert not stream.whole()
-    assert not stream.looks_whole
+    assert not stream.read_to_end()
+    assert not stream.looks_complete
     entry.start("http", "rpc")
 
 
@@ -254,13 +256,15 @@
     assert fleet.ledger_run_counts()["at once"] == 1
 
 
-def test_key_after_its_entry_died_runs_once(
+def test_key_runs_once_after_its_entry_was_killed(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.set_faults("ledger", delay_s=0.5)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(sender.charge, url, b"{}", key="orphan")
-        process_fleet.wait_until(lambda: _plain_runs(fleet), what="dispatch")
+        process_fleet.wait_until(
+            lambda: _running_plain_agent(fleet), what="dispatch"
+        )
         fleet.entries["entry-d0-0"].kill()
         result = sender.charge(fleet.url("entry-d1-0"), b"{}", key="orphan")
         with contextlib.suppress(urllib3.exceptions.HTTPError):
@@ -284,7 +288,7 @@
     assert fleet.ledger_run_counts()["restart"] == 1
 
 
-def test_claim_whose_append_lost_its_answer_still_runs_once(
+def test_claim_with_lost_append_answer_runs_once(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.set_faults("log", lose_answers=1)
@@ -293,7 +297,7 @@
     assert fleet.ledger_run_counts()["lost answer"] == 1
 
 
-def test_key_while_the_log_is_away_is_refused_at_once_and_runs_later(
+def test_key_is_refused_while_the_log_is_down_and_runs_later(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.set_faults("log", down=True)
@@ -305,10 +309,10 @@
     assert sender.charge(url, b"{}", key="no log").whole
 
 
-def test_key_while_the_log_is_away_runs_once_from_memory_if_so_set(
+def test_key_runs_once_from_memory_while_the_log_is_down(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    with _served_from_memory(fleet):
+    with _claims_from_memory(fleet):
         fleet.set_faults("log", down=True)
         results = [
             sender.charge(one, b"{}", key="memory") for one in fleet.urls()
@@ -321,7 +325,7 @@
     assert fleet.ledger_run_counts()["memory"] == 1
 
 
-def test_agent_paused_past_the_deadline_and_woken_runs_no_key_twice(
+def test_agent_resumed_after_the_deadline_runs_no_key_twice(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     frozen = [fleet.agents[name] for name in ("plain-d0", "plain-d1")]
@@ -336,7 +340,7 @@
     assert fleet.ledger_run_counts().get("paused", 0) <= 1
 
 
-def test_domain_that_is_cut_off_gives_its_keys_to_nobody_else(
+def test_key_is_not_run_again_while_its_agent_is_cut_off(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     assert sender.charge(url, b"{}", key="cut off").whole
@@ -353,10 +357,10 @@
 # Leaving gets nothing new; a planned stop cuts nothing.
 
 
-def test_backend_set_to_leaving_by_an_operator_gets_nothing_new(
+def test_backend_set_to_leaving_by_an_operator_gets_no_requests(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    with _left(fleet, "model-d0-0"):
+    with _set_leaving_by_operator(fleet, "model-d0-0"):
         before = fleet.engine_run_count(ENGINES[0])
         results = [
             sender.complete(url, f"op {num}", tokens=2, stream=False)
@@ -367,73 +371,73 @@
     assert after == before
 
 
-def test_backend_shown_as_leaving_by_the_late_list_gets_nothing_new(
+def test_backend_listed_as_leaving_by_the_platform_gets_no_requests(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.set_host_state("model-d0-0", logservice.HostState.LEAVING)
     process_fleet.wait_until(
-        lambda: _leaving(fleet, "model-d0-0"), what="leaving by the list"
+        lambda: _is_leaving(fleet, "model-d0-0"), what="leaving by the list"
     )
     before = fleet.engine_run_count(ENGINES[0])
     result = sender.complete(url, "by the list", tokens=2, stream=False)
     after = fleet.engine_run_count(ENGINES[0])
     fleet.set_host_state("model-d0-0", logservice.HostState.LIVE)
     process_fleet.wait_until(
-        lambda: not _leaving(fleet, "model-d0-0"), what="back by the list"
+        lambda: not _is_leaving(fleet, "model-d0-0"), what="back by the list"
     )
     assert result.whole
     assert after == before
 
 
-def test_sigterm_to_entry_and_agent_at_once_cuts_nothing(
+def test_simultaneous_sigterm_to_entry_and_agent_truncates_nothing(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 150)
-    stream.read(5)
-    agent = fleet.agents[runner_of(fleet)]
+    stream.read_events(5)
+    agent = fleet.agents[running_agent(fleet)]
     entry = fleet.entries["entry-d0-0"]
     for process in (agent, entry):
         process.signal(signal.SIGTERM)
         process.signal(signal.SIGTERM)
-    assert stream.whole()
+    assert stream.read_to_end()
     assert (agent.wait(), entry.wait()) == (0, 0)
     agent.start("links")
     entry.start("http", "rpc")
 
 
-def test_stream_longer_than_the_grace_goes_on_at_another_replica(
+def test_stream_longer_than_the_grace_continues_at_another_agent(
     fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 600)
-    stream.read(5)
-    agent = fleet.agents[runner_of(fleet)]
+    stream.read_events(5)
+    agent = fleet.agents[running_agent(fleet)]
     agent.signal(signal.SIGTERM)
     assert agent.wait() == 0
-    whole = stream.whole()
+    whole = stream.read_to_end()
     agent.start("links")
     assert whole
 
 
-def test_rolling_stop_of_every_process_under_load_cuts_nothing(
+def test_rolling_restart_under_load_truncates_nothing(
     fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     stop = threading.Event()
     results: list[calls.Result] = []
     keys: list[str] = []
 
-    def call_on(num: int) -> None:
+    def send_until_stopped(num: int) -> None:
         own = fleet.new_sender()
         for count in range(100_000):
             if stop.is_set():
                 return
             key = f"roll {num} {count}"
-            result = _on_ready(fleet, own, num, key)
+            result = _send_to_ready_host(fleet, own, num, key)
             results.append(result)
             if result.whole and num % 2:
                 keys.append(key)
 
     with concurrent.futures.ThreadPoolExecutor(6) as pool:
-        futs = [pool.submit(call_on, num) for num in range(6)]
+        futs = [pool.submit(send_until_stopped, num) for num in range(6)]
         for process in (*fleet.entries.values(), *fleet.agents.values()):
             ports = tuple(process.ports)
             process.signal(signal.SIGTERM)
@@ -453,20 +457,20 @@
     assert {ran[key] for key in keys} == {1}
 
 
-def _on_ready(
+def _send_to_ready_host(
     fleet: process_fleet.Fleet, sender: demo.Sender, num: int, key: str
 ) -> calls.Result:
     """Send as behind the platform's balancer: only to ready hosts."""
     while True:
         for url in fleet.urls():
-            if not _ready(fleet, url):
+            if not _is_ready(fleet, url):
                 continue
             if num % 2:
                 return sender.charge(url, b"{}", key=key)
             return sender.complete(url, key, tokens=10, stream=True)
 
 
-def _ready(fleet: process_fleet.Fleet, url: str) -> bool:
+def _is_ready(fleet: process_fleet.Fleet, url: str) -> bool:
     """Ask for readiness as the balancer does, over a new connection."""
     try:
         resp = fleet.control_http.request(
@@ -480,12 +484,12 @@
     return resp.status == 200
 
 
-def _plain_runs(fleet: process_fleet.Fleet) -> str:
+def _running_plain_agent(fleet: process_fleet.Fleet) -> str:
     """Return the plain agent that runs something, if any."""
-    return _running(fleet, "plain")
+    return _running_agent(fleet, "plain")
 
 
-def _running(fleet: process_fleet.Fleet, kind: str) -> str:
+def _running_agent(fleet: process_fleet.Fleet, kind: str) -> str:
     """Return an agent of a kind that runs something, if any."""
     with fleet.operator("entry-d1-0") as client:
         peers = client.status().peers
@@ -493,14 +497,14 @@
     return running[0] if running else ""
 
 
-def _leaving(fleet: process_fleet.Fleet, backend: str) -> bool:
+def _is_leaving(fleet: process_fleet.Fleet, backend: str) -> bool:
     with fleet.operator("entry-d0-0") as client:
         peers = client.status().peers
     return any(p.backend == backend and p.leaving for p in peers)
 
 
 @contextlib.contextmanager
-def _served_from_memory(fleet: process_fleet.Fleet) -> Iterator[None]:
+def _claims_from_memory(fleet: process_fleet.Fleet) -> Iterator[None]:
     """Let the plain service run from memory while the log is away."""
     for away in (cfg.OnceLogAway.MEMORY, cfg.OnceLogAway.REFUSE):
         service = cfg.Service(
@@ -518,20 +522,22 @@
             )
             offset = client.put(service, expect=revision).offset
         process_fleet.wait_until(
-            lambda want=offset: _agents_have(fleet, want),
+            lambda want=offset: _agents_applied(fleet, want),
             what="service in force",
         )
         if away is cfg.OnceLogAway.MEMORY:
             yield
 
 
-def _agents_have(fleet: process_fleet.Fleet, offset: int) -> bool:
+def _agents_applied(fleet: process_fleet.Fleet, offset: int) -> bool:
     with fleet.operator("entry-d0-0") as client:
         return all(p.offset >= offset for p in client.status().peers)
 
 
 @contextlib.contextmanager
-def _left(fleet: process_fleet.Fleet, backend: str) -> Iterator[None]:
+def _set_leaving_by_operator(
+    fleet: process_fleet.Fleet, backend: str
+) -> Iterator[None]:
     """Let an operator set a backend server to leaving for a while."""
     ref = cfg.Ref(cfg.Kind.BACKEND, backend)
     for leaving in (True, False):
@@ -543,7 +549,7 @@
             )
             client.set_leaving(backend, leaving, expect=revision)
         process_fleet.wait_until(
-            lambda want=leaving: _leaving(fleet, backend) == want,
+            lambda want=leaving: _is_leaving(fleet, backend) == want,
             what="leaving in force",
         )
         if leaving:
