--- a/bench/admission.py
+++ b/bench/admission.py
@@ -12,7 +12,7 @@
 import random
 import time
 
-import edge_cfg
+import edge_settings
 
 from lugcross import clock as clock_lib
 from lugcross import desired
@@ -34,7 +34,7 @@
     clock = clock_lib.ManualClock()
     clock.advance(datetime.timedelta(seconds=60))
     edge_state = edge_state_lib.EdgeState(
-        edge_cfg.settings(), clock=clock, rng=rng
+        edge_settings.settings(), clock=clock, rng=rng
     )
     rows = tuple(
         platform.KeyedRecord(
--- a/bench/once.py
+++ b/bench/at_most_once.py
@@ -28,17 +28,17 @@
 _HOST = "127.0.0.1"
 _MILLI = 1000.0
 #: How long the log takes over one request, in seconds.
-_LOG_S = 0.005
+_LOG_DELAY_S = 0.005
 
 
 class _Agent:
     """One claimer over HTTP, with the time of each ruling."""
 
     def __init__(self, url: str, name: str) -> None:
-        self._asked: dict[str, float] = {}
+        self._started_s: dict[str, float] = {}
         self._lock = threading.Lock()
-        self.took: list[float] = []
-        self.away = 0
+        self.decision_ms: list[float] = []
+        self.log_unavailable_count = 0
         backend = ids.BackendName(name)
         incarnation = ids.Incarnation(name)
         self._claimer = claimer_lib.Claimer(
@@ -52,58 +52,62 @@
         )
         self._claimer.start()
 
-    def ask(self, key: str) -> None:
+    def claim_key(self, key: str) -> None:
         claim = claims.Claim(key.encode().rjust(16)[-16:], b"b" * 8)
-        self._asked[key] = time.perf_counter()
+        self._started_s[key] = time.perf_counter()
         self._claimer.ask(key, claim)
 
     def stop(self) -> None:
         self._claimer.stop()
 
     def _decide(self, uid: str, ruling: claims.Ruling) -> None:
-        took = time.perf_counter() - self._asked.pop(uid)
+        took_s = time.perf_counter() - self._started_s.pop(uid)
         with self._lock:
-            self.took.append(took * _MILLI)
-            self.away += ruling.verdict is claims.Verdict.LOG_AWAY
+            self.decision_ms.append(took_s * _MILLI)
+            self.log_unavailable_count += (
+                ruling.verdict is claims.Verdict.LOG_AWAY
+            )
 
 
-def _gathered(agents: int, rate: float, seconds: float) -> dict[str, Any]:
+def _batched_claims(
+    agents: int, rate: float, seconds: float
+) -> dict[str, Any]:
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
-    server.app.faults = standin.Faults(delay_s=_LOG_S)
+    server.app.faults = standin.Faults(delay_s=_LOG_DELAY_S)
     running = [_Agent(server.url, f"a{num}") for num in range(agents)]
     rng = random.Random(1)
     began = time.perf_counter()
-    asked = 0
+    key_count = 0
     while time.perf_counter() - began < seconds:
-        rng.choice(running).ask(f"k{asked}")
-        asked += 1
+        rng.choice(running).claim_key(f"k{key_count}")
+        key_count += 1
         time.sleep(rng.expovariate(rate))
     took_s = time.perf_counter() - began
     time.sleep(0.5)
     for one in running:
         one.stop()
     server.stop()
-    took = [value for one in running for value in one.took]
+    decision_ms = [value for one in running for value in one.decision_ms]
     return {
         "agents": agents,
-        "keys_a_s": asked / took_s,
+        "keys_a_s": key_count / took_s,
         "appends_a_s": log.appends / took_s,
-        "refused": sum(one.away for one in running),
-        "median_ms": bench_stats.percentile(took, 0.5),
-        "p99_ms": bench_stats.percentile(took, 0.99),
+        "refused": sum(one.log_unavailable_count for one in running),
+        "median_ms": bench_stats.percentile(decision_ms, 0.5),
+        "p99_ms": bench_stats.percentile(decision_ms, 0.99),
     }
 
 
-def _one_by_one(rate: float, seconds: float) -> dict[str, Any]:
+def _append_per_key(rate: float, seconds: float) -> dict[str, Any]:
     """One append for each key, all at once if need be."""
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
-    server.app.faults = standin.Faults(delay_s=_LOG_S)
+    server.app.faults = standin.Faults(delay_s=_LOG_DELAY_S)
     client = logservice.HttpLog(server.url, timeout_s=5)
-    took: list[float] = []
+    decision_ms: list[float] = []
     refused = 0
 
     def append() -> bool:
@@ -112,7 +116,7 @@
             client.append("once", b"x" * 60)
         except Exception:
             return False
-        took.append((time.perf_counter() - began) * _MILLI)
+        decision_ms.append((time.perf_counter() - began) * _MILLI)
         return True
 
     rng = random.Random(1)
@@ -129,12 +133,12 @@
         "keys_a_s": len(futs) / took_s,
         "appends_a_s": log.appends / took_s,
         "refused": refused,
-        "median_ms": bench_stats.percentile(took, 0.5),
-        "p99_ms": bench_stats.percentile(took, 0.99),
+        "median_ms": bench_stats.percentile(decision_ms, 0.5),
+        "p99_ms": bench_stats.percentile(decision_ms, 0.99),
     }
 
 
-def _memory() -> dict[str, Any]:
+def _memory_only() -> dict[str, Any]:
     index = claims.ClaimIndex(ids.BackendName("a"), ids.Incarnation("a"))
     count = iter(range(1_000_000))
     now = clock.seconds(0)
@@ -160,13 +164,15 @@
     # One warning for each connection past a pool's size is no news here.
     logging.getLogger("urllib3").setLevel(logging.ERROR)
     found = {
-        "log_ms": _LOG_S * _MILLI,
+        "log_ms": _LOG_DELAY_S * _MILLI,
         "gathered": [
-            _gathered(agents, rate, seconds)
+            _batched_claims(agents, rate, seconds)
             for agents, rate in ((3, 10), (3, 60), (3, 300), (24, 60))
         ],
-        "one_by_one": [_one_by_one(rate, seconds) for rate in (10, 60, 300)],
-        "memory": _memory(),
+        "one_by_one": [
+            _append_per_key(rate, seconds) for rate in (10, 60, 300)
+        ],
+        "memory": _memory_only(),
     }
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
--- a/bench/config.py
+++ b/bench/config_propagation.py
@@ -29,7 +29,7 @@
 from lugcross import wire
 import process_fleet
 
-_LINK_MS = 2.0
+_HOP_MS = 2.0
 _MICRO = 1e6
 _CHANGES = 10
 
@@ -42,8 +42,8 @@
         self.store = cfg.Store(clock.ManualClock())
         self.feed = cfg.Feed(self.store)
         self.bytes = 0
-        self.fresh: list[list[logservice.Record]] = []
-        self.store.listen(lambda c, records, a: self.fresh.append([*records]))
+        self.unsent: list[list[logservice.Record]] = []
+        self.store.listen(lambda c, records, a: self.unsent.append([*records]))
 
 
 def _change(num: int, expect: int) -> bytes:
@@ -80,22 +80,24 @@
     return pairs
 
 
-def in_process(entries: int, agents: int, seed: int) -> dict[str, Any]:
+def simulate(entries: int, agents: int, seed: int) -> dict[str, Any]:
     """Spread changes from 2 relays a domain over a model of links."""
     pairs = _links(entries, agents, seed)
     names = {name for pair in pairs for name in pair}
     nodes = {name: _Node(name) for name in names}
-    near: dict[int, list[str]] = collections.defaultdict(list)
+    entries_by_domain: dict[int, list[str]] = collections.defaultdict(list)
     for name in sorted(name for name in names if name.startswith("e")):
-        near[int(name.split("-")[1]) % 12].append(name)
-    relays = [name for group in near.values() for name in group[:2]]
+        entries_by_domain[int(name.split("-")[1]) % 12].append(name)
+    relays = [
+        name for group in entries_by_domain.values() for name in group[:2]
+    ]
     queue: collections.deque[tuple[int, str, str, wire.Message]] = (
         collections.deque()
     )
     for one, other in pairs:
-        for sender, taker in ((one, other), (other, one)):
-            for post in nodes[sender].feed.on_link(taker):
-                queue.append((0, sender, taker, post.msg))
+        for sender, receiver in ((one, other), (other, one)):
+            for post in nodes[sender].feed.on_link(receiver):
+                queue.append((0, sender, receiver, post.msg))
     _deliver(nodes, queue)
     for node in nodes.values():
         node.bytes = 0
@@ -105,7 +107,7 @@
         record = logservice.Record(ids.Offset(num), _change(num, num - 1))
         for name in relays:
             nodes[name].store.apply([record])
-            _pass_on(nodes[name], queue, 0)
+            _queue_updates(nodes[name], queue, 0)
         hops = max(hops, _deliver(nodes, queue))
     spent = time.process_time() - began
     behind = sum(
@@ -118,16 +120,16 @@
         "relays": len(relays),
         "behind_at_the_end": behind,
         "hops": hops,
-        "seconds_at_2_ms_a_hop": hops * _LINK_MS / 1000,
+        "seconds_at_2_ms_a_hop": hops * _HOP_MS / 1000,
         "bytes_a_change_median_node": statistics.median(sent),
         "bytes_a_change_worst_node": sent[-1],
         "cpu_us_a_change_a_node": spent / _CHANGES / len(nodes) * _MICRO,
     }
 
 
-def _pass_on(node: _Node, queue: Any, hop: int) -> None:
-    while node.fresh:
-        for post in node.feed.on_store(node.fresh.pop(0)):
+def _queue_updates(node: _Node, queue: Any, hop: int) -> None:
+    while node.unsent:
+        for post in node.feed.on_store(node.unsent.pop(0)):
             queue.append((hop + 1, node.name, str(post.link), post.msg))
 
 
@@ -135,22 +137,22 @@
     """Carry messages in order until none is left; return the hops."""
     last = 0
     while queue:
-        hop, sender, taker, msg = queue.popleft()
+        hop, sender, receiver, msg = queue.popleft()
         nodes[sender].bytes += len(wire.encode([msg]))
-        node = nodes[taker]
+        node = nodes[receiver]
         before = node.store.config.offset
         for post in node.feed.on_message(sender, msg):
-            queue.append((hop + 1, taker, str(post.link), post.msg))
+            queue.append((hop + 1, receiver, str(post.link), post.msg))
         if node.store.config.offset > before:
             last = max(last, hop)
-        _pass_on(node, queue, hop)
+        _queue_updates(node, queue, hop)
     return last
 
 
-def processes(entries: int, engines: int, seed: int) -> dict[str, Any]:
+def measure_processes(entries: int, engines: int, seed: int) -> dict[str, Any]:
     """Time from accepted to in force at every entry host, by sockets."""
     rng = random.Random(seed)
-    took = []
+    durations_ms = []
     with tempfile.TemporaryDirectory() as folder:
         fleet = process_fleet.Fleet(
             pathlib.Path(folder), domains=3, entries=entries, engines=engines
@@ -159,15 +161,15 @@
             fleet.start()
             reads = _log_reads(fleet)
             for num in range(_CHANGES):
-                took.append(_one_change(fleet, rng, num))
+                durations_ms.append(_measure_change_ms(fleet, rng, num))
             after = _log_reads(fleet)
         finally:
             fleet.stop()
     return {
         "entries": 3 * entries,
         "agents": 3 * (engines + 1),
-        "median_ms": bench_stats.percentile(took, 0.5),
-        "p99_ms": bench_stats.percentile(took, 0.99),
+        "median_ms": bench_stats.percentile(durations_ms, 0.5),
+        "p99_ms": bench_stats.percentile(durations_ms, 0.99),
         "log_reads_a_change": (after - reads) / _CHANGES,
     }
 
@@ -178,7 +180,7 @@
     return counts["reads"]
 
 
-def _one_change(
+def _measure_change_ms(
     fleet: process_fleet.Fleet, rng: random.Random, num: int
 ) -> float:
     entry = rng.choice(sorted(fleet.entries))
@@ -195,14 +197,16 @@
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
         list(
             pool.map(
-                lambda name: _wait(fleet, name, reply.offset),
+                lambda name: _wait_for_offset(fleet, name, reply.offset),
                 fleet.entries,
             )
         )
     return (time.perf_counter() - began) * 1000
 
 
-def _wait(fleet: process_fleet.Fleet, entry: str, offset: int) -> None:
+def _wait_for_offset(
+    fleet: process_fleet.Fleet, entry: str, offset: int
+) -> None:
     with fleet.operator(entry) as client:
         process_fleet.wait_until(
             lambda: client.status().offset >= offset, what="in force"
@@ -216,10 +220,13 @@
     """Measure convergence and cost against the number of nodes."""
     found = {
         "in_process": [
-            in_process(entries, agents, seed)
+            simulate(entries, agents, seed)
             for entries, agents in ((24, 24), (100, 190), (400, 760))
         ],
-        "processes": [processes(1, 1, seed), processes(3, 2, seed)],
+        "processes": [
+            measure_processes(1, 1, seed),
+            measure_processes(3, 2, seed),
+        ],
     }
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
--- a/bench/control.py
+++ b/bench/control_costs.py
@@ -31,9 +31,9 @@
 _MICRO = 1e6
 _IDLE_S = 10.0
 #: What WebSocket, TCP and IP add to a small frame and its ack.
-_PACKET = 2 + 52 + 52
+_FRAME_OVERHEAD_BYTES = 2 + 52 + 52
 #: A ping and its pong, each with an ack.
-_PING = 2 * (6 + 52 + 52)
+_PING_BYTES = 2 * (6 + 52 + 52)
 
 
 def _change(num: int, obj: cfg.Object) -> cfg.Change:
@@ -75,7 +75,7 @@
     return config
 
 
-def messages() -> dict[str, Any]:
+def measure_messages() -> dict[str, Any]:
     """Bytes and time of the messages between entry host and agent."""
     token = json.dumps(
         {
@@ -126,7 +126,7 @@
     return found
 
 
-def records() -> dict[str, Any]:
+def measure_records() -> dict[str, Any]:
     """Bytes and time of a configuration record, against objects."""
     points = []
     for backends in (100, 400, 760):
@@ -147,7 +147,7 @@
     }
 
 
-def decisions() -> dict[str, Any]:
+def measure_decisions() -> dict[str, Any]:
     """Time of a choice, a subset and a turn of the fair queue."""
     rng = random.Random(1)
     found: dict[str, Any] = {}
@@ -180,16 +180,16 @@
         count=20,
     )
     found["fair_queue_us_push_and_pop"] = _MICRO * bench_stats.median_call_s(
-        _turns(), count=2000
+        _fair_queue_step(), count=2000
     )
     return found
 
 
-def _turns() -> Any:
+def _fair_queue_step() -> Any:
     queue = shares.FairQueue(lambda group: 1.0)
     count = iter(range(10_000_000))
 
-    def turn() -> None:
+    def push_and_pop() -> None:
         num = next(count)
         queue.push(
             shares.QueuedRequest(
@@ -202,7 +202,7 @@
         if len(queue) > 250:
             queue.pop()
 
-    return turn
+    return push_and_pop
 
 
 def _python_memory(code: str) -> int:
@@ -223,7 +223,7 @@
     return int(result.stdout.split()[-1])
 
 
-def memory() -> dict[str, Any]:
+def measure_memory() -> dict[str, Any]:
     """Memory of imports and of configuration objects."""
     bare = _python_memory("pass")
     agent = _python_memory("import lugcross.agent")
@@ -231,7 +231,7 @@
     points = []
     for objects in (0, 500, 1000, 2000):
         used = _python_memory(
-            f"import control\nc = control._config({objects}, 250)"
+            f"import control_costs\nc = control_costs._config({objects}, 250)"
         )
         points.append((float(objects), float(used)))
     return {
@@ -242,7 +242,7 @@
     }
 
 
-def links(counts: tuple[int, ...]) -> dict[str, Any]:
+def measure_links(counts: tuple[int, ...]) -> dict[str, Any]:
     """Idle cost of links, from real processes: processor and memory."""
     cpu: list[tuple[float, float]] = []
     agent_cpu: list[tuple[float, float]] = []
@@ -284,12 +284,14 @@
         "entry_rss_mb_base": rss_base / 1e6,
         "agent_idle_cpu_percent": [round(y, 2) for _, y in agent_cpu],
         "agent_rss_mb": [round(y / 1e6, 1) for y in agents_rss],
-        "idle_bytes_a_s_a_link": (load + _PACKET) / 5 + 2 * _PING / 10,
-        "busy_bytes_a_s_a_link": 2 * (load + _PACKET) + 2 * _PING / 10,
+        "idle_bytes_a_s_a_link": (load + _FRAME_OVERHEAD_BYTES) / 5
+        + 2 * _PING_BYTES / 10,
+        "busy_bytes_a_s_a_link": 2 * (load + _FRAME_OVERHEAD_BYTES)
+        + 2 * _PING_BYTES / 10,
     }
 
 
-def streams(counts: tuple[int, ...]) -> dict[str, Any]:
+def measure_streams(counts: tuple[int, ...]) -> dict[str, Any]:
     """Memory of entry host and agent against open streams."""
     points: dict[str, list[tuple[float, float]]] = {"entry": [], "agent": []}
     with tempfile.TemporaryDirectory() as folder:
@@ -348,12 +350,12 @@
 def main(as_json: bool, counts: str) -> None:
     """Measure the slopes of control."""
     found = {
-        "messages": messages(),
-        "records": records(),
-        "decisions": decisions(),
-        "memory": memory(),
-        "streams": streams((1, 32, 96)),
-        "links": links(tuple(int(one) for one in counts.split(","))),
+        "messages": measure_messages(),
+        "records": measure_records(),
+        "decisions": measure_decisions(),
+        "memory": measure_memory(),
+        "streams": measure_streams((1, 32, 96)),
+        "links": measure_links(tuple(int(one) for one in counts.split(","))),
     }
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -30,14 +30,14 @@
 
 _TOKENS = 4
 _TIMEOUT_S = 10.0
-_SLACK_S = 15.0
-_REPEATS = 8
-_OUTCOME = "Lugcross-Outcome"
+_TIMEOUT_SLACK_S = 15.0
+_MAX_ATTEMPTS = 8
+_OUTCOME_HEADER = "Lugcross-Outcome"
 
 
 @final
 @dataclasses.dataclass
-class Seen:
+class CallerRecord:
     """What a caller saw of one request.
 
     :param whole: it got the whole answer, which was its own.
@@ -46,16 +46,16 @@
     """
 
     id: str
-    keyed: bool
-    whole: bool = False
-    foreign: bool = False
-    hung: bool = False
-    told: str = ""
-    every: list[str] = dataclasses.field(default_factory=list)
+    has_key: bool
+    complete: bool = False
+    wrong_answer: bool = False
+    timed_out: bool = False
+    outcome: str = ""
+    outcomes: list[str] = dataclasses.field(default_factory=list)
 
 
 @final
-class Load:
+class CallerLoad:
     """Callers that send requests one after the other."""
 
     def __init__(
@@ -66,13 +66,14 @@
         self._seed = seed
         self._stop = threading.Event()
         self._count = itertools.count()
-        self.seen: list[Seen] = []
+        self.records: list[CallerRecord] = []
 
     def run(self) -> None:
         """Send until :meth:`stop` is called."""
         with concurrent.futures.ThreadPoolExecutor(self._callers) as pool:
             futs = [
-                pool.submit(self._call_on, num) for num in range(self._callers)
+                pool.submit(self._send_until_stopped, num)
+                for num in range(self._callers)
             ]
             for fut in futs:
                 fut.result()
@@ -81,71 +82,77 @@
         """Send no new requests."""
         self._stop.set()
 
-    def _call_on(self, num: int) -> None:
+    def _send_until_stopped(self, num: int) -> None:
         rng = random.Random(f"{self._seed}-{num}")
         http = urllib3.PoolManager(retries=False, maxsize=4)
         while not self._stop.is_set():
-            keyed = rng.random() < 0.5
-            seen = Seen(f"r{next(self._count)}", keyed)
-            if keyed:
-                self._charge(http, rng, seen)
+            has_key = rng.random() < 0.5
+            record = CallerRecord(f"r{next(self._count)}", has_key)
+            if has_key:
+                self._send_keyed(http, rng, record)
             else:
-                self._complete(http, rng, seen)
-            self.seen.append(seen)
-            if not seen.whole:
+                self._send_completion(http, rng, record)
+            self.records.append(record)
+            if not record.complete:
                 self._stop.wait(0.05)
 
-    def _charge(
-        self, http: urllib3.PoolManager, rng: random.Random, seen: Seen
+    def _send_keyed(
+        self,
+        http: urllib3.PoolManager,
+        rng: random.Random,
+        record: CallerRecord,
     ) -> None:
         """Send under a key, and repeat as a caller would."""
-        for _ in range(_REPEATS):
+        for _ in range(_MAX_ATTEMPTS):
             resp = self._send(
                 http,
                 rng,
-                seen,
+                record,
                 f"/services/{process_fleet.LEDGER}/charge",
                 b'{"rent": 1}',
-                {"Idempotency-Key": seen.id},
+                {"Idempotency-Key": record.id},
             )
             if resp is not None and resp.status == 200:
-                seen.whole = json.loads(resp.data)["for"] == seen.id
-                seen.foreign = not seen.whole
+                record.complete = json.loads(resp.data)["for"] == record.id
+                record.wrong_answer = not record.complete
                 return
-            if seen.hung:
+            if record.timed_out:
                 return
             time.sleep(rng.uniform(0.05, 0.3))
 
-    def _complete(
-        self, http: urllib3.PoolManager, rng: random.Random, seen: Seen
+    def _send_completion(
+        self,
+        http: urllib3.PoolManager,
+        rng: random.Random,
+        record: CallerRecord,
     ) -> None:
         body = json.dumps(
             {
                 "model": process_fleet.MODEL,
-                "prompt": seen.id,
+                "prompt": record.id,
                 "max_tokens": _TOKENS,
                 "stream": True,
             }
         ).encode()
-        resp = self._send(http, rng, seen, "/v1/completions", body, {})
+        resp = self._send(http, rng, record, "/v1/completions", body, {})
         if resp is None or resp.status != 200:
             return
-        want = calls.expected(seen.id, _TOKENS)
+        want = calls.expected(record.id, _TOKENS)
         got = calls.stream_text(resp.data)
-        seen.whole = got == want
+        record.complete = got == want
         if got is None:
-            seen.told = "cut"
+            record.outcome = "cut"
         elif got != want:
-            mark = want.split("-")[0]
-            seen.foreign = any(
-                not word.startswith(mark) for word in got.split()
+            answer_prefix = want.split("-")[0]
+            record.wrong_answer = any(
+                not word.startswith(answer_prefix) for word in got.split()
             )
 
     def _send(
         self,
         http: urllib3.PoolManager,
         rng: random.Random,
-        seen: Seen,
+        record: CallerRecord,
         path: str,
         body: bytes,
         headers: dict[str, str],
@@ -162,29 +169,29 @@
                     headers={
                         "Authorization": f"Bearer {self._fleet.key}",
                         "Content-Type": "application/json",
-                        "X-Request-Id": seen.id,
+                        "X-Request-Id": record.id,
                         **headers,
                     },
-                    timeout=_TIMEOUT_S + _SLACK_S,
+                    timeout=_TIMEOUT_S + _TIMEOUT_SLACK_S,
                 )
             except urllib3.exceptions.NewConnectionError:
                 time.sleep(0.05)
                 continue
             except urllib3.exceptions.HTTPError:
-                seen.told = "cut"
-                seen.every.append("cut")
+                record.outcome = "cut"
+                record.outcomes.append("cut")
                 took = time.monotonic() - began
-                seen.hung = took > _TIMEOUT_S + _SLACK_S - 1
+                record.timed_out = took > _TIMEOUT_S + _TIMEOUT_SLACK_S - 1
                 return None
-            seen.told = resp.headers.get(_OUTCOME, "")
-            seen.every.append(seen.told or str(resp.status))
+            record.outcome = resp.headers.get(_OUTCOME_HEADER, "")
+            record.outcomes.append(record.outcome or str(resp.status))
             return resp
-        seen.told = "not-sent"
+        record.outcome = "not-sent"
         return None
 
 
 @final
-class Faults:
+class FaultInjector:
     """Draws a fault, lets it last, and mends it."""
 
     def __init__(self, fleet: process_fleet.Fleet, seed: int) -> None:
@@ -199,11 +206,11 @@
             "freeze-engine": self._freeze_engine,
             "cut-links": self._cut_links,
             "log-down": self._log_down,
-            "log-lost-answers": self._lost_answers,
+            "log-lost-answers": self._lose_log_answers,
             "engine-closes-early": self._close_early,
         }
 
-    def one(self) -> None:
+    def inject_one(self) -> None:
         """Draw one fault and carry it out."""
         name = self._rng.choice(sorted(self._kinds))
         self._kinds[name]()
@@ -250,7 +257,7 @@
         time.sleep(self._rng.uniform(0.1, 2.0))
         self._fleet.set_faults("log")
 
-    def _lost_answers(self) -> None:
+    def _lose_log_answers(self) -> None:
         self._fleet.set_faults("log", lose_answers=3)
         time.sleep(0.2)
         self._fleet.set_faults("log")
@@ -260,33 +267,38 @@
         self._fleet.set_faults(self._rng.choice(engines), close_early=3)
 
 
-def judge(fleet: process_fleet.Fleet, seen: list[Seen]) -> dict[str, Any]:
+def compare_with_runs(
+    fleet: process_fleet.Fleet, records: list[CallerRecord]
+) -> dict[str, Any]:
     """Hold what callers saw against what truly ran."""
     ran = fleet.ledger_run_counts()
     model_run_counts = fleet.model_run_counts()
     counts: collections.Counter[str] = collections.Counter()
     bad: list[str] = []
-    for one in seen:
-        times = (ran if one.keyed else model_run_counts).get(one.id, 0)
-        doubled = one.keyed and times > 1
+    for record in records:
+        times = (ran if record.has_key else model_run_counts).get(record.id, 0)
+        doubled = record.has_key and times > 1
         # A keyed request that was refused every time must not have run.
-        only_not_run = set(one.every) <= {"not-run"} and bool(one.every)
-        false_not_run = not one.whole and only_not_run and times > 0
-        lost = one.hung or (one.whole and times == 0)
+        only_not_run = set(record.outcomes) <= {"not-run"} and bool(
+            record.outcomes
+        )
+        false_not_run = not record.complete and only_not_run and times > 0
+        lost = record.timed_out or (record.complete and times == 0)
         verdicts = {
-            "whole": one.whole,
+            "whole": record.complete,
             "doubled": doubled,
-            "foreign": one.foreign,
+            "foreign": record.wrong_answer,
             "false_not_run": false_not_run,
             "lost": lost,
-            "refused_not_run": not one.whole and one.told == "not-run",
-            "not_sent": not one.whole and one.told == "not-sent",
-            "unknown": not one.whole
-            and one.told not in ("not-run", "not-sent"),
+            "refused_not_run": not record.complete
+            and record.outcome == "not-run",
+            "not_sent": not record.complete and record.outcome == "not-sent",
+            "unknown": not record.complete
+            and record.outcome not in ("not-run", "not-sent"),
         }
         counts.update(name for name, holds in verdicts.items() if holds)
-        if doubled or one.foreign or false_not_run or lost:
-            bad.append(f"{one} ran {times}")
+        if doubled or record.wrong_answer or false_not_run or lost:
+            bad.append(f"{record} ran {times}")
     names = (
         "whole",
         "lost",
@@ -297,7 +309,11 @@
         "refused_not_run",
         "not_sent",
     )
-    return {"sent": len(seen), **{n: counts[n] for n in names}, "bad": bad[:9]}
+    return {
+        "sent": len(records),
+        **{n: counts[n] for n in names},
+        "bad": bad[:9],
+    }
 
 
 def measure(
@@ -317,27 +333,28 @@
         fleet.timeout_s = _TIMEOUT_S
         try:
             fleet.start()
-            load = Load(fleet, callers, seed)
-            drawn = Faults(fleet, seed)
+            load = CallerLoad(fleet, callers, seed)
+            injector = FaultInjector(fleet, seed)
             began = time.monotonic()
             thread = threading.Thread(target=load.run)
             thread.start()
             while time.monotonic() - began < seconds and (
-                len(load.seen) < requests or drawn.counts.total() < faults
+                len(load.records) < requests
+                or injector.counts.total() < faults
             ):
-                drawn.one()
+                injector.inject_one()
                 time.sleep(0.1)
             load.stop()
             thread.join()
             took = time.monotonic() - began
-            found = judge(fleet, load.seen)
+            found = compare_with_runs(fleet, load.records)
         finally:
             with contextlib.suppress(Exception):
                 fleet.stop()
     return {
         **found,
-        "faults": drawn.counts.total(),
-        "faults_by_kind": dict(drawn.counts),
+        "faults": injector.counts.total(),
+        "faults_by_kind": dict(injector.counts),
         "seconds": took,
         "seed": seed,
     }
--- a/bench/news.py
+++ b/bench/heartbeats.py
@@ -13,7 +13,7 @@
 import random
 import time
 
-import edge_cfg
+import edge_settings
 
 from lugcross import clock as clock_lib
 from lugcross.edge import edge_state as edge_state_lib
@@ -23,14 +23,14 @@
 #: Processes and failure domains: the users' small, large and target fleets.
 SIZES = ((15, 5), (98, 5), (400, 12))
 #: Requests that one process has in progress, each at a server of its own.
-RUNNING = 5
+REQUESTS_PER_PROCESS = 5
 #: Spacing of datagrams nearby and to other domains, in seconds.
-NEAR_S, FAR_S = 0.05, 0.2
+SAME_DOMAIN_INTERVAL_S, OTHER_DOMAIN_INTERVAL_S = 0.05, 0.2
 #: Datagrams of each peer that are measured.
-ROUNDS = 20
+DATAGRAMS_PER_PEER = 20
 
 
-class _Nowhere:
+class _NullTransport:
     """Takes the place of the socket and the store."""
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
@@ -38,18 +38,20 @@
 
 
 def _new_state_sync(rng: random.Random) -> state_sync_lib.StateSync:
-    cfg = edge_cfg.settings()
+    cfg = edge_settings.settings()
     clock = clock_lib.ManualClock()
     clock.advance(datetime.timedelta(seconds=60))
     edge_state = edge_state_lib.EdgeState(cfg, clock=clock, rng=rng)
     state_sync = state_sync_lib.StateSync(
-        cfg, edge_state, _Nowhere(), clock=clock, rng=random.Random(1)
+        cfg, edge_state, _NullTransport(), clock=clock, rng=random.Random(1)
     )
-    state_sync.peers.connection_made(_Nowhere())
+    state_sync.peers.connection_made(_NullTransport())
     return state_sync
 
 
-def _heartbeat(num: int, domains: int, turn: int, rng: random.Random) -> bytes:
+def _heartbeat(
+    num: int, domains: int, sequence: int, rng: random.Random
+) -> bytes:
     return messages.encode(
         messages.Heartbeat(
             node=f"front-d{num % domains}-{num}",
@@ -59,12 +61,17 @@
             leaving=False,
             version=12,
             backends_end=500,
-            running={f"i-{rng.getrandbits(40):x}": 1 for _ in range(RUNNING)},
+            running={
+                f"i-{rng.getrandbits(40):x}": 1
+                for _ in range(REQUESTS_PER_PROCESS)
+            },
             known_addresses=[],
             started_ms=1_780_208_640_546,
             reads_store=True,
-            sequence=turn,
-            workspace_uses={rng.getrandbits(32): 1 for _ in range(RUNNING)},
+            sequence=sequence,
+            workspace_uses={
+                rng.getrandbits(32): 1 for _ in range(REQUESTS_PER_PROCESS)
+            },
             desired_age_ms=400,
             backends_age_ms=400,
         )
@@ -75,27 +82,32 @@
     rng = random.Random(1)
     state_sync = _new_state_sync(rng)
     data = [
-        (num, _heartbeat(num, domains, turn, rng))
-        for turn in range(1, ROUNDS + 1)
+        (num, _heartbeat(num, domains, sequence, rng))
+        for sequence in range(1, DATAGRAMS_PER_PEER + 1)
         for num in range(1, processes)
     ]
     begun = time.perf_counter()
-    for num, one in data:
+    for num, datagram in data:
         state_sync.peers.datagram_received(
-            one, (f"10.0.{num // 250}.{num}", 7)
+            datagram, (f"10.0.{num // 250}.{num}", 7)
         )
-    take_us = (time.perf_counter() - begun) / len(data) * 1e6
+    receive_us = (time.perf_counter() - begun) / len(data) * 1e6
     begun = time.perf_counter()
-    for _ in range(ROUNDS):
+    for _ in range(DATAGRAMS_PER_PEER):
         state_sync.peers.send_due()
-    send_us = (time.perf_counter() - begun) / ROUNDS * 1e6
-    near = processes // domains
-    taken = (near - 1) / NEAR_S + (processes - near) / FAR_S
-    size = sum(len(one) for _, one in data) / len(data)
-    share = taken * take_us / 1e6 + send_us / NEAR_S / 1e6
+    send_us = (time.perf_counter() - begun) / DATAGRAMS_PER_PEER * 1e6
+    domain_size = processes // domains
+    receive_rate = (domain_size - 1) / SAME_DOMAIN_INTERVAL_S + (
+        processes - domain_size
+    ) / OTHER_DOMAIN_INTERVAL_S
+    size = sum(len(datagram) for _, datagram in data) / len(data)
+    share = (
+        receive_rate * receive_us / 1e6
+        + send_us / SAME_DOMAIN_INTERVAL_S / 1e6
+    )
     return (
-        f"{processes:4} {domains:3}  {taken:6.0f}/s  {size:4.0f} B"
-        f"  {taken * size / 1000:6.1f} KB/s  take {take_us:5.1f} us"
+        f"{processes:4} {domains:3}  {receive_rate:6.0f}/s  {size:4.0f} B"
+        f"  {receive_rate * size / 1000:6.1f} KB/s  take {receive_us:5.1f} us"
         f"  send {send_us:6.1f} us  {share * 100:5.2f} % of a core"
     )
 
--- a/bench/http_edge.py
+++ b/bench/http_edge.py
@@ -22,8 +22,8 @@
 
 #: Idle connections that are opened, and how long a caller that has left
 #: is waited for, in seconds.
-IDLE = 1500
-PATIENCE_S = 2.0
+IDLE_CONNS = 1500
+DISCONNECT_TIMEOUT_S = 2.0
 _LIMITS = desired.RequestLimits(
     max_head_bytes=16_384,
     max_body_bytes=1_048_576,
@@ -39,42 +39,40 @@
     return int(line.split()[1]) / 1024
 
 
-def _leave(port: int, begun: threading.Event) -> float:
+def _send_and_disconnect(port: int, handler_started: threading.Event) -> float:
     """Send a request, leave once it is being handled; return when."""
     sock = socket.create_connection(("127.0.0.1", port))
     sock.sendall(_REQUEST)
-    begun.wait(PATIENCE_S)
+    handler_started.wait(DISCONNECT_TIMEOUT_S)
     sock.close()
     return time.monotonic()
 
 
-def _idle(port: int) -> float:
+def _idle_conn_kb(port: int) -> float:
     """Return the memory that one idle connection takes, in KB."""
     before = _rss_mb()
     socks = []
-    for _ in range(IDLE):
+    for _ in range(IDLE_CONNS):
         socks.append(socket.create_connection(("127.0.0.1", port)))
     time.sleep(1.0)
     took = _rss_mb() - before
     for sock in socks:
         sock.close()
-    return took * 1024 / IDLE
+    return took * 1024 / IDLE_CONNS
 
 
-def _edge() -> tuple[float | None, float]:
-    begun, ended = threading.Event(), threading.Event()
-    port_box: list[int] = []
+def _measure_edge() -> tuple[float | None, float]:
+    handler_started, handler_ended = threading.Event(), threading.Event()
+    ports: list[int] = []
     ready = threading.Event()
 
-    async def handler(
-        exchange: http1.ResponseWriter, req: http1.Request
-    ) -> None:
-        del exchange, req
-        begun.set()
+    async def handler(resp: http1.ResponseWriter, req: http1.Request) -> None:
+        del resp, req
+        handler_started.set()
         try:
             await asyncio.sleep(60)
         finally:
-            ended.set()
+            handler_ended.set()
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -93,54 +91,54 @@
         server = await asyncio.start_server(
             serve, "127.0.0.1", 0, backlog=1024
         )
-        port_box.append(server.sockets[0].getsockname()[1])
+        ports.append(server.sockets[0].getsockname()[1])
         ready.set()
         await asyncio.sleep(60)
 
     threading.Thread(target=asyncio.run, args=(listen(),), daemon=True).start()
     ready.wait()
-    left = _leave(port_box[0], begun)
-    noticed = ended.wait(PATIENCE_S)
-    took = time.monotonic() - left if noticed else None
-    return took, _idle(port_box[0])
+    disconnected_s = _send_and_disconnect(ports[0], handler_started)
+    noticed = handler_ended.wait(DISCONNECT_TIMEOUT_S)
+    took = time.monotonic() - disconnected_s if noticed else None
+    return took, _idle_conn_kb(ports[0])
 
 
-def _cheroot() -> float | None:
-    begun, ended = threading.Event(), threading.Event()
+def _measure_cheroot() -> float | None:
+    handler_started, handler_ended = threading.Event(), threading.Event()
 
     def app(environ: dict, start_response: Callable) -> list[bytes]:
         del environ
-        begun.set()
+        handler_started.set()
         # A handler that waits for its backend server is blocked here; it
         # has no way to hear of its caller but to write.
-        time.sleep(PATIENCE_S * 2)
-        ended.set()
+        time.sleep(DISCONNECT_TIMEOUT_S * 2)
+        handler_ended.set()
         start_response("200 OK", [("Content-Length", "0")])
         return []
 
     server = wsgi.Server(("127.0.0.1", 0), app, numthreads=1)
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
-    left = _leave(server.bind_addr[1], begun)
-    noticed = ended.wait(PATIENCE_S)
-    took = time.monotonic() - left if noticed else None
-    ended.wait()
+    disconnected_s = _send_and_disconnect(server.bind_addr[1], handler_started)
+    noticed = handler_ended.wait(DISCONNECT_TIMEOUT_S)
+    took = time.monotonic() - disconnected_s if noticed else None
+    handler_ended.wait()
     server.stop()
     return took
 
 
-def _told(took: float | None) -> str:
+def _describe(took: float | None) -> str:
     if took is None:
-        return f"not heard within {PATIENCE_S:.0f} s"
+        return f"not heard within {DISCONNECT_TIMEOUT_S:.0f} s"
     return f"heard after {took * 1000:.1f} ms"
 
 
 def main() -> None:
     """Print what was measured."""
-    took, idle_kb = _edge()
-    print(f"h11 over asyncio: caller that left: {_told(took)}")
+    took, idle_kb = _measure_edge()
+    print(f"h11 over asyncio: caller that left: {_describe(took)}")
     print(f"h11 over asyncio: idle connection, both ends: {idle_kb:.1f} KB")
-    print(f"cheroot: caller that left: {_told(_cheroot())}")
+    print(f"cheroot: caller that left: {_describe(_measure_cheroot())}")
 
 
 if __name__ == "__main__":
--- a/bench/maps.py
+++ b/bench/map_planning.py
@@ -22,16 +22,19 @@
     (256, 60, 128),
 ]
 #: Popularity of the expert in place n: about what engines showed.
-_FALL = 1.6
-_COPIES = 3
+_POPULARITY_EXPONENT = 1.6
+_MAX_COPIES_PER_RANK = 3
 
 
-def demand(sets: int, experts_a_set: int) -> list[list[float]]:
+def demand(layer_sets: int, expert_count: int) -> list[list[float]]:
     """Return uses that fall steeply, another order in each set."""
     rng = random.Random(1)
     rows = []
-    for _ in range(sets):
-        row = [1e6 / (num + 1) ** _FALL for num in range(experts_a_set)]
+    for _ in range(layer_sets):
+        row = [
+            1e6 / (num + 1) ** _POPULARITY_EXPONENT
+            for num in range(expert_count)
+        ]
         rng.shuffle(row)
         rows.append(row)
     return rows
@@ -39,12 +42,12 @@
 
 def main() -> None:
     """Print a line for each size."""
-    for ranks, sets, count in SIZES:
-        places = max(2, count // ranks + 3)
+    for ranks, layer_sets, expert_count in SIZES:
+        max_per_rank = max(2, expert_count // ranks + 3)
         limits = experts.ExpertLimits(
-            layer_set_count=sets,
-            expert_count=count,
-            max_experts_per_rank=places,
+            layer_set_count=layer_sets,
+            expert_count=expert_count,
+            max_experts_per_rank=max_per_rank,
             max_new_experts_per_map=4,
             copy_s=0.1,
             expert_time_ratio=0.85,
@@ -53,16 +56,19 @@
         first = experts.round_robin_map(ranks, limits)
         begun = time.process_time()
         plan = experts.plan_map(
-            demand(sets, count), first, limits, max_copies_per_rank=_COPIES
+            demand(layer_sets, expert_count),
+            first,
+            limits,
+            max_copies_per_rank=_MAX_COPIES_PER_RANK,
         )
         took_ms = (time.process_time() - begun) * 1000
-        order = msgspec.json.encode(
+        prepare_order = msgspec.json.encode(
             list(zip(*plan.next_map.ranks, strict=True))
         )
         print(
-            f"{ranks} ranks x {sets} sets x {count} experts: "
+            f"{ranks} ranks x {layer_sets} sets x {expert_count} experts: "
             f"{took_ms:.1f} ms, skew {plan.skew_before:.2f} -> "
-            f"{plan.skew_after:.2f}, order {len(order)} bytes"
+            f"{plan.skew_after:.2f}, order {len(prepare_order)} bytes"
         )
 
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -24,7 +24,7 @@
 _MILLI = 1000.0
 
 
-def _stream(
+def _token_times(
     pool: urllib3.PoolManager, url: str, key: str, prompt: str, tokens: int
 ) -> list[float]:
     """Return when each token came, in seconds from the start."""
@@ -56,28 +56,30 @@
 
 
 def _latencies(fleet: process_fleet.Fleet) -> dict[str, Any]:
-    ways = {
+    urls_by_path = {
         "direct": fleet.standin_url("engine-d0-0"),
         "through": fleet.urls()[0],
     }
-    first: dict[str, list[float]] = {name: [] for name in ways}
-    between: dict[str, list[float]] = {name: [] for name in ways}
+    first_ms: dict[str, list[float]] = {name: [] for name in urls_by_path}
+    intervals_ms: dict[str, list[float]] = {name: [] for name in urls_by_path}
     for num in range(_ROUNDS):
-        for name, url in ways.items():
-            times = _stream(fleet.http, url, fleet.key, f"p{num}", _TOKENS)
-            first[name].append(times[0] * _MILLI)
-            between[name] += [
+        for name, url in urls_by_path.items():
+            times = _token_times(
+                fleet.http, url, fleet.key, f"p{num}", _TOKENS
+            )
+            first_ms[name].append(times[0] * _MILLI)
+            intervals_ms[name] += [
                 (b - a) * _MILLI
                 for a, b in zip(times, times[1:], strict=False)
             ]
     found: dict[str, Any] = {}
-    for what, samples in (("first_ms", first), ("token_ms", between)):
+    for what, samples in (("first_ms", first_ms), ("token_ms", intervals_ms)):
         for name, values in samples.items():
             found[f"{what}_{name}"] = {
                 "median": bench_stats.percentile(values, 0.5),
                 "p99": bench_stats.percentile(values, 0.99),
             }
-        medians = [found[f"{what}_{name}"]["median"] for name in ways]
+        medians = [found[f"{what}_{name}"]["median"] for name in urls_by_path]
         found[f"{what}_added_median"] = medians[1] - medians[0]
         found[f"{what}_ratio_median"] = medians[1] / medians[0]
     return found
@@ -89,10 +91,12 @@
     stop = threading.Event()
     counts = []
 
-    def call_on(num: int) -> int:
+    def send_until_stopped(num: int) -> int:
         count = 0
         while not stop.is_set():
-            _stream(fleet.http, url, fleet.key, f"c{num}-{count}", _TOKENS)
+            _token_times(
+                fleet.http, url, fleet.key, f"c{num}-{count}", _TOKENS
+            )
             count += 1
         return count
 
@@ -101,7 +105,7 @@
     before = entry.cpu_s(), sum(a.cpu_s() for a in agents)
     began = time.perf_counter()
     with concurrent.futures.ThreadPoolExecutor(callers) as pool:
-        futs = [pool.submit(call_on, num) for num in range(callers)]
+        futs = [pool.submit(send_until_stopped, num) for num in range(callers)]
         time.sleep(seconds)
         stop.set()
         counts = [fut.result() for fut in futs]
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -22,7 +22,7 @@
 _Planner = Callable[[list[placement.Loads], placement.Slots], placement.Slots]
 
 
-def drifts(
+def drift_windows(
     layers: int, experts: int, seed: int
 ) -> dict[str, list[placement.Loads]]:
     """Return the windows of each kind of drift."""
@@ -39,8 +39,8 @@
         return counts
 
     def daily(num: int) -> placement.Loads:
-        turn = 2 * math.pi * num / _WINDOWS
-        return base * (1 + 0.8 * np.sin(phase + turn))
+        angle = 2 * math.pi * num / _WINDOWS
+        return base * (1 + 0.8 * np.sin(phase + angle))
 
     return {
         "slow-daily": [noisy(daily(num)) for num in range(_WINDOWS)],
@@ -55,14 +55,14 @@
     }
 
 
-def _never(
+def _keep_map(
     seen: list[placement.Loads], slots: placement.Slots
 ) -> placement.Slots:
     del seen
     return slots
 
 
-def _repack(cfg: placement.PlannerCfg) -> _Planner:
+def _repack_all(cfg: placement.PlannerCfg) -> _Planner:
     """Pack anew from nothing in each window, heaviest first."""
 
     def layer(loads: Any) -> Any:
@@ -96,18 +96,18 @@
     return step
 
 
-def _hottest(cfg: placement.PlannerCfg) -> _Planner:
+def _replicate_hottest(cfg: placement.PlannerCfg) -> _Planner:
     """Put one more replica of each layer's hottest on its coolest rank."""
 
     def step(
         seen: list[placement.Loads], slots: placement.Slots
     ) -> placement.Slots:
         after = slots.copy()
-        of_ranks = placement.rank_loads(seen[-1], slots, cfg)
+        rank_loads = placement.rank_loads(seen[-1], slots, cfg)
         for num, loads in enumerate(seen[-1]):
             counts = np.bincount(after[num], minlength=len(loads))
             hot = int((loads / counts).argmax())
-            rank = int(of_ranks[num].argmin())
+            rank = int(rank_loads[num].argmin())
             places = range(rank * cfg.slots, (rank + 1) * cfg.slots)
             spare = [p for p in places if counts[after[num, p]] > 1]
             if spare and hot not in after[num, list(places)]:
@@ -117,7 +117,7 @@
     return step
 
 
-def _ours(cfg: placement.PlannerCfg) -> _Planner:
+def _lugcross_planner(cfg: placement.PlannerCfg) -> _Planner:
     forecaster = placement.Forecaster()
 
     def step(
@@ -129,7 +129,7 @@
     return step
 
 
-def judge(
+def evaluate(
     windows: list[placement.Loads],
     planner: _Planner,
     cfg: placement.PlannerCfg,
@@ -146,14 +146,14 @@
         switches += count > 0
         slots = after
         skews.append(placement.skew(windows[num + 1], slots, cfg))
-    held_s = moved * cfg.expert_bytes / cfg.transfer_bytes_s
+    transfer_s = moved * cfg.expert_bytes / cfg.transfer_bytes_s
     return {
         "skew_mean": float(np.mean(skews)),
         "skew_p99": bench_stats.percentile(skews, 0.99),
         "experts_moved": moved,
         "gb_moved": moved * cfg.expert_bytes / 1e9,
         "switches": switches,
-        "transfer_s": held_s,
+        "transfer_s": transfer_s,
     }
 
 
@@ -167,26 +167,26 @@
         transfer_bytes_s=5e9,
     )
     found: dict[str, Any] = {}
-    for name, windows in drifts(8, 128, seed).items():
+    for name, windows in drift_windows(8, 128, seed).items():
         found[name] = {
-            "never": judge(windows, _never, cfg),
-            "repack": judge(windows, _repack(cfg), cfg),
-            "hottest": judge(windows, _hottest(cfg), cfg),
+            "never": evaluate(windows, _keep_map, cfg),
+            "repack": evaluate(windows, _repack_all(cfg), cfg),
+            "hottest": evaluate(windows, _replicate_hottest(cfg), cfg),
         }
         for weight in (0.2, 0.5, 0.9):
-            ours = placement.PlannerCfg(
+            weighted_cfg = placement.PlannerCfg(
                 **{
                     **{f: getattr(cfg, f) for f in cfg.__struct_fields__},
                     "skew_weight": weight,
                 }
             )
-            found[name][f"lugcross-{weight}"] = judge(
-                windows, _ours(ours), ours
+            found[name][f"lugcross-{weight}"] = evaluate(
+                windows, _lugcross_planner(weighted_cfg), weighted_cfg
             )
     return found
 
 
-def speed(seed: int) -> list[dict[str, Any]]:
+def measure_planning(seed: int) -> list[dict[str, Any]]:
     """Time of one plan against ranks and layers."""
     found = []
     for ranks, layers in ((8, 60), (64, 60), (256, 15), (256, 60)):
@@ -197,17 +197,17 @@
             expert_bytes=20_000_000,
             transfer_bytes_s=5e9,
         )
-        windows = drifts(layers, 128, seed)["stationary"]
+        windows = drift_windows(layers, 128, seed)["stationary"]
         slots = placement.first_map(layers, 128, cfg)
         began = time.process_time()
-        made = placement.plan(windows[0], windows[0], slots, cfg)
+        plan = placement.plan(windows[0], windows[0], slots, cfg)
         found.append(
             {
                 "ranks": ranks,
                 "layers": layers,
                 "seconds": time.process_time() - began,
-                "moves": len(made.moves),
-                "skew": [made.forecast_before, made.forecast_after],
+                "moves": len(plan.moves),
+                "skew": [plan.forecast_before, plan.forecast_after],
             }
         )
     return found
@@ -218,7 +218,7 @@
 @click.option("--seed", default=1, show_default=True)
 def main(as_json: bool, seed: int) -> None:
     """Compare planners on four kinds of drift."""
-    found = {"drifts": compare(seed), "speed": speed(seed)}
+    found = {"drifts": compare(seed), "speed": measure_planning(seed)}
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
 
--- a/bench/shares.py
+++ b/bench/share_accuracy.py
@@ -12,53 +12,60 @@
 
 import click
 
-import share_fleet
+import share_simulator
 
 #: One workspace in ten has a third of the load; together they take about
 #: two thirds of what is full.
 RATES = {"w0": 8.0} | {f"w{num}": 1.9 for num in range(1, 10)}
-SURGE = share_fleet.Load(
-    rates=RATES, hot="w0", times=7.5, since=4.0, until=12.0
+SURGE = share_simulator.LoadProfile(
+    rates=RATES,
+    surging="w0",
+    surge_factor=7.5,
+    surge_start_s=4.0,
+    surge_end_s=12.0,
 )
 OTHERS = set(RATES) - {"w0"}
 SERVERS = 16
 SECONDS = 12.0
-_SOON = share_fleet.News()
-_LATE = share_fleet.News(gap_s=0.5, way_s=0.1)
-_NEVER = share_fleet.News(gap_s=0.0)
+_FAST = share_simulator.GossipTiming()
+_SLOW = share_simulator.GossipTiming(interval_s=0.5, delay_s=0.1)
+_OFF = share_simulator.GossipTiming(interval_s=0.0)
 #: Processes, what they hear of each other, and whether they look at
 #: workspaces at all.
 FLEETS = {
-    "knows everything": (1, _NEVER, True),
-    "7, every 50 ms": (7, _SOON, True),
-    "30, every 50 ms": (30, _SOON, True),
-    "7, every 500 ms": (7, _LATE, True),
-    "30, every 500 ms": (30, _LATE, True),
-    "7, never": (7, _NEVER, True),
-    "7, no look at workspaces": (7, _SOON, False),
+    "knows everything": (1, _OFF, True),
+    "7, every 50 ms": (7, _FAST, True),
+    "30, every 50 ms": (30, _FAST, True),
+    "7, every 500 ms": (7, _SLOW, True),
+    "30, every 500 ms": (30, _SLOW, True),
+    "7, never": (7, _OFF, True),
+    "7, no look at workspaces": (7, _FAST, False),
 }
 #: Takes minutes.
-LARGE = {"98, every 50 ms": (98, _SOON, True)}
+LARGE = {"98, every 50 ms": (98, _FAST, True)}
 
 
 def _row(
-    processes: int, news: share_fleet.News, by_workspace: bool, seeds: int
+    processes: int,
+    gossip: share_simulator.GossipTiming,
+    by_workspace: bool,
+    seeds: int,
 ) -> tuple[float, float, float]:
     fleets = [
-        share_fleet.Fleet(
+        share_simulator.Fleet(
             SURGE,
             processes=processes,
             servers=SERVERS,
-            news=news,
+            gossip=gossip,
             seed=seed,
             by_workspace=by_workspace,
         ).run(SECONDS)
         for seed in range(seeds)
     ]
     return (
-        statistics.mean(one.share_served(OTHERS, 4, 12) for one in fleets),
-        statistics.mean(one.share_served({"w0"}, 4, 12) for one in fleets),
-        statistics.mean(one.most_busy for one in fleets),
+        statistics.mean(one.served_ratio(OTHERS, 4, 12) for one in fleets),
+        statistics.mean(one.served_ratio({"w0"}, 4, 12) for one in fleets),
+        statistics.mean(one.max_running for one in fleets),
     )
 
 
@@ -70,13 +77,13 @@
     fleets = FLEETS | (LARGE if large else {})
     first: tuple[float, float, float] | None = None
     click.echo(f"{'fleet':26} others  ratio  surging  ratio  most")
-    for name, (processes, news, by_workspace) in fleets.items():
-        row = _row(processes, news, by_workspace, seeds)
+    for name, (processes, gossip, by_workspace) in fleets.items():
+        row = _row(processes, gossip, by_workspace, seeds)
         first = first or row
-        others, surging, most = row
+        others, surging, peak = row
         click.echo(
             f"{name:26}  {others:5.3f}  {others / first[0]:5.2f}"
-            f"    {surging:5.3f}  {surging / first[1]:5.2f}  {most:4.0f}"
+            f"    {surging:5.3f}  {surging / first[1]:5.2f}  {peak:4.0f}"
         )
 
 
--- a/bench/share_fleet.py
+++ b/bench/share_simulator.py
@@ -13,7 +13,7 @@
 import itertools
 import random
 
-import edge_cfg
+import edge_settings
 
 from lugcross import clock as clock_lib
 from lugcross import desired
@@ -25,8 +25,8 @@
 SERVICE = ids.ServiceName("s")
 SLOTS = 6
 #: Requests that one server may have, as if learned from pauses.
-FULL = 4.0
-LIFE_S = 1.7
+LEARNED_LIMIT = 4.0
+MEAN_REQUEST_S = 1.7
 ROUTE = desired.Route(
     name="r",
     host="h",
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Load:
+class LoadProfile:
     """Who asks how often.
 
     :param rates: requests a second by workspace.
@@ -49,18 +49,21 @@
     """
 
     rates: dict[str, float]
-    hot: str = ""
-    times: float = 1.0
-    since: float = 0.0
-    until: float = 0.0
+    surging: str = ""
+    surge_factor: float = 1.0
+    surge_start_s: float = 0.0
+    surge_end_s: float = 0.0
 
     def rate(self, space: str, now: float) -> float:
-        surges = space == self.hot and self.since <= now < self.until
-        return self.rates[space] * (self.times if surges else 1.0)
+        surges = (
+            space == self.surging
+            and self.surge_start_s <= now < self.surge_end_s
+        )
+        return self.rates[space] * (self.surge_factor if surges else 1.0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class News:
+class GossipTiming:
     """How soon processes hear of each other.
 
     :param gap_s: time between two pieces of news of one process; none are
@@ -68,8 +71,8 @@
     :param way_s: time until they arrive.
     """
 
-    gap_s: float = 0.05
-    way_s: float = 0.002
+    interval_s: float = 0.05
+    delay_s: float = 0.002
 
 
 class Fleet:
@@ -77,39 +80,37 @@
 
     def __init__(
         self,
-        load: Load,
+        load: LoadProfile,
         *,
         processes: int,
         servers: int,
-        news: News,
+        gossip: GossipTiming,
         seed: int,
         by_workspace: bool = True,
     ) -> None:
         self.load = load
-        self.news = news
+        self.gossip = gossip
         self.rng = random.Random(seed)
         self.clock = clock_lib.ManualClock()
         self.by_workspace = by_workspace
         self.edge_states = [
             self._edge_state(num, servers) for num in range(processes)
         ]
-        self.asked: collections.Counter[tuple[str, int]] = (
-            collections.Counter()
-        )
+        self.sent: collections.Counter[tuple[str, int]] = collections.Counter()
         self.served: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
         #: Requests in progress in all, by moment of an arrival.
-        self.busy = 0
-        self.most_busy = 0
-        self.places = FULL * servers
-        self._order = itertools.count()
-        self._due: list[tuple[float, int, tuple[object, ...]]] = []
+        self.running = 0
+        self.max_running = 0
+        self.places = LEARNED_LIMIT * servers
+        self._event_numbers = itertools.count()
+        self._events: list[tuple[float, int, tuple[object, ...]]] = []
         self._now = 0.0
 
     def _edge_state(self, num: int, servers: int) -> edge_state_lib.EdgeState:
         edge_state = edge_state_lib.EdgeState(
-            edge_cfg.settings(),
+            edge_settings.settings(),
             clock=self.clock,
             rng=random.Random(f"{num}"),
         )
@@ -122,7 +123,7 @@
                 version=1,
                 routes={"h": (ROUTE,)},
                 services={SERVICE: desired.Service(name=SERVICE)},
-                limits=edge_cfg.LIMITS,
+                limits=edge_settings.LIMITS,
                 workspaces_by_key=spaces,
                 keys_required=True,
             ),
@@ -142,41 +143,47 @@
         edge_state.backends.apply(tail, store_was_away=False)
         return edge_state
 
-    def _at(self, when: float, *what: object) -> None:
-        heapq.heappush(self._due, (when, next(self._order), what))
+    def _schedule(self, when: float, *what: object) -> None:
+        heapq.heappush(self._events, (when, next(self._event_numbers), what))
 
     def run(self, seconds: float) -> "Fleet":
         """Play from the start; return the fleet itself."""
         for name in self.load.rates:
-            self._at(self._gap(name, 0.0), "ask", name)
-        if self.news.gap_s:
+            self._schedule(self._next_arrival(name, 0.0), "arrival", name)
+        if self.gossip.interval_s:
             for num in range(len(self.edge_states)):
-                self._at(self.rng.random() * self.news.gap_s, "tell", num)
-        while self._due and self._due[0][0] < seconds:
-            when, _, what = heapq.heappop(self._due)
+                self._schedule(
+                    self.rng.random() * self.gossip.interval_s, "publish", num
+                )
+        while self._events and self._events[0][0] < seconds:
+            when, _, what = heapq.heappop(self._events)
             self.clock.advance(datetime.timedelta(seconds=when - self._now))
             self._now = when
-            getattr(self, f"_{what[0]}")(*what[1:])
+            getattr(self, f"_on_{what[0]}")(*what[1:])
         return self
 
-    def _gap(self, name: str, now: float) -> float:
+    def _next_arrival(self, name: str, now: float) -> float:
         # Drawn at the highest rate; what is too much is left out at once.
-        most = self.load.rates[name] * (
-            self.load.times if name == self.load.hot else 1.0
+        max_rate = self.load.rates[name] * (
+            self.load.surge_factor if name == self.load.surging else 1.0
         )
-        gap: float = now + self.rng.expovariate(most)
+        gap: float = now + self.rng.expovariate(max_rate)
         return gap
 
-    def _ask(self, name: str) -> None:
+    def _on_arrival(self, name: str) -> None:
         now = self._now
-        self._at(self._gap(name, now), "ask", name)
-        times = self.load.times if name == self.load.hot else 1.0
-        usual = self.load.rate(name, now) / (self.load.rates[name] * times)
-        if self.rng.random() >= usual:
+        self._schedule(self._next_arrival(name, now), "arrival", name)
+        surge_factor = (
+            self.load.surge_factor if name == self.load.surging else 1.0
+        )
+        fraction = self.load.rate(name, now) / (
+            self.load.rates[name] * surge_factor
+        )
+        if self.rng.random() >= fraction:
             return
-        self.asked[name, int(now)] += 1
+        self.sent[name, int(now)] += 1
         edge_state = self.rng.choice(self.edge_states)
-        key = self._admitted(edge_state, name)
+        key = self._admit(edge_state, name)
         if key is None:
             return
         self.served[name, int(now)] += 1
@@ -184,12 +191,12 @@
         edge_state.workspace_usage.request_started(
             SERVICE, ids.WorkspaceName(name)
         )
-        self.busy += 1
-        self.most_busy = max(self.most_busy, self.busy)
-        life = LIFE_S * self.rng.uniform(0.5, 1.5)
-        self._at(now + life, "end", edge_state, name, key)
+        self.running += 1
+        self.max_running = max(self.max_running, self.running)
+        duration_s = MEAN_REQUEST_S * self.rng.uniform(0.5, 1.5)
+        self._schedule(now + duration_s, "finish", edge_state, name, key)
 
-    def _admitted(
+    def _admit(
         self, edge_state: edge_state_lib.EdgeState, name: str
     ) -> desired.BackendKey | None:
         found = edge_state.choose_backend(SERVICE, ())
@@ -202,10 +209,10 @@
         requester = edge_state.requester(ROUTE, SERVICE, space)
         if not self.by_workspace:
             requester = admission.Requester()
-        verdict = admission.refusal_reason(snapshot, FULL, requester)
+        verdict = admission.refusal_reason(snapshot, LEARNED_LIMIT, requester)
         return found.best.backend.key if verdict is None else None
 
-    def _end(
+    def _on_finish(
         self,
         edge_state: edge_state_lib.EdgeState,
         name: str,
@@ -215,21 +222,21 @@
         edge_state.workspace_usage.request_ended(
             SERVICE, ids.WorkspaceName(name)
         )
-        self.busy -= 1
+        self.running -= 1
 
-    def _tell(self, num: int) -> None:
+    def _on_publish(self, num: int) -> None:
         edge_state = self.edge_states[num]
-        self._at(self._now + self.news.gap_s, "tell", num)
-        when = self._now + self.news.way_s
-        self._at(
+        self._schedule(self._now + self.gossip.interval_s, "publish", num)
+        when = self._now + self.gossip.delay_s
+        self._schedule(
             when,
-            "heard",
+            "delivery",
             num,
             edge_state.loads.own_requests(),
             edge_state.workspace_usage.own_counts(),
         )
 
-    def _heard(
+    def _on_delivery(
         self,
         num: int,
         running: dict[desired.BackendKey, int],
@@ -240,11 +247,11 @@
                 edge_state.loads.record_peer_requests(f"n{num}", running)
                 edge_state.workspace_usage.apply_peer_counts(f"n{num}", uses)
 
-    def share_served(self, names: set[str], since: int, until: int) -> float:
+    def served_ratio(self, names: set[str], start_s: int, end_s: int) -> float:
         """Return the share of some workspaces' requests that was served."""
-        asked = served = 0
-        for (name, second), count in self.asked.items():
-            if name in names and since <= second < until:
-                asked += count
+        sent = served = 0
+        for (name, second), count in self.sent.items():
+            if name in names and start_s <= second < end_s:
+                sent += count
                 served += self.served[name, second]
-        return served / max(1, asked)
+        return served / max(1, sent)
--- a/bench/suspects.py
+++ b/bench/suspect_policies.py
@@ -34,72 +34,84 @@
 from lugcross.edge import messages  # noqa: E402
 from lugcross.edge import suspect_gossip  # noqa: E402
 
-ENDING = b"ends who runs it"
-GAPS_S = (0.2, 1.0, 3.0)
+CRASHING_BODY = b"ends who runs it"
+INTERVALS_S = (0.2, 1.0, 3.0)
 SECONDS = 30.0
-SETTLED_S = 4.0
+WARMUP_S = 4.0
 #: Ordinary requests a second: six in ten of all places are taken.
-LOAD = 36.0
+REQUESTS_PER_S = 36.0
 ATTEMPTS = 4
 #: Seeds of each way unless told otherwise.
 SEEDS = 12
 ROUNDS = 20_000
 
 
-def _never(*args: object) -> bool:
+def _return_false(*args: object) -> bool:
     del args
     return False
 
 
-def _always(*args: object) -> bool:
+def _return_true(*args: object) -> bool:
     del args
     return True
 
 
-def _anywhere(edge_state: edge_state_lib.EdgeState, plan, tried):
+def _choose_any_backend(edge_state: edge_state_lib.EdgeState, plan, tried):
     return edge_state.choose_backend(plan.service, tried)
 
 
-def _no_ledger(*args: object) -> bool:
+def _ignore_merge(*args: object) -> bool:
     del args
     return False
 
 
 #: What each way changes of the kept one.
-WAYS = {
-    "as it was": [(registry_lib.SuspectRegistry, "merge", _no_ledger)],
+POLICIES = {
+    "as it was": [(registry_lib.SuspectRegistry, "merge", _ignore_merge)],
     "refuse after 3": [
-        (registry_lib.SuspectRegistry, "_is_only_explanation", _never),
-        (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere),
+        (registry_lib.SuspectRegistry, "_is_only_explanation", _return_false),
+        (
+            edge_state_lib.EdgeState,
+            "choose_backend_for_suspect",
+            _choose_any_backend,
+        ),
     ],
     "refuse after 2": [
         (registry_lib, "CRASHES_TO_REFUSE", 2),
         (registry_lib, "CRASHES_TO_REFUSE_IN_OUTAGE", 2),
-        (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere),
+        (
+            edge_state_lib.EdgeState,
+            "choose_backend_for_suspect",
+            _choose_any_backend,
+        ),
     ],
     "2 if sure, anywhere": [
-        (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere)
+        (
+            edge_state_lib.EdgeState,
+            "choose_backend_for_suspect",
+            _choose_any_backend,
+        )
     ],
     "3, suspects apart": [
-        (registry_lib.SuspectRegistry, "_is_only_explanation", _never)
+        (registry_lib.SuspectRegistry, "_is_only_explanation", _return_false)
     ],
     "2 if sure, apart": [],
 }
 
 
-def _play(seed: int, gap_s: float) -> crash_rig.Fleet:
+def _run_fleet(seed: int, interval_s: float) -> crash_rig.Fleet:
     async def main() -> crash_rig.Fleet:
         random.seed(seed)
         fleet = crash_rig.Fleet(
             patch, 3, 2, servers=10, attempts=ATTEMPTS, seed=seed
         )
-        fleet.crashing_bodies.add(ENDING)
+        fleet.crashing_bodies.add(CRASHING_BODY)
         fleet.start()
-        await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD):
-            for _ in range(int(SECONDS / gap_s)):
-                await asyncio.sleep(gap_s * fleet.rng.uniform(0.5, 1.5))
-                fleet.ask(fleet.rng.choice(list(fleet.nodes)), ENDING)
+        await asyncio.sleep(WARMUP_S)
+        with fleet.under_load(REQUESTS_PER_S):
+            for _ in range(int(SECONDS / interval_s)):
+                await asyncio.sleep(interval_s * fleet.rng.uniform(0.5, 1.5))
+                fleet.ask(fleet.rng.choice(list(fleet.nodes)), CRASHING_BODY)
         await asyncio.sleep(2 * crash_rig.REQUEST_S)
         await fleet.stop()
         return fleet
@@ -108,22 +120,23 @@
         return virtual_time.run(main())
 
 
-def _row(name: str, gap_s: float, seeds: int) -> str:
-    ends, innocent, lost = [], set(), []
+def _row(name: str, interval_s: float, seeds: int) -> str:
+    crash_counts, wrong_refusals, unserved = [], set(), []
     for seed in range(1, seeds + 1):
-        fleet = _play(seed, gap_s)
-        ends.append(len(fleet.crash_times(ENDING)))
-        others = [one for one in fleet.answers if one.body != ENDING]
+        fleet = _run_fleet(seed, interval_s)
+        crash_counts.append(len(fleet.crash_times(CRASHING_BODY)))
+        others = [one for one in fleet.answers if one.body != CRASHING_BODY]
         refused = (o.body for o in others if b"have ended while" in o.text)
-        innocent |= {(seed, body) for body in refused}
-        lost.append(sum(one.status != 200 for one in others) / len(others))
+        wrong_refusals |= {(seed, body) for body in refused}
+        unserved.append(sum(one.status != 200 for one in others) / len(others))
     return (
-        f"| {name} | {gap_s} | {statistics.mean(ends):.1f} | {max(ends)} |"
-        f" {len(innocent)} | {100 * statistics.mean(lost):.1f} |"
+        f"| {name} | {interval_s} | {statistics.mean(crash_counts):.1f} |"
+        f" {max(crash_counts)} | {len(wrong_refusals)} |"
+        f" {100 * statistics.mean(unserved):.1f} |"
     )
 
 
-def _microseconds(call, rounds: int = ROUNDS) -> float:
+def _call_us(call, rounds: int = ROUNDS) -> float:
     begun = time.process_time()
     for _ in range(rounds):
         call()
@@ -143,43 +156,45 @@
 
 def _costs() -> None:
     for size, rounds in ((2_000, ROUNDS), (2_000_000, 50)):
-        us = _microseconds(_identity(size).fingerprint, rounds)
+        us = _call_us(_identity(size).fingerprint, rounds)
         print(f"fingerprint of {size} bytes: {us:.0f} us")
     clock = clock_lib.ManualClock()
-    ledger = crash_suspects.SuspectRegistry()
+    registry = crash_suspects.SuspectRegistry()
     now = clock.monotonic()
     for num in range(registry_lib.MAX_SUSPECTS):
         name = crash_suspects.Fingerprint(
             num.to_bytes(crash_suspects.FINGERPRINT_BYTES, "big")
         )
         for server in range(2 if num < 8 else 1):
-            end = crash_suspects.ServerCrash(
+            crash = crash_suspects.ServerCrash(
                 f"i-{num}{server:09}",
                 "v1",
                 now + clock_lib.seconds(server),
                 clock_lib.seconds(0.1),
             )
-            ledger.record_crash(name, end, now)
-    sound = crash_suspects.Fingerprint(b"s" * crash_suspects.FINGERPRINT_BYTES)
-    us = _microseconds(lambda: ledger.find(sound))
+            registry.record_crash(name, crash, now)
+    unsuspected = crash_suspects.Fingerprint(
+        b"s" * crash_suspects.FINGERPRINT_BYTES
+    )
+    us = _call_us(lambda: registry.find(unsuspected))
     print(f"look of a sound request at a full ledger: {us:.2f} us")
     software = frozenset(["v1"])
     name = crash_suspects.Fingerprint(
         (0).to_bytes(crash_suspects.FINGERPRINT_BYTES, "big")
     )
-    us = _microseconds(lambda: ledger.status(name, software, now), 200)
+    us = _call_us(lambda: registry.status(name, software, now), 200)
     print(f"standing of one with two ends, full ledger: {us:.0f} us")
-    told = suspect_gossip.SuspectGossip(ledger, clock).outgoing()
+    suspects = suspect_gossip.SuspectGossip(registry, clock).outgoing()
     size = len(
-        messages.encode(messages.RelayedHeartbeat("", _heartbeat(told)))
+        messages.encode(messages.RelayedHeartbeat("", _heartbeat(suspects)))
     )
     size -= len(messages.encode(messages.RelayedHeartbeat("", _heartbeat([]))))
-    print(f"a datagram carries {len(told)} cases in {size} bytes")
+    print(f"a datagram carries {len(suspects)} cases in {size} bytes")
 
 
-def _heartbeat(told: list[messages.Suspect]) -> messages.Heartbeat:
+def _heartbeat(suspects: list[messages.Suspect]) -> messages.Heartbeat:
     return messages.Heartbeat(
-        "n", "i", "d", 1, False, 1, 1, {}, [], suspects=told
+        "n", "i", "d", 1, False, 1, 1, {}, [], suspects=suspects
     )
 
 
@@ -189,12 +204,12 @@
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else SEEDS
     _costs()
     print("| way | every, s | servers ended | most | refused | lost, % |")
-    for name, changes in WAYS.items():
+    for name, changes in POLICIES.items():
         patches = [mock.patch.object(*one) for one in changes]
         for one in patches:
             one.start()
-        for gap_s in GAPS_S:
-            print(_row(name, gap_s, seeds), flush=True)
+        for interval_s in INTERVALS_S:
+            print(_row(name, interval_s, seeds), flush=True)
         for one in patches:
             one.stop()
 
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 import pytest
-import share_fleet
-import shares as bench_shares
+import share_accuracy
+import share_simulator
 
 from lugcross import clock as clock_lib
 from lugcross import desired
@@ -22,16 +22,19 @@
 SERVICE = ids.ServiceName("s")
 SPACE_A, SPACE_B = ids.WorkspaceName("a"), ids.WorkspaceName("b")
 
-SURGE = bench_shares.SURGE
-OTHERS = bench_shares.OTHERS
-RATES = bench_shares.RATES
+SURGE = share_accuracy.SURGE
+OTHERS = share_accuracy.OTHERS
+RATES = share_accuracy.RATES
 
 
 def _run_fleet(
-    load: share_fleet.Load, processes: int, news: share_fleet.News, **kwargs
-) -> share_fleet.Fleet:
-    fleet = share_fleet.Fleet(
-        load, processes=processes, servers=16, news=news, **kwargs
+    load: share_simulator.LoadProfile,
+    processes: int,
+    news: share_simulator.GossipTiming,
+    **kwargs,
+) -> share_simulator.Fleet:
+    fleet = share_simulator.Fleet(
+        load, processes=processes, servers=16, gossip=news, **kwargs
     )
     return fleet.run(12.0)
 
@@ -39,8 +42,8 @@
 #: News that come soon and late, and how often the others are served at least:
 #: what thirty processes let in within half a second nobody can take back.
 NEWS = {
-    "50-ms": (share_fleet.News(), 0.95),
-    "500-ms": (share_fleet.News(gap_s=0.5, way_s=0.1), 0.9),
+    "50-ms": (share_simulator.GossipTiming(), 0.95),
+    "500-ms": (share_simulator.GossipTiming(interval_s=0.5, delay_s=0.1), 0.9),
 }
 
 
@@ -48,7 +51,7 @@
 @pytest.mark.parametrize(("news", "least"), NEWS.values(), ids=NEWS)
 @pytest.mark.parametrize("processes", [7, 30])
 def test_others_are_served_through_a_surge_of_one_workspace(
-    processes: int, news: share_fleet.News, least: float, seed: int
+    processes: int, news: share_simulator.GossipTiming, least: float, seed: int
 ):
     """One workspace's surge crowded out all others.
 
@@ -59,44 +62,51 @@
     at, the others are served 0.49 of the time.
     """
     fleet = _run_fleet(SURGE, processes, news, seed=seed)
-    assert fleet.share_served(OTHERS, 4, 12) > least
+    assert fleet.served_ratio(OTHERS, 4, 12) > least
     # What the others leave goes to the one that asks for it.
-    hot = fleet.share_served({"w0"}, 4, 12)
+    hot = fleet.served_ratio({"w0"}, 4, 12)
     assert 0.15 < hot < 0.9
-    assert fleet.most_busy < share_fleet.SLOTS * 16
+    assert fleet.max_running < share_simulator.SLOTS * 16
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_the_load_shows_the_fault_without_shares(seed: int):
     fleet = _run_fleet(
-        SURGE, 7, share_fleet.News(), seed=seed, by_workspace=False
+        SURGE, 7, share_simulator.GossipTiming(), seed=seed, by_workspace=False
     )
-    assert fleet.share_served(OTHERS, 4, 12) < 0.6
+    assert fleet.served_ratio(OTHERS, 4, 12) < 0.6
 
 
 def test_process_that_hears_nobody_shares_what_it_sees():
     """Cut off, a process still goes by its own requests in progress."""
-    fleet = _run_fleet(SURGE, 1, share_fleet.News(gap_s=0.0), seed=1)
-    assert fleet.share_served(OTHERS, 4, 12) > 0.95
+    fleet = _run_fleet(
+        SURGE, 1, share_simulator.GossipTiming(interval_s=0.0), seed=1
+    )
+    assert fleet.served_ratio(OTHERS, 4, 12) > 0.95
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_usual_load_of_a_large_workspace_is_not_cut(seed: int):
     fleet = _run_fleet(
-        share_fleet.Load(rates=RATES), 7, share_fleet.News(), seed=seed
+        share_simulator.LoadProfile(rates=RATES),
+        7,
+        share_simulator.GossipTiming(),
+        seed=seed,
     )
-    assert fleet.share_served({"w0"}, 0, 12) > 0.98
+    assert fleet.served_ratio({"w0"}, 0, 12) > 0.98
 
 
 def test_two_that_want_everything_end_up_with_equally_many():
-    load = share_fleet.Load(rates={"w0": 60.0, "w1": 25.0, "w2": 1.0})
-    fleet = _run_fleet(load, 7, share_fleet.News(), seed=1)
+    load = share_simulator.LoadProfile(
+        rates={"w0": 60.0, "w1": 25.0, "w2": 1.0}
+    )
+    fleet = _run_fleet(load, 7, share_simulator.GossipTiming(), seed=1)
     served = {
         name: sum(fleet.served[name, second] for second in range(4, 12))
         for name in load.rates
     }
     assert 0.8 < served["w0"] / served["w1"] < 1.25
-    assert fleet.share_served({"w2"}, 4, 12) > 0.95
+    assert fleet.served_ratio({"w2"}, 4, 12) > 0.95
 
 
 @given(
