--- a/bench/admission.py
+++ b/bench/admission.py
@@ -1,11 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Cost of one admission and choice, by the number of peers and servers.
+"""Time to choose a backend server for a request and to decide on admission.
 
     python bench/admission.py
 
-Prints the time of the look-ups for one request at several sizes, and each
-as a ratio to the smallest; all in one run, so that the machine's speed
-falls out of the ratios.
+Prints the time for one request at several numbers of peers and backend
+servers, and its ratio to that of the smallest fleet, which does not depend on
+the speed of the machine.
 """
 
 import datetime
@@ -20,9 +20,9 @@
 from lugcross import ids
 from lugcross import platform
 
-#: Peers and backend servers.
+#: Numbers of peers and of backend servers.
 SIZES = ((7, 16), (29, 64), (98, 192), (400, 760))
-#: Requests measured at each size, and rounds of which the best counts.
+#: Requests in a round, and rounds at each size, of which the best counts.
 REQUESTS = 300
 ROUNDS = 5
 SERVICE = ids.ServiceName("s")
@@ -57,14 +57,14 @@
 
 
 def _admit(edge_state: edge_state_lib.EdgeState) -> None:
-    """Look up what one request asks for."""
+    """Choose a backend server and read the load, as for one request."""
     found = edge_state.choose_backend(SERVICE, ())
     assert found is not None
     edge_state.load_snapshot(SERVICE, min_busy=found.min_requests)
 
 
 def _measure(peers: int, servers: int) -> float:
-    """Return the milliseconds of one request."""
+    """Return the time for one request, in milliseconds."""
     edge_state = _edge_state(peers, servers, random.Random(1))
     best = float("inf")
     for _ in range(ROUNDS):
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a line for each size."""
     first = 0.0
     for peers, servers in SIZES:
         took = _measure(peers, servers)
--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -1,9 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What running a keyed request at most once costs, three ways.
+"""Cost of running a request with an idempotency key at most once.
 
-``python bench/once.py --json``. Claims in the log, gathered by each
-agent; one append for each key; and one agent's memory alone. All against
-the log's stand-in over HTTP, at several rates and numbers of agents.
+    python bench/at_most_once.py --json
+
+Compares three ways: claims that each agent appends to the log in batches, one
+append for each key, and claims in the memory of one agent. The log is its
+stand-in over HTTP; several rates and numbers of agents are measured.
 """
 
 import concurrent.futures
@@ -27,12 +29,12 @@
 
 _HOST = "127.0.0.1"
 _MILLI = 1000.0
-#: How long the log takes over one request, in seconds.
+#: Delay that the log stand-in adds to each request.
 _LOG_DELAY_S = 0.005
 
 
 class _Agent:
-    """One claimer over HTTP, with the time of each ruling."""
+    """A claimer that records how long each ruling took."""
 
     def __init__(self, url: str, name: str) -> None:
         self._started_s: dict[str, float] = {}
@@ -101,7 +103,7 @@
 
 
 def _append_per_key(rate: float, seconds: float) -> dict[str, Any]:
-    """One append for each key, all at once if need be."""
+    """Measure one append for each key, up to 32 at the same time."""
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
@@ -160,8 +162,8 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--seconds", default=6.0, show_default=True)
 def main(as_json: bool, seconds: float) -> None:
-    """Measure the three ways beside each other."""
-    # One warning for each connection past a pool's size is no news here.
+    """Measure the three ways to run a request at most once."""
+    # urllib3 warns of each connection beyond the size of its pool.
     logging.getLogger("urllib3").setLevel(logging.ERROR)
     found = {
         "log_ms": _LOG_DELAY_S * _MILLI,
--- a/bench/bench_stats.py
+++ b/bench/bench_stats.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Small helpers that all benches share: timing, slopes, percentiles."""
+"""Timing, line fitting and percentiles for the benchmarks."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -8,7 +8,7 @@
 
 
 def median_call_s(func: Callable[[], object], *, count: int) -> float:
-    """Return the median of five runs of ``count`` calls, per call."""
+    """Return the time of one call: the median of five runs of ``count``."""
     times = []
     gc.collect()
     for _ in range(5):
@@ -24,13 +24,13 @@
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    over = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    under = sum((x - mean_x) ** 2 for x, _ in points)
-    rate = over / under
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    variance = sum((x - mean_x) ** 2 for x, _ in points)
+    rate = covariance / variance
     return rate, mean_y - rate * mean_x
 
 
 def percentile(values: Sequence[float], part: float) -> float:
-    """Return the value below which ``part`` of the values lie."""
+    """Return the quantile of ``values`` at ``part``, from 0 to 1."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
--- a/bench/config_propagation.py
+++ b/bench/config_propagation.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Time from accepted to in force everywhere, and what it costs.
+"""Time and cost to propagate a configuration change to all nodes.
 
-``python bench/config.py --json --seed 1``. In one process the real code
-of many nodes is driven over a model of links; with real processes the
-time is taken over sockets.
+    python bench/config_propagation.py --json --seed 1
+
+Simulates many nodes in one process, where their real code exchanges messages
+over modelled links, and measures smaller fleets of real processes.
 """
 
 import collections
@@ -35,7 +36,7 @@
 
 
 class _Node:
-    """One node's store and feed, and what its links carried."""
+    """The store and feed of one node, and the bytes that it sent."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -59,7 +60,7 @@
 
 
 def _links(entries: int, agents: int, seed: int) -> list[tuple[str, str]]:
-    """Return which entry host keeps links to which agents."""
+    """Return the links as pairs of entry host and agent."""
     backends = [
         cfg.BackendServer(
             name=f"a{num}",
@@ -81,7 +82,7 @@
 
 
 def simulate(entries: int, agents: int, seed: int) -> dict[str, Any]:
-    """Spread changes from 2 relays a domain over a model of links."""
+    """Propagate changes from two relays in each domain over modelled links."""
     pairs = _links(entries, agents, seed)
     names = {name for pair in pairs for name in pair}
     nodes = {name: _Node(name) for name in names}
@@ -134,7 +135,7 @@
 
 
 def _deliver(nodes: dict[str, _Node], queue: Any) -> int:
-    """Carry messages in order until none is left; return the hops."""
+    """Deliver all messages; return the hops until the last store changed."""
     last = 0
     while queue:
         hop, sender, receiver, msg = queue.popleft()
@@ -150,7 +151,7 @@
 
 
 def measure_processes(entries: int, engines: int, seed: int) -> dict[str, Any]:
-    """Time from accepted to in force at every entry host, by sockets."""
+    """Measure propagation from acceptance to every entry host."""
     rng = random.Random(seed)
     durations_ms = []
     with tempfile.TemporaryDirectory() as folder:
@@ -209,7 +210,7 @@
 ) -> None:
     with fleet.operator(entry) as client:
         process_fleet.wait_until(
-            lambda: client.status().offset >= offset, what="in force"
+            lambda: client.status().offset >= offset, what="change applied"
         )
 
 
@@ -217,7 +218,7 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--seed", default=1, show_default=True)
 def main(as_json: bool, seed: int) -> None:
-    """Measure convergence and cost against the number of nodes."""
+    """Measure propagation time and cost by the number of nodes."""
     found = {
         "in_process": [
             simulate(entries, agents, seed)
--- a/bench/control_costs.py
+++ b/bench/control_costs.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Slopes of control: bytes, processor time and memory of each thing.
+"""Bytes, processor time and memory of the control traffic and state.
 
-``python bench/control.py --json``. The figures of docs/CAPACITY.md are
-worked out from these.
+    python bench/control_costs.py --json
+
+Fits the cost of each message, object, link and stream, from which the figures
+in docs/CAPACITY.md are computed.
 """
 
 from collections.abc import Iterator
@@ -30,9 +32,9 @@
 
 _MICRO = 1e6
 _IDLE_S = 10.0
-#: What WebSocket, TCP and IP add to a small frame and its ack.
+#: Headers of WebSocket, TCP and IP for a small frame and its TCP ack.
 _FRAME_OVERHEAD_BYTES = 2 + 52 + 52
-#: A ping and its pong, each with an ack.
+#: A WebSocket ping and its pong, each with a TCP ack.
 _PING_BYTES = 2 * (6 + 52 + 52)
 
 
@@ -76,7 +78,7 @@
 
 
 def measure_messages() -> dict[str, Any]:
-    """Bytes and time of the messages between entry host and agent."""
+    """Measure size and coding time of messages between entry and agent."""
     token = json.dumps(
         {
             "id": "cmpl-12345678",
@@ -127,7 +129,7 @@
 
 
 def measure_records() -> dict[str, Any]:
-    """Bytes and time of a configuration record, against objects."""
+    """Measure a configuration record by the number of objects."""
     points = []
     for backends in (100, 400, 760):
         config = _config(backends, 250)
@@ -148,7 +150,7 @@
 
 
 def measure_decisions() -> dict[str, Any]:
-    """Time of a choice, a subset and a turn of the fair queue."""
+    """Measure choice of a backend server, link subset and fair queue."""
     rng = random.Random(1)
     found: dict[str, Any] = {}
     for count in (24, 64, 760):
@@ -224,7 +226,7 @@
 
 
 def measure_memory() -> dict[str, Any]:
-    """Memory of imports and of configuration objects."""
+    """Measure the memory of imports and of configuration objects."""
     bare = _python_memory("pass")
     agent = _python_memory("import lugcross.agent")
     entry = _python_memory("import lugcross.entry")
@@ -243,7 +245,7 @@
 
 
 def measure_links(counts: tuple[int, ...]) -> dict[str, Any]:
-    """Idle cost of links, from real processes: processor and memory."""
+    """Measure processor time and memory of idle links in real processes."""
     cpu: list[tuple[float, float]] = []
     agent_cpu: list[tuple[float, float]] = []
     rss_bytes: list[tuple[float, float]] = []
@@ -292,7 +294,7 @@
 
 
 def measure_streams(counts: tuple[int, ...]) -> dict[str, Any]:
-    """Memory of entry host and agent against open streams."""
+    """Measure memory of entry host and agent by open streams."""
     points: dict[str, list[tuple[float, float]]] = {"entry": [], "agent": []}
     with tempfile.TemporaryDirectory() as folder:
         fleet = process_fleet.Fleet(
@@ -319,7 +321,7 @@
 
 @contextlib.contextmanager
 def _open_streams(fleet: process_fleet.Fleet, count: int) -> Iterator[None]:
-    """Keep ``count`` streams open, each some tokens far."""
+    """Keep ``count`` streams open, each after its first tokens."""
     body = json.dumps(
         {
             "model": process_fleet.MODEL,
@@ -348,7 +350,7 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--links", "counts", default="1,8,24", show_default=True)
 def main(as_json: bool, counts: str) -> None:
-    """Measure the slopes of control."""
+    """Measure the costs of control traffic and state."""
     found = {
         "messages": measure_messages(),
         "records": measure_records(),
--- a/bench/edge_settings.py
+++ b/bench/edge_settings.py
@@ -1,12 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Settings of an edge process that listens nowhere, for measurements."""
+"""Settings of an edge process for benchmarks that open no sockets."""
 
 import datetime
 
 from lugcross import desired
 from lugcross.edge import settings as settings_lib
 
-#: Bounds for callers, far off.
+#: Request limits that no benchmark reaches.
 LIMITS = desired.RequestLimits(
     max_head_bytes=4096,
     max_body_bytes=4096,
@@ -16,7 +16,7 @@
 
 
 def settings() -> settings_lib.Settings:
-    """Return settings with bounds like those of a large deployment."""
+    """Return the settings of one edge process of a large fleet."""
     return settings_lib.Settings(
         node="n0",
         domain="d0",
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Real processes under steady load, while faults are drawn from a seed.
+"""Counts of wrong answers while random faults hit a fleet under load.
 
-``python bench/faults.py --json --seed 1``. Kills, freezes, cut links and
-trouble of the log hit entry hosts, agents and engines; what callers saw
-is then held against what engines and services truly ran.
+    python bench/faults.py --json --seed 1
+
+Kills and freezes processes, cuts links and lets the log fail. What callers
+recorded is then compared with what engines and services ran.
 """
 
 import collections
@@ -38,11 +39,14 @@
 @final
 @dataclasses.dataclass
 class CallerRecord:
-    """What a caller saw of one request.
-
-    :param whole: it got the whole answer, which was its own.
-    :param told: the outcome that the system told, or ``cut`` when the
-        connection went without one.
+    """What a caller recorded of one request.
+
+    :param complete: it got the complete answer to this request.
+    :param wrong_answer: it got an answer to another request.
+    :param timed_out: its last attempt got no answer in time.
+    :param outcome: outcome that the entry host reported for the last attempt,
+        ``cut`` where the connection ended early, or ``not-sent``.
+    :param outcomes: outcomes, or else the status codes, of all attempts.
     """
 
     id: str
@@ -56,7 +60,7 @@
 
 @final
 class CallerLoad:
-    """Callers that send requests one after the other."""
+    """Concurrent callers, each of which sends one request at a time."""
 
     def __init__(
         self, fleet: process_fleet.Fleet, callers: int, seed: int
@@ -69,7 +73,7 @@
         self.records: list[CallerRecord] = []
 
     def run(self) -> None:
-        """Send until :meth:`stop` is called."""
+        """Send requests until :meth:`stop` is called."""
         with concurrent.futures.ThreadPoolExecutor(self._callers) as pool:
             futs = [
                 pool.submit(self._send_until_stopped, num)
@@ -79,7 +83,7 @@
                 fut.result()
 
     def stop(self) -> None:
-        """Send no new requests."""
+        """Let callers finish their requests and send no more."""
         self._stop.set()
 
     def _send_until_stopped(self, num: int) -> None:
@@ -102,7 +106,7 @@
         rng: random.Random,
         record: CallerRecord,
     ) -> None:
-        """Send under a key, and repeat as a caller would."""
+        """Send a request with a key, with retries as a caller makes them."""
         for _ in range(_MAX_ATTEMPTS):
             resp = self._send(
                 http,
@@ -157,7 +161,7 @@
         body: bytes,
         headers: dict[str, str],
     ) -> urllib3.BaseHTTPResponse | None:
-        """Send once, past entry hosts that take no connection."""
+        """Send one attempt, to an entry host that accepts a connection."""
         began = time.monotonic()
         for _ in range(30):
             url = rng.choice(self._fleet.urls() or ["http://127.0.0.1:9"])
@@ -192,7 +196,7 @@
 
 @final
 class FaultInjector:
-    """Draws a fault, lets it last, and mends it."""
+    """Injects random faults, one at a time, and counts them by kind."""
 
     def __init__(self, fleet: process_fleet.Fleet, seed: int) -> None:
         self._fleet = fleet
@@ -211,7 +215,7 @@
         }
 
     def inject_one(self) -> None:
-        """Draw one fault and carry it out."""
+        """Inject a random fault, and return once it is removed."""
         name = self._rng.choice(sorted(self._kinds))
         self._kinds[name]()
         self.counts[name] += 1
@@ -270,7 +274,7 @@
 def compare_with_runs(
     fleet: process_fleet.Fleet, records: list[CallerRecord]
 ) -> dict[str, Any]:
-    """Hold what callers saw against what truly ran."""
+    """Compare what callers recorded with what ran, and count verdicts."""
     ran = fleet.ledger_run_counts()
     model_run_counts = fleet.model_run_counts()
     counts: collections.Counter[str] = collections.Counter()
@@ -278,7 +282,7 @@
     for record in records:
         times = (ran if record.has_key else model_run_counts).get(record.id, 0)
         doubled = record.has_key and times > 1
-        # A keyed request that was refused every time must not have run.
+        # If all attempts were reported as not run, it must not have run.
         only_not_run = set(record.outcomes) <= {"not-run"} and bool(
             record.outcomes
         )
@@ -319,7 +323,7 @@
 def measure(
     *, seed: int, requests: int, faults: int, seconds: float, callers: int
 ) -> dict[str, Any]:
-    """Run the load and the faults, and judge."""
+    """Run the load and the faults; return the counts."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = process_fleet.Fleet(
             pathlib.Path(folder),
@@ -365,7 +369,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--requests", default=20_000, show_default=True)
 @click.option("--faults", default=200, show_default=True)
-@click.option("--seconds", default=900.0, help="Longest time.")
+@click.option("--seconds", default=900.0, help="Time limit.")
 @click.option("--callers", default=32, show_default=True)
 def main(
     as_json: bool,
@@ -375,7 +379,7 @@
     seconds: float,
     callers: int,
 ) -> None:
-    """Count what callers saw while faults hit the fleet."""
+    """Count outcomes of requests while faults hit the fleet."""
     found = measure(
         seed=seed,
         requests=requests,
--- a/bench/heartbeats.py
+++ b/bench/heartbeats.py
@@ -1,12 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Cost of the news that edge processes send each other, by their number.
+"""Cost of the heartbeats between edge processes, by their number.
 
-    python bench/news.py
+    python bench/heartbeats.py
 
-For fleets of several sizes in equal failure domains, under load: datagrams
-and bytes that one process takes in a second (by the spacings of
-``edge.peers``), and the processor time of taking and of sending them,
-measured on this machine.
+For fleets of several sizes in equal failure domains: the heartbeats and bytes
+that one process receives in a second, computed from the intervals of
+``edge.peers``, and the measured processor time to receive and to send them.
 """
 
 import datetime
@@ -20,18 +19,17 @@
 from lugcross.edge import messages
 from lugcross.edge import state_sync as state_sync_lib
 
-#: Processes and failure domains: the users' small, large and target fleets.
+#: Numbers of edge processes and of failure domains.
 SIZES = ((15, 5), (98, 5), (400, 12))
-#: Requests that one process has in progress, each at a server of its own.
+#: Requests in progress at each process, each at another backend server.
 REQUESTS_PER_PROCESS = 5
-#: Spacing of datagrams nearby and to other domains, in seconds.
+#: Intervals of heartbeats within a failure domain and to others.
 SAME_DOMAIN_INTERVAL_S, OTHER_DOMAIN_INTERVAL_S = 0.05, 0.2
-#: Datagrams of each peer that are measured.
 DATAGRAMS_PER_PEER = 20
 
 
 class _NullTransport:
-    """Takes the place of the socket and the store."""
+    """A socket and store client that discards what is sent."""
 
     def sendto(self, data: bytes, to: tuple[str, int]) -> None:
         del data, to
@@ -113,7 +111,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a line for each size."""
     for processes, domains in SIZES:
         print(_measure(processes, domains))
 
--- a/bench/http_edge.py
+++ b/bench/http_edge.py
@@ -1,9 +1,11 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What the callers' HTTP server notices, and what idle callers cost.
+"""Detection of closed connections, and memory of idle ones, at HTTP servers.
 
-Compares the edge's server (h11 over asyncio) with cheroot: how long until
-a handler that waits hears that its caller has left; and tells what memory
-an idle connection of the edge takes. Run: ``python bench/http_edge.py``.
+    python bench/http_edge.py
+
+Compares the edge's server (h11 over asyncio) with cheroot: the time from when
+a caller closes its connection until the handler is cancelled. Also measures
+the memory that the edge's server needs for an idle connection.
 """
 
 import asyncio
@@ -20,8 +22,6 @@
 from lugcross import desired
 from lugcross import http1
 
-#: Idle connections that are opened, and how long a caller that has left
-#: is waited for, in seconds.
 IDLE_CONNS = 1500
 DISCONNECT_TIMEOUT_S = 2.0
 _LIMITS = desired.RequestLimits(
@@ -40,7 +40,7 @@
 
 
 def _send_and_disconnect(port: int, handler_started: threading.Event) -> float:
-    """Send a request, leave once it is being handled; return when."""
+    """Send a request, close once its handler runs; return that time."""
     sock = socket.create_connection(("127.0.0.1", port))
     sock.sendall(_REQUEST)
     handler_started.wait(DISCONNECT_TIMEOUT_S)
@@ -49,7 +49,7 @@
 
 
 def _idle_conn_kb(port: int) -> float:
-    """Return the memory that one idle connection takes, in KB."""
+    """Return the memory of one idle connection, both ends, in KB."""
     before = _rss_mb()
     socks = []
     for _ in range(IDLE_CONNS):
@@ -109,8 +109,8 @@
     def app(environ: dict, start_response: Callable) -> list[bytes]:
         del environ
         handler_started.set()
-        # A handler that waits for its backend server is blocked here; it
-        # has no way to hear of its caller but to write.
+        # Stands for a handler that waits for its backend server: unless it
+        # writes, it cannot detect that its caller closed the connection.
         time.sleep(DISCONNECT_TIMEOUT_S * 2)
         handler_ended.set()
         start_response("200 OK", [("Content-Length", "0")])
@@ -134,7 +134,7 @@
 
 
 def main() -> None:
-    """Print what was measured."""
+    """Print the measurements."""
     took, idle_kb = _measure_edge()
     print(f"h11 over asyncio: caller that left: {_describe(took)}")
     print(f"h11 over asyncio: idle connection, both ends: {idle_kb:.1f} KB")
--- a/bench/map_planning.py
+++ b/bench/map_planning.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What planning an expert map costs, by size of the group.
+"""Processor time to plan an expert map, by the size of the rank group.
 
-``python bench/maps.py`` prints processor milliseconds of one plan from the
-first map, skew before and after, and the bytes of one order to prepare.
+    python bench/map_planning.py
+
+Prints for each size the processor time of one plan from the round-robin map,
+the skew before and after, and the size of one message to prepare the map.
 """
 
 import random
@@ -12,7 +14,7 @@
 
 from lugcross import experts
 
-#: Ranks, sets and experts of each group that is tried.
+#: Ranks, layer sets and experts of each rank group.
 SIZES = [
     (8, 6, 64),
     (32, 12, 128),
@@ -21,13 +23,13 @@
     (256, 12, 128),
     (256, 60, 128),
 ]
-#: Popularity of the expert in place n: about what engines showed.
+#: Demand falls with this power of an expert's place by popularity.
 _POPULARITY_EXPONENT = 1.6
 _MAX_COPIES_PER_RANK = 3
 
 
 def demand(layer_sets: int, expert_count: int) -> list[list[float]]:
-    """Return uses that fall steeply, another order in each set."""
+    """Return the demand by layer set and expert, shuffled in each set."""
     rng = random.Random(1)
     rows = []
     for _ in range(layer_sets):
@@ -52,7 +54,7 @@
             copy_s=0.1,
             expert_time_ratio=0.85,
         )
-        # A group needs a place for each expert; small ones hold several.
+        # Every expert needs a slot, and the planner some to spare.
         first = experts.round_robin_map(ranks, limits)
         begun = time.process_time()
         plan = experts.plan_map(
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What entry host and agent add to calling the engine directly.
+"""Latency that entry host and agent add to direct calls of an engine.
 
-``python bench/overhead.py --json``. Both ways are measured in turn in
-one run, so that the machine's drift hits both alike.
+    python bench/overhead.py --json
+
+Requests alternate between both paths, so that load on the machine affects
+both alike.
 """
 
 import concurrent.futures
@@ -27,7 +29,7 @@
 def _token_times(
     pool: urllib3.PoolManager, url: str, key: str, prompt: str, tokens: int
 ) -> list[float]:
-    """Return when each token came, in seconds from the start."""
+    """Return the time of each token, in seconds since the request."""
     body = json.dumps(
         {
             "model": process_fleet.MODEL,
@@ -86,7 +88,7 @@
 
 
 def _capacity(fleet: process_fleet.Fleet, callers: int, seconds: float) -> Any:
-    """Requests and tokens a second of processor time of each role."""
+    """Measure requests and tokens a second, also per core of each role."""
     url = fleet.urls()[0]
     stop = threading.Event()
     counts = []
@@ -130,7 +132,7 @@
 @click.option("--callers", default=48, show_default=True)
 @click.option("--seconds", default=10.0, show_default=True)
 def main(as_json: bool, callers: int, seconds: float) -> None:
-    """Measure latency added, and capacity of one entry host."""
+    """Measure the latency added and the capacity of one entry host."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = process_fleet.Fleet(
             pathlib.Path(folder), engines=3, capacity=32, step_s=0.01
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The planner beside naive ones, judged on the load that follows.
+"""Comparison of the placement planner with simple ones.
 
-``python bench/placement.py --json``. Four kinds of drift; each planner
-sees the windows up to now and is judged on the next.
+    python bench/placement.py --json
+
+For four kinds of drift in the load, each planner gets the windows up to now
+and is evaluated by the skew of its map in the next window.
 """
 
 from collections.abc import Callable
@@ -25,7 +27,7 @@
 def drift_windows(
     layers: int, experts: int, seed: int
 ) -> dict[str, list[placement.Loads]]:
-    """Return the windows of each kind of drift."""
+    """Return the load windows for each kind of drift."""
     rng = np.random.default_rng(seed)
     base = rng.gamma(0.8, 1.0, (layers, experts)) + 0.05
     other = rng.gamma(0.8, 1.0, (layers, experts)) + 0.05
@@ -63,7 +65,7 @@
 
 
 def _repack_all(cfg: placement.PlannerCfg) -> _Planner:
-    """Pack anew from nothing in each window, heaviest first."""
+    """Return a planner that packs all experts anew in each window."""
 
     def layer(loads: Any) -> Any:
         experts = len(loads)
@@ -97,7 +99,7 @@
 
 
 def _replicate_hottest(cfg: placement.PlannerCfg) -> _Planner:
-    """Put one more replica of each layer's hottest on its coolest rank."""
+    """Return a planner that copies hot experts to the least loaded rank."""
 
     def step(
         seen: list[placement.Loads], slots: placement.Slots
@@ -134,7 +136,7 @@
     planner: _Planner,
     cfg: placement.PlannerCfg,
 ) -> dict[str, Any]:
-    """Run a planner over the windows; judge each map on the next one."""
+    """Run a planner over the windows; evaluate each map in the next one."""
     layers, experts = windows[0].shape
     slots = placement.first_map(layers, experts, cfg)
     skews = []
@@ -158,7 +160,7 @@
 
 
 def compare(seed: int) -> dict[str, Any]:
-    """Return the table of drifts and planners."""
+    """Return the results by kind of drift and planner."""
     cfg = placement.PlannerCfg(
         ranks=32,
         ranks_a_host=8,
@@ -187,7 +189,7 @@
 
 
 def measure_planning(seed: int) -> list[dict[str, Any]]:
-    """Time of one plan against ranks and layers."""
+    """Measure the time of one plan by ranks and layers."""
     found = []
     for ranks, layers in ((8, 60), (64, 60), (256, 15), (256, 60)):
         cfg = placement.PlannerCfg(
--- a/bench/process_fleet.py
+++ b/bench/process_fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Runs a fleet as real processes, for benches and process tests."""
+"""Runs a fleet of real processes for benchmarks and tests."""
 
 import collections
 from collections.abc import Callable
@@ -40,8 +40,7 @@
 TOKEN = "operator-of-this-bench"
 VIEWER_TOKEN = "viewer-of-this-bench"
 
-#: Longest wait for a process to listen, in seconds. A start takes one or
-#: two; beside heavy load it was once seen to take over 20.
+#: Generous, as a start takes much longer on a loaded machine.
 _START_TIMEOUT_S = 60.0
 _POLL_S = 0.02
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
@@ -50,7 +49,11 @@
 
 @final
 class Process:
-    """One process of lugcross, whose JSON log lines are read."""
+    """A lugcross process whose log is collected.
+
+    :ivar log: parsed log lines; other output is a line with ``text``.
+    :ivar ports: ports that it listens on, by the name in its log.
+    """
 
     def __init__(self, name: str, args: list[str]) -> None:
         self.name = name
@@ -67,7 +70,7 @@
         return self._popen.pid
 
     def start(self, *ports: str) -> "Process":
-        """Start, and wait until it listens on each of ``ports``."""
+        """Start, and wait until it listens on each of the named ports."""
         self.ports = {}
         self._popen = subprocess.Popen(
             [sys.executable, "-m", "lugcross", *self.args],
@@ -84,16 +87,21 @@
         return self
 
     def next_log_line(self, timeout: float) -> dict[str, Any]:
-        """Return the next log line."""
+        """Return the next log line that was not returned before.
+
+        :raises RuntimeError: with the last lines, when none comes in time.
+        """
         try:
             return self._lines.get(timeout=max(0.0, timeout))
         except queue.Empty:
-            raise RuntimeError(f"{self.name}: {self.log[-5:]}") from None
+            raise RuntimeError(
+                f"{self.name}: no log line in time; last: {self.log[-5:]}"
+            ) from None
 
     def wait_for_log_line(
         self, message: str, timeout: float = 20.0
     ) -> dict[str, Any]:
-        """Return the next log line that says ``message``."""
+        """Return the next log line with that message, and skip others."""
         until = time.monotonic() + timeout
         while True:
             line = self.next_log_line(until - time.monotonic())
@@ -106,12 +114,12 @@
         self._popen.send_signal(num)
 
     def wait(self, timeout: float = 60.0) -> int:
-        """Wait for its end and return its status."""
+        """Wait for its end and return its exit status."""
         assert self._popen is not None
         return self._popen.wait(timeout)
 
     def stop(self) -> int:
-        """End it as planned and return its status."""
+        """Stop it by SIGTERM and return its exit status."""
         if self._popen is None or self._popen.poll() is not None:
             return 0
         self.signal(signal.SIGTERM)
@@ -122,25 +130,25 @@
             raise
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill it and wait for its end."""
         assert self._popen is not None
         self._popen.kill()
         self._popen.wait()
 
     def cpu_s(self) -> float:
-        """Return its processor time so far, in seconds."""
+        """Return its processor time, in seconds."""
         stat = pathlib.Path(f"/proc/{self.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
 
     def threads_cpu_s(self) -> float:
-        """Return the time of the threads that live now, finely."""
+        """Return the time of its current threads, finer than ``cpu_s``."""
         tasks = pathlib.Path(f"/proc/{self.pid}/task").iterdir()
         stats = [(task / "schedstat").read_text() for task in tasks]
         return sum(int(text.split()[0]) for text in stats) / 1e9
 
     def rss_bytes(self) -> int:
-        """Return its memory now, in bytes."""
+        """Return its resident memory."""
         statm = pathlib.Path(f"/proc/{self.pid}/statm").read_text()
         return int(statm.split()[1]) * _PAGE_BYTES
 
@@ -158,25 +166,25 @@
 def wait_until(
     check: Callable[[], bool], *, timeout: float = 20.0, what: str
 ) -> None:
-    """Wait until ``check`` holds.
+    """Poll until ``check`` returns true.
 
-    :raises RuntimeError: naming ``what``, when it does not in time.
+    :raises RuntimeError: with ``what``, after ``timeout`` seconds.
     """
     until = time.monotonic() + timeout
     while not check():
         if time.monotonic() > until:
-            raise RuntimeError(f"not in {timeout} s: {what}")
+            raise RuntimeError(f"timed out after {timeout} s: {what}")
         time.sleep(_POLL_S)
 
 
 @final
 class Fleet:
-    """Platform, engines, agents and entry hosts as processes.
+    """Platform stand-ins, engines, agents and entry hosts as processes.
 
-    :param folder: for settings files.
-    :param domains: failure domains.
-    :param entries: entry hosts in each.
-    :param engines: model engines, with their agents, in each.
+    :param folder: where settings files are written.
+    :param domains: number of failure domains.
+    :param entries: entry hosts in each domain.
+    :param engines: model engines, each with its agent, in each domain.
     """
 
     def __init__(
@@ -213,8 +221,8 @@
         self.key = cfg.new_key()
         self.timeout_s = 60.0
         self.http = urllib3.PoolManager(retries=False, maxsize=128)
-        # Switches may be set twice without harm, so these calls are
-        # repeated where a kept connection was closed meanwhile.
+        # These calls are idempotent, so they are repeated when a kept
+        # connection turns out to be closed.
         self.control_http = urllib3.PoolManager(
             retries=urllib3.Retry(5, allowed_methods=None), maxsize=64
         )
@@ -251,8 +259,8 @@
                 for d, n in entries
             )
         )
-        # They came up in any order; whoever takes the first wants the
-        # same one at each run.
+        # Sorted, as they started in any order, and tests that take the
+        # first one must get the same one in every run.
         self.standins = dict(sorted(self.standins.items()))
         self.agents = dict(sorted(self.agents.items()))
         self.entries = dict(sorted(self.entries.items()))
@@ -280,7 +288,7 @@
         return f"http://{HOST}:{self.entries[entry].ports['http']}"
 
     def urls(self) -> list[str]:
-        """Return the base URLs of all entry hosts that listen."""
+        """Return the base URLs of the entry hosts that have started."""
         return [
             f"http://{HOST}:{ports['http']}"
             for ports in [one.ports for one in self.entries.values()]
@@ -295,7 +303,7 @@
     def operator(
         self, entry: str = "", *, token: str = TOKEN
     ) -> Iterator[rpc.OperatorClient]:
-        """Open an operator's client of one entry host."""
+        """Open an operator client to an entry host, by default the first."""
         name = entry or next(iter(self.entries))
         target = f"{HOST}:{self.entries[name].ports['rpc']}"
         client = rpc.OperatorClient(target, token)
@@ -305,7 +313,7 @@
             client.close()
 
     def set_host_state(self, name: str, state: logservice.HostState) -> None:
-        """Let the platform's list show a host's state, after its lag."""
+        """Set the state of a host in the platform's list, which lags."""
         host = logservice.Host(name=name, domain="", state=state)
         self.control_http.request(
             "POST",
@@ -314,17 +322,17 @@
         )
 
     def set_faults(self, name: str, **switches: Any) -> None:
-        """Set the switches of a stand-in; others go back to normal."""
+        """Set the faults of a stand-in, and clear all others."""
         body = msgspec.json.encode(standin.Faults(**switches))
         url = f"{self.standin_url(name)}{standin.FAULTS_PATH}"
         self.control_http.request("POST", url, body=body)
 
     def ledger_run_counts(self) -> dict[str, int]:
-        """Return how often the plain service ran each request."""
+        """Return how often the plain service ran each request, by its key."""
         return self._run_counts("ledger")
 
     def model_run_counts(self) -> dict[str, int]:
-        """Return how often the engines ran each request."""
+        """Return how often the engines ran each request, by its id."""
         counts: collections.Counter[str] = collections.Counter()
         for name in self.standins:
             if name.startswith("engine"):
@@ -332,7 +340,7 @@
         return counts
 
     def engine_run_count(self, engine: str) -> int:
-        """Return how many requests one engine ran."""
+        """Return how many runs of requests one engine counted."""
         return sum(self._run_counts(engine).values())
 
     def _run_counts(self, name: str) -> dict[str, int]:
@@ -341,17 +349,17 @@
         return counts
 
     def publish(self, objects: list[cfg.Object]) -> None:
-        """Publish new objects."""
+        """Publish objects that are not in the configuration yet."""
         with self.operator() as client:
             for obj in objects:
                 client.put(obj, expect=0)
 
     def new_sender(self) -> demo.Sender:
-        """Return a caller with the workspace's key."""
+        """Return a caller that uses the workspace key."""
         return demo.Sender(self.key, model=MODEL, ledger=LEDGER)
 
     def config_objects(self) -> list[cfg.Object]:
-        """Return the configuration of this fleet."""
+        """Return the objects of this fleet's configuration."""
         return [
             cfg.WorkspaceGroup(name="g", share=1.0),
             cfg.Workspace(
@@ -384,7 +392,7 @@
     def add_agent(
         self, domain: str, name: str, service: str, standin_name: str
     ) -> Process:
-        """Start an agent before a stand-in."""
+        """Start an agent that serves a stand-in."""
         settings = cfg.settings.Agent(
             **self._common_settings(domain, name),
             backend=name,
@@ -401,7 +409,7 @@
             services=(service,),
             capacity=self._capacity,
         )
-        # A restart must come back on the port that was published.
+        # After a restart it must listen on the published port again.
         fixed = cfg.settings.Address(host=HOST, port=process.ports["links"])
         self._write_settings(
             name, msgspec.structs.replace(settings, link=fixed)
@@ -409,7 +417,7 @@
         return process
 
     def _published_port(self, name: str, port: int) -> int:
-        """Return the port that entry hosts reach an agent by."""
+        """Return the port by which entry hosts reach an agent."""
         if self._relay_loop is None:
             return port
         self.relays[name] = tcp_relay.Relay(self._relay_loop, HOST, port)
@@ -420,7 +428,7 @@
     ) -> Process:
         """Start an entry host.
 
-        :param isolated: let it reach neither the log nor any agent.
+        :param isolated: whether it can reach neither the log nor any agent.
         """
         operator = cfg.settings.Operator(
             name="bench",
--- a/bench/share_accuracy.py
+++ b/bench/share_accuracy.py
@@ -1,11 +1,12 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How far shares are off from those of one process that knows everything.
+"""Fairness of workspace shares under a surge, by delay between processes.
 
-    python bench/shares.py [--seeds 3] [--large]
+    python bench/share_accuracy.py [--seeds 3] [--large]
 
-One of ten workspaces sends 7.5 times its usual for 8 s, in virtual time. Each
-row is a fleet: how many of the others' and of its requests are served, beside
-the same load before one process, and the most requests in progress.
+Simulates a surge of one of ten workspaces to 7.5 times its rate for 8 s. Each
+row is a fleet: the fraction of requests served of the other workspaces and of
+the surging one, both with their ratio to a single process that receives all
+requests, and the peak of requests in progress.
 """
 
 import statistics
@@ -14,8 +15,8 @@
 
 import share_simulator
 
-#: One workspace in ten has a third of the load; together they take about
-#: two thirds of what is full.
+#: Requests a second: one of ten workspaces sends a third of the load, and all
+#: together take about two thirds of the capacity.
 RATES = {"w0": 8.0} | {f"w{num}": 1.9 for num in range(1, 10)}
 SURGE = share_simulator.LoadProfile(
     rates=RATES,
@@ -30,8 +31,8 @@
 _FAST = share_simulator.GossipTiming()
 _SLOW = share_simulator.GossipTiming(interval_s=0.5, delay_s=0.1)
 _OFF = share_simulator.GossipTiming(interval_s=0.0)
-#: Processes, what they hear of each other, and whether they look at
-#: workspaces at all.
+#: Number of processes, timing of their updates, and whether admission
+#: considers workspaces.
 FLEETS = {
     "knows everything": (1, _OFF, True),
     "7, every 50 ms": (7, _FAST, True),
@@ -41,7 +42,7 @@
     "7, never": (7, _OFF, True),
     "7, no look at workspaces": (7, _FAST, False),
 }
-#: Takes minutes.
+#: Optional, as it takes minutes.
 LARGE = {"98, every 50 ms": (98, _FAST, True)}
 
 
@@ -70,10 +71,10 @@
 
 
 @click.command()
-@click.option("--seeds", default=3, help="Plays of each fleet.")
-@click.option("--large", is_flag=True, help="Play 98 processes, too.")
+@click.option("--seeds", default=3, help="Runs of each fleet.")
+@click.option("--large", is_flag=True, help="Simulate 98 processes, too.")
 def main(seeds: int, large: bool) -> None:
-    """Print the table."""
+    """Print a line for each fleet."""
     fleets = FLEETS | (LARGE if large else {})
     first: tuple[float, float, float] | None = None
     click.echo(f"{'fleet':26} others  ratio  surging  ratio  most")
--- a/bench/share_simulator.py
+++ b/bench/share_simulator.py
@@ -1,9 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A fleet of processes that admit requests of rival workspaces, by hand.
+"""Discrete-event simulation of a fleet that serves competing workspaces.
 
-Each process has its own edge state and hears of the others only by their news,
-which come late, rarely or never. Time is moved by hand; requests come at
-random from one seed, hold their server for a while and end.
+Each process has its own edge state and learns of the requests of others only
+from their periodic updates. Arrivals and durations of requests are random,
+from one seed.
 """
 
 import collections
@@ -24,7 +24,7 @@
 
 SERVICE = ids.ServiceName("s")
 SLOTS = 6
-#: Requests that one server may have, as if learned from pauses.
+#: Requests in progress that each backend server is assumed to sustain.
 LEARNED_LIMIT = 4.0
 MEAN_REQUEST_S = 1.7
 ROUTE = desired.Route(
@@ -41,11 +41,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class LoadProfile:
-    """Who asks how often.
+    """The request rates of the workspaces.
 
     :param rates: requests a second by workspace.
-    :param hot: the workspace that sends ``times`` its usual from ``since``
-        until ``until``, in seconds.
+    :param surging: the workspace whose rate is multiplied by
+        ``surge_factor`` from ``surge_start_s`` until ``surge_end_s``.
     """
 
     rates: dict[str, float]
@@ -64,11 +64,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GossipTiming:
-    """How soon processes hear of each other.
+    """When processes receive updates of each other.
 
-    :param gap_s: time between two pieces of news of one process; none are
-        sent where it is 0.
-    :param way_s: time until they arrive.
+    :param interval_s: time between the updates of one process; 0 for none.
+    :param delay_s: time until an update arrives.
     """
 
     interval_s: float = 0.05
@@ -76,7 +75,11 @@
 
 
 class Fleet:
-    """Processes before servers that all of them share."""
+    """Edge processes that share the same backend servers.
+
+    :ivar sent: requests by workspace and second of their arrival.
+    :ivar served: those of them that were admitted.
+    """
 
     def __init__(
         self,
@@ -100,7 +103,7 @@
         self.served: collections.Counter[tuple[str, int]] = (
             collections.Counter()
         )
-        #: Requests in progress in all, by moment of an arrival.
+        #: Requests in progress at all processes.
         self.running = 0
         self.max_running = 0
         self.places = LEARNED_LIMIT * servers
@@ -147,7 +150,7 @@
         heapq.heappush(self._events, (when, next(self._event_numbers), what))
 
     def run(self, seconds: float) -> "Fleet":
-        """Play from the start; return the fleet itself."""
+        """Simulate so many seconds; return the fleet itself."""
         for name in self.load.rates:
             self._schedule(self._next_arrival(name, 0.0), "arrival", name)
         if self.gossip.interval_s:
@@ -163,12 +166,12 @@
         return self
 
     def _next_arrival(self, name: str, now: float) -> float:
-        # Drawn at the highest rate; what is too much is left out at once.
+        # Drawn at the highest rate; :meth:`_on_arrival` drops the excess.
         max_rate = self.load.rates[name] * (
             self.load.surge_factor if name == self.load.surging else 1.0
         )
-        gap: float = now + self.rng.expovariate(max_rate)
-        return gap
+        arrival: float = now + self.rng.expovariate(max_rate)
+        return arrival
 
     def _on_arrival(self, name: str) -> None:
         now = self._now
@@ -248,7 +251,7 @@
                 edge_state.workspace_usage.apply_peer_counts(f"n{num}", uses)
 
     def served_ratio(self, names: set[str], start_s: int, end_s: int) -> float:
-        """Return the share of some workspaces' requests that was served."""
+        """Return the fraction of the workspaces' requests that was served."""
         sent = served = 0
         for (name, second), count in self.sent.items():
             if name in names and start_s <= second < end_s:
--- a/bench/suspect_policies.py
+++ b/bench/suspect_policies.py
@@ -1,13 +1,14 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Ways to stop a request that ends servers, and what the kept one costs.
+"""Comparison of policies against requests that crash backend servers.
 
-    python bench/suspects.py [SEEDS]
+    python bench/suspect_policies.py [SEEDS]
 
-Plays a fleet of five processes and ten servers in virtual time for 30 s, in
-which a request that ends each server that runs it comes every 0.2, 1 and 3 s.
-For each way: servers that ended, requests that are refused without reason, and
-ordinary tries that were not served. Then the cost of a fingerprint, of one
-look at the ledger and of a datagram, on this machine.
+Prints the cost of a fingerprint, of lookups in the suspect registry and of a
+heartbeat that carries suspects. Then simulates a fleet of five edge processes
+and ten backend servers for 30 s of virtual time, to which a crashing request
+is sent every 0.2, 1 and 3 s, and prints for each policy the servers that
+crashed, the other requests that were refused as suspects, and the part of all
+other attempts that was not served.
 """
 
 import asyncio
@@ -38,10 +39,10 @@
 INTERVALS_S = (0.2, 1.0, 3.0)
 SECONDS = 30.0
 WARMUP_S = 4.0
-#: Ordinary requests a second: six in ten of all places are taken.
+#: Ordinary load, which takes about six in ten of all slots.
 REQUESTS_PER_S = 36.0
 ATTEMPTS = 4
-#: Seeds of each way unless told otherwise.
+#: Default number of seeds for each policy.
 SEEDS = 12
 ROUNDS = 20_000
 
@@ -65,7 +66,7 @@
     return False
 
 
-#: What each way changes of the kept one.
+#: For each policy, the patches of the implemented one, which comes last.
 POLICIES = {
     "as it was": [(registry_lib.SuspectRegistry, "merge", _ignore_merge)],
     "refuse after 3": [
--- a/bench/tcp_relay.py
+++ b/bench/tcp_relay.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A TCP relay before each agent, so that a bench can cut its links."""
+"""A TCP relay that lets tests and benchmarks cut the links to an agent."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 @final
 class Relay:
-    """Passes bytes to one port until it is told to cut."""
+    """Forwards connections to one port, unless it is cut off."""
 
     def __init__(self, loop: wire.LoopThread, host: str, port: int) -> None:
         self._loop = loop
@@ -23,12 +23,12 @@
         self.port = loop.call(self._listen(), timeout_s=5)
 
     def cut(self) -> None:
-        """Drop all connections and refuse new ones."""
+        """Reset all connections, and new ones, until :meth:`restore`."""
         self._cut = True
         self._loop.call(self._reset_connections(), timeout_s=5)
 
     def restore(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         self._cut = False
 
     async def _listen(self) -> int:
