--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Fixtures that several test files share."""
+"""Fixtures shared by all tests, and the handling of known failures."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 
 from lugcross import clock
 
-# The same examples on every run: a verdict must not depend on chance.
+# Hypothesis tries the same examples on every run.
 hypothesis.settings.register_profile(
     "lugcross", derandomize=True, deadline=None, print_blob=False
 )
@@ -17,11 +17,11 @@
 
 @pytest.fixture
 def manual_clock() -> clock.ManualClock:
-    """A clock that moves only when a test moves it."""
+    """A clock that only the test advances."""
     return clock.ManualClock()
 
 
-#: Tests that fail for a real fault that is not mended yet, one line each:
+#: Lists tests that fail because of a bug that is not fixed yet, one a line:
 #: ``TEST: CAUSE (ISSUE)``.
 _KNOWN_FAILURES_FILE = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 _SEPARATOR = ": "
@@ -29,19 +29,19 @@
 
 
 def _known_failures() -> dict[str, str]:
-    """Return the cause by the id of each listed test."""
+    """Return the causes of the listed failures by test id."""
     if not _KNOWN_FAILURES_FILE.exists():
         return {}
     lines = _KNOWN_FAILURES_FILE.read_text(encoding="utf-8").splitlines()
     listed = dict(line.split(_SEPARATOR, 1) for line in lines if line)
     assert len(listed) <= _MAX_KNOWN_FAILURES, (
-        "mend some: too many tests are red"
+        "too many known failures are listed; fix some"
     )
     return listed
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Pass over just the listed tests; one that passes must be struck."""
+    """Mark listed tests as expected failures; an unexpected pass fails."""
     listed = _known_failures()
     for item in items:
         cause = listed.get(item.nodeid)
@@ -50,5 +50,5 @@
 
 
 def pytest_report_header() -> list[str]:
-    """Print the listed tests at the head of each run."""
-    return [f"known red: {name}" for name in _known_failures()]
+    """Print the ids of the listed tests."""
+    return [f"known failure: {name}" for name in _known_failures()]
--- a/testing/test_bad_input.py
+++ b/testing/test_bad_input.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Bad input from callers, peers and operators, to real processes."""
+"""Real processes reject bad input from callers, peers and operators."""
 
 import asyncio
 from collections.abc import Iterator
@@ -24,7 +24,7 @@
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[process_fleet.Fleet]:
-    """One entry host and one engine."""
+    """A fleet with one entry host and one engine."""
     running = process_fleet.Fleet(tmp_path_factory.mktemp("bad"))
     try:
         yield running.start()
@@ -40,7 +40,7 @@
     key: str = "",
     headers: dict[str, str] | None = None,
 ) -> tuple[int, str, str]:
-    """Return status, kind and outcome of a request."""
+    """Send a request that fails; return status, error kind and outcome."""
     resp = fleet.control_http.request(
         "POST",
         fleet.urls()[0] + path,
@@ -153,7 +153,7 @@
     log = fleet.agents["model-d0-0"].log
     process_fleet.wait_until(
         lambda: any("intruder" in line.get("why", "") for line in log),
-        what="the refusal in the agent's log",
+        what="refusal of the peer in the agent's log",
     )
 
 
@@ -188,7 +188,7 @@
     assert all(peer.linked for peer in (*before, *after))
 
 
-# The operators' command line.
+# lugcross ctl
 
 
 def run_ctl(fleet: process_fleet.Fleet, *args: str, code: int = 0) -> str:
--- a/testing/test_config_processes.py
+++ b/testing/test_config_processes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Configuration and membership, under failures of real processes."""
+"""Configuration changes while real processes and the log fail."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -27,7 +27,7 @@
 
 @pytest.fixture(autouse=True)
 def linked_fleet(fleet: process_fleet.Fleet) -> None:
-    """Each test begins with every process up and linked."""
+    """Wait until every entry host is linked to every agent."""
     fleet.wait_linked()
 
 
@@ -39,7 +39,7 @@
     expect: int | None = None,
     change_id: str = "",
 ) -> pb.ChangeReply:
-    """Change the group's share through one entry host."""
+    """Change the share of the group through one entry host."""
     with fleet.operator(entry) as client:
         if expect is None:
             expect = share_revision(client.config())
@@ -57,7 +57,7 @@
 
 
 def effective_shares(fleet: process_fleet.Fleet) -> list[float]:
-    """Return the group's share in force at each entry host."""
+    """Return the share that each entry host has applied to the group."""
     found = []
     for name in fleet.entries:
         with fleet.operator(name) as client:
@@ -69,7 +69,7 @@
 def wait_for_share(fleet: process_fleet.Fleet, share: float) -> None:
     process_fleet.wait_until(
         lambda: effective_shares(fleet) == [share] * len(fleet.entries),
-        what=f"share {share} everywhere",
+        what=f"share {share} at every entry host",
     )
 
 
@@ -144,18 +144,19 @@
     fleet: process_fleet.Fleet,
 ) -> None:
     process_fleet.wait_until(
-        lambda: len(log_relays(fleet)) == 2, what="two relays"
+        lambda: len(log_relays(fleet)) == 2, what="two log relays"
     )
     first = log_relays(fleet)[0]
     fleet.entries[first].kill()
     others = {n: p for n, p in fleet.entries.items() if n != first}
-    whole, fleet.entries = fleet.entries, others
+    all_entries, fleet.entries = fleet.entries, others
     process_fleet.wait_until(
-        lambda: len(log_relays(fleet)) == 2, what="two again"
+        lambda: len(log_relays(fleet)) == 2,
+        what="two log relays after the kill",
     )
     assert put_share(fleet, 5.0).standing == pb.STANDING_ACCEPTED
     wait_for_share(fleet, 5.0)
-    fleet.entries = whole
+    fleet.entries = all_entries
     fleet.entries[first].start("http", "rpc")
     wait_for_share(fleet, 5.0)
 
@@ -171,7 +172,8 @@
     entry.start("http", "rpc")
     wait_for_share(fleet, 6.0)
     process_fleet.wait_until(
-        lambda: is_ready(fleet, "entry-d0-0"), what="ready without the log"
+        lambda: is_ready(fleet, "entry-d0-0"),
+        what="entry host ready while the log is down",
     )
     fleet.set_faults("log")
 
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Entry hosts, agents and stand-ins as real processes."""
+"""Entry hosts, agents and platform stand-ins as real processes."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -17,7 +17,7 @@
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[process_fleet.Fleet]:
-    """Two failure domains, started once for this file."""
+    """A fleet with two failure domains and traces in its logs."""
     folder = tmp_path_factory.mktemp("fleet")
     running = process_fleet.Fleet(folder, domains=2, traces=True)
     try:
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def sender(fleet: process_fleet.Fleet) -> demo.Sender:
-    """A caller with the fleet's workspace key."""
+    """A caller that uses the workspace key of the fleet."""
     return fleet.new_sender()
 
 
@@ -70,7 +70,8 @@
     sender.complete(fleet.urls()[0], "trace me", tokens=2, stream=True)
     hops = {"entry.request", "agent.run", "engine.complete"}
     process_fleet.wait_until(
-        lambda: hops in _span_names_by_trace(fleet), what="a whole trace"
+        lambda: hops in _span_names_of_traces(fleet),
+        what="a trace with all spans",
     )
 
 
@@ -80,7 +81,7 @@
     name = next(iter(fleet.entries))
     entry = fleet.entries[name]
     url = fleet.url(name)
-    # Longer than the HTTP server's own patience at its stop.
+    # The stream takes longer than the HTTP server waits when it stops.
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(
             sender.complete, url, "long", tokens=1500, stream=True
@@ -146,8 +147,8 @@
     assert "fields are" in text
 
 
-def _span_names_by_trace(fleet: process_fleet.Fleet) -> list[set[str]]:
-    """Return the names of the spans of each trace in the logs."""
+def _span_names_of_traces(fleet: process_fleet.Fleet) -> list[set[str]]:
+    """Return the set of span names of each trace in the logs."""
     traces: dict[str, set[str]] = {}
     for process in (
         *fleet.entries.values(),
--- a/testing/test_promises.py
+++ b/testing/test_promises.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The promises to callers, under failures of real processes."""
+"""The promises to callers hold while real processes fail."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -26,7 +26,7 @@
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
 ) -> Iterator[process_fleet.Fleet]:
-    """Two failure domains with a relay before each agent."""
+    """A fleet with two failure domains and a TCP relay before each agent."""
     running = process_fleet.Fleet(
         tmp_path_factory.mktemp("promises"),
         domains=2,
@@ -43,25 +43,25 @@
 
 @pytest.fixture(autouse=True)
 def linked_fleet(fleet: process_fleet.Fleet) -> None:
-    """Each test begins with every process up and linked."""
+    """Wait until every entry host is linked to every agent."""
     fleet.wait_linked()
 
 
 @pytest.fixture
 def sender(fleet: process_fleet.Fleet) -> demo.Sender:
-    """A caller with the fleet's workspace key."""
+    """A caller that uses the workspace key of the fleet."""
     return fleet.new_sender()
 
 
 @pytest.fixture
 def url(fleet: process_fleet.Fleet) -> str:
-    """The first entry host, in the domain of the first agent."""
+    """Base URL of the entry host in the domain of the first agent."""
     return fleet.url("entry-d0-0")
 
 
 @final
 class Stream:
-    """A stream of which a test reads a part before something happens."""
+    """A streamed completion that a test reads in steps."""
 
     def __init__(
         self, fleet: process_fleet.Fleet, url: str, tokens: int
@@ -84,30 +84,32 @@
         self._data = b""
 
     def read_events(self, events: int) -> None:
-        """Read so many events."""
+        """Read until ``events`` events have arrived in all."""
         while self._data.count(b"\n\n") < events:
             self._data += self.resp.readline()
 
     def read_to_end(self) -> bool:
-        """Read to the end; tell whether it is whole and its own."""
+        """Read to the end; return whether the text is what was requested."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             self._data += self.resp.read()
         return calls.stream_text(self._data) == self._expected
 
     @property
     def looks_complete(self) -> bool:
-        """Whether a caller would take it for whole."""
+        """Whether a caller would take the answer for complete."""
         return calls.stream_text(self._data) is not None
 
 
-def running_agent(fleet: process_fleet.Fleet) -> str:
-    """Return the agent that runs the only request there is."""
-    process_fleet.wait_until(lambda: _running_agent(fleet, ""), what="running")
+def wait_for_running_agent(fleet: process_fleet.Fleet) -> str:
+    """Wait for an agent that runs a request, and return its name."""
+    process_fleet.wait_until(
+        lambda: _running_agent(fleet, ""), what="agent that runs a request"
+    )
     return _running_agent(fleet, "")
 
 
 def wait_running(fleet: process_fleet.Fleet, count: int) -> None:
-    """Wait until engines run ``count`` requests."""
+    """Wait until the engines run ``count`` requests in all."""
 
     def running() -> bool:
         found = 0
@@ -117,10 +119,10 @@
             found += load["running"]
         return bool(found == count)
 
-    process_fleet.wait_until(running, what=f"{count} running")
+    process_fleet.wait_until(running, what=f"{count} running requests")
 
 
-# Whole answer, own request.
+# An answer is complete and belongs to its request.
 
 
 def test_stream_resumes_after_link_cut_without_gap_or_duplicate(
@@ -128,7 +130,7 @@
 ) -> None:
     stream = Stream(fleet, url, 300)
     stream.read_events(20)
-    relay = fleet.relays[running_agent(fleet)]
+    relay = fleet.relays[wait_for_running_agent(fleet)]
     relay.cut()
     relay.restore()
     assert stream.read_to_end()
@@ -139,7 +141,7 @@
 ) -> None:
     stream = Stream(fleet, url, 300)
     stream.read_events(20)
-    agent = fleet.agents[running_agent(fleet)]
+    agent = fleet.agents[wait_for_running_agent(fleet)]
     agent.kill()
     whole = stream.read_to_end()
     agent.start("links")
@@ -154,7 +156,7 @@
     result = sender.complete(url, "early", tokens=20, stream=True)
     for name in ENGINES:
         fleet.set_faults(name)
-    # Both replicas closed early; a third attempt made it whole.
+    # Both engines closed early; a third attempt completed the answer.
     assert result.whole
 
 
@@ -192,7 +194,7 @@
     assert texts == [calls.expected(p, 3) for p in ("one", "two")]
 
 
-# "Not run" is true.
+# A request that is reported as "not-run" has not run.
 
 
 def test_request_to_unreachable_backend_is_reported_as_not_run(
@@ -237,7 +239,7 @@
     entry.start("http", "rpc")
 
 
-# Not repeatable, at most once.
+# A request that must not be repeated runs at most once.
 
 
 def test_same_key_at_two_entries_at_once_runs_once(
@@ -320,7 +322,7 @@
         fleet.set_faults("log")
     assert [result.whole for result in results] == [True, True]
     assert fleet.ledger_run_counts()["memory"] == 1
-    # The claim was appended when the log came back.
+    # The claim was appended once the log was up again.
     assert sender.charge(url, b"{}", key="memory").whole
     assert fleet.ledger_run_counts()["memory"] == 1
 
@@ -354,7 +356,7 @@
     assert fleet.ledger_run_counts()["cut off"] == 1
 
 
-# Leaving gets nothing new; a planned stop cuts nothing.
+# Leaving servers get no requests; planned stops truncate no answers.
 
 
 def test_backend_set_to_leaving_by_an_operator_gets_no_requests(
@@ -376,14 +378,16 @@
 ) -> None:
     fleet.set_host_state("model-d0-0", logservice.HostState.LEAVING)
     process_fleet.wait_until(
-        lambda: _is_leaving(fleet, "model-d0-0"), what="leaving by the list"
+        lambda: _is_leaving(fleet, "model-d0-0"),
+        what="backend leaving by the host list",
     )
     before = fleet.engine_run_count(ENGINES[0])
     result = sender.complete(url, "by the list", tokens=2, stream=False)
     after = fleet.engine_run_count(ENGINES[0])
     fleet.set_host_state("model-d0-0", logservice.HostState.LIVE)
     process_fleet.wait_until(
-        lambda: not _is_leaving(fleet, "model-d0-0"), what="back by the list"
+        lambda: not _is_leaving(fleet, "model-d0-0"),
+        what="backend live by the host list",
     )
     assert result.whole
     assert after == before
@@ -394,7 +398,7 @@
 ) -> None:
     stream = Stream(fleet, url, 150)
     stream.read_events(5)
-    agent = fleet.agents[running_agent(fleet)]
+    agent = fleet.agents[wait_for_running_agent(fleet)]
     entry = fleet.entries["entry-d0-0"]
     for process in (agent, entry):
         process.signal(signal.SIGTERM)
@@ -410,7 +414,7 @@
 ) -> None:
     stream = Stream(fleet, url, 600)
     stream.read_events(5)
-    agent = fleet.agents[running_agent(fleet)]
+    agent = fleet.agents[wait_for_running_agent(fleet)]
     agent.signal(signal.SIGTERM)
     assert agent.wait() == 0
     whole = stream.read_to_end()
@@ -460,7 +464,7 @@
 def _send_to_ready_host(
     fleet: process_fleet.Fleet, sender: demo.Sender, num: int, key: str
 ) -> calls.Result:
-    """Send as behind the platform's balancer: only to ready hosts."""
+    """Send to a ready entry host, as the platform's load balancer does."""
     while True:
         for url in fleet.urls():
             if not _is_ready(fleet, url):
@@ -471,7 +475,7 @@
 
 
 def _is_ready(fleet: process_fleet.Fleet, url: str) -> bool:
-    """Ask for readiness as the balancer does, over a new connection."""
+    """Check readiness as the load balancer does, over a new connection."""
     try:
         resp = fleet.control_http.request(
             "GET",
@@ -485,12 +489,12 @@
 
 
 def _running_plain_agent(fleet: process_fleet.Fleet) -> str:
-    """Return the plain agent that runs something, if any."""
+    """Return the plain agent that runs a request, or an empty string."""
     return _running_agent(fleet, "plain")
 
 
 def _running_agent(fleet: process_fleet.Fleet, kind: str) -> str:
-    """Return an agent of a kind that runs something, if any."""
+    """Return an agent of a kind that runs a request, or an empty string."""
     with fleet.operator("entry-d1-0") as client:
         peers = client.status().peers
     running = [p.backend for p in peers if p.running and kind in p.backend]
@@ -505,7 +509,7 @@
 
 @contextlib.contextmanager
 def _claims_from_memory(fleet: process_fleet.Fleet) -> Iterator[None]:
-    """Let the plain service run from memory while the log is away."""
+    """Let agents claim keys in memory while the log is down."""
     for away in (cfg.OnceLogAway.MEMORY, cfg.OnceLogAway.REFUSE):
         service = cfg.Service(
             name=process_fleet.LEDGER,
@@ -523,7 +527,7 @@
             offset = client.put(service, expect=revision).offset
         process_fleet.wait_until(
             lambda want=offset: _agents_applied(fleet, want),
-            what="service in force",
+            what="service applied by all agents",
         )
         if away is cfg.OnceLogAway.MEMORY:
             yield
@@ -538,7 +542,7 @@
 def _set_leaving_by_operator(
     fleet: process_fleet.Fleet, backend: str
 ) -> Iterator[None]:
-    """Let an operator set a backend server to leaving for a while."""
+    """Set a backend server to leaving through the operator API."""
     ref = cfg.Ref(cfg.Kind.BACKEND, backend)
     for leaving in (True, False):
         with fleet.operator("entry-d0-0") as client:
@@ -550,7 +554,7 @@
             client.set_leaving(backend, leaving, expect=revision)
         process_fleet.wait_until(
             lambda want=leaving: _is_leaving(fleet, backend) == want,
-            what="leaving in force",
+            what="leaving state applied",
         )
         if leaving:
             yield
