--- a/testing/conftest.py
+++ b/testing/conftest.py
@@ -8,7 +8,7 @@
 
 from lugcross import clock
 
-# Hypothesis tries the same examples on every run.
+# The same examples on every run, so that results are reproducible.
 hypothesis.settings.register_profile(
     "lugcross", derandomize=True, deadline=None, print_blob=False
 )
