--- a/bench/config.py
+++ b/bench/config_propagation.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Time from accepted to in force everywhere, and what it costs.
+"""Time and cost to propagate a configuration change to all nodes.
 
-``python bench/config.py --json --seed 1``. In one process the real code
-of many nodes is driven over a model of links; with real processes the
-time is taken over sockets.
+    python bench/config_propagation.py --json --seed 1
+
+Simulates many nodes in one process, where their real code exchanges messages
+over modelled links, and measures smaller fleets of real processes.
 """
 
 import collections
@@ -18,6 +19,8 @@
 
 import click
 
+import bench_stats
+
 from lugcross import cfg
 from lugcross import clock
 from lugcross import ids
@@ -25,24 +28,23 @@
 from lugcross import membership
 from lugcross import standin
 from lugcross import wire
-import procs
-import slopes
+import process_fleet
 
-_LINK_MS = 2.0
+_HOP_MS = 2.0
 _MICRO = 1e6
 _CHANGES = 10
 
 
 class _Node:
-    """One node's store and feed, and what its links carried."""
+    """The store and feed of one node, and the bytes that it sent."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.store = cfg.Store(clock.ManualClock())
         self.feed = cfg.Feed(self.store)
         self.bytes = 0
-        self.fresh: list[list[logservice.Record]] = []
-        self.store.listen(lambda c, records, a: self.fresh.append([*records]))
+        self.unsent: list[list[logservice.Record]] = []
+        self.store.listen(lambda c, records, a: self.unsent.append([*records]))
 
 
 def _change(num: int, expect: int) -> bytes:
@@ -58,7 +60,7 @@
 
 
 def _links(entries: int, agents: int, seed: int) -> list[tuple[str, str]]:
-    """Return which entry host keeps links to which agents."""
+    """Return the links as pairs of entry host and agent."""
     backends = [
         cfg.BackendServer(
             name=f"a{num}",
@@ -79,22 +81,24 @@
     return pairs
 
 
-def in_process(entries: int, agents: int, seed: int) -> dict[str, Any]:
-    """Spread changes from 2 relays a domain over a model of links."""
+def simulate(entries: int, agents: int, seed: int) -> dict[str, Any]:
+    """Propagate changes from two relays in each domain over modelled links."""
     pairs = _links(entries, agents, seed)
     names = {name for pair in pairs for name in pair}
     nodes = {name: _Node(name) for name in names}
-    near: dict[int, list[str]] = collections.defaultdict(list)
+    entries_by_domain: dict[int, list[str]] = collections.defaultdict(list)
     for name in sorted(name for name in names if name.startswith("e")):
-        near[int(name.split("-")[1]) % 12].append(name)
-    relays = [name for group in near.values() for name in group[:2]]
+        entries_by_domain[int(name.split("-")[1]) % 12].append(name)
+    relays = [
+        name for group in entries_by_domain.values() for name in group[:2]
+    ]
     queue: collections.deque[tuple[int, str, str, wire.Message]] = (
         collections.deque()
     )
     for one, other in pairs:
-        for sender, taker in ((one, other), (other, one)):
-            for post in nodes[sender].feed.on_link(taker):
-                queue.append((0, sender, taker, post.msg))
+        for sender, receiver in ((one, other), (other, one)):
+            for post in nodes[sender].feed.on_link(receiver):
+                queue.append((0, sender, receiver, post.msg))
     _deliver(nodes, queue)
     for node in nodes.values():
         node.bytes = 0
@@ -104,7 +108,7 @@
         record = logservice.Record(ids.Offset(num), _change(num, num - 1))
         for name in relays:
             nodes[name].store.apply([record])
-            _pass_on(nodes[name], queue, 0)
+            _queue_updates(nodes[name], queue, 0)
         hops = max(hops, _deliver(nodes, queue))
     spent = time.process_time() - began
     behind = sum(
@@ -117,67 +121,69 @@
         "relays": len(relays),
         "behind_at_the_end": behind,
         "hops": hops,
-        "seconds_at_2_ms_a_hop": hops * _LINK_MS / 1000,
+        "seconds_at_2_ms_a_hop": hops * _HOP_MS / 1000,
         "bytes_a_change_median_node": statistics.median(sent),
         "bytes_a_change_worst_node": sent[-1],
         "cpu_us_a_change_a_node": spent / _CHANGES / len(nodes) * _MICRO,
     }
 
 
-def _pass_on(node: _Node, queue: Any, hop: int) -> None:
-    while node.fresh:
-        for post in node.feed.on_store(node.fresh.pop(0)):
+def _queue_updates(node: _Node, queue: Any, hop: int) -> None:
+    while node.unsent:
+        for post in node.feed.on_store(node.unsent.pop(0)):
             queue.append((hop + 1, node.name, str(post.link), post.msg))
 
 
 def _deliver(nodes: dict[str, _Node], queue: Any) -> int:
-    """Carry messages in order until none is left; return the hops."""
+    """Deliver all messages; return the hops until the last store changed."""
     last = 0
     while queue:
-        hop, sender, taker, msg = queue.popleft()
+        hop, sender, receiver, msg = queue.popleft()
         nodes[sender].bytes += len(wire.encode([msg]))
-        node = nodes[taker]
+        node = nodes[receiver]
         before = node.store.config.offset
         for post in node.feed.on_message(sender, msg):
-            queue.append((hop + 1, taker, str(post.link), post.msg))
+            queue.append((hop + 1, receiver, str(post.link), post.msg))
         if node.store.config.offset > before:
             last = max(last, hop)
-        _pass_on(node, queue, hop)
+        _queue_updates(node, queue, hop)
     return last
 
 
-def processes(entries: int, engines: int, seed: int) -> dict[str, Any]:
-    """Time from accepted to in force at every entry host, by sockets."""
+def measure_processes(entries: int, engines: int, seed: int) -> dict[str, Any]:
+    """Measure propagation from acceptance to every entry host."""
     rng = random.Random(seed)
-    took = []
+    durations_ms = []
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder), domains=3, entries=entries, engines=engines
         )
         try:
             fleet.start()
             reads = _log_reads(fleet)
             for num in range(_CHANGES):
-                took.append(_one_change(fleet, rng, num))
+                durations_ms.append(_measure_change_ms(fleet, rng, num))
             after = _log_reads(fleet)
         finally:
             fleet.stop()
     return {
         "entries": 3 * entries,
         "agents": 3 * (engines + 1),
-        "median_ms": slopes.percentile(took, 0.5),
-        "p99_ms": slopes.percentile(took, 0.99),
+        "median_ms": bench_stats.percentile(durations_ms, 0.5),
+        "p99_ms": bench_stats.percentile(durations_ms, 0.99),
         "log_reads_a_change": (after - reads) / _CHANGES,
     }
 
 
-def _log_reads(fleet: procs.Fleet) -> int:
+def _log_reads(fleet: process_fleet.Fleet) -> int:
     url = f"{fleet.standin_url('log')}{standin.log.COUNTS_PATH}"
-    counts: dict[str, int] = fleet.control.request("GET", url).json()
+    counts: dict[str, int] = fleet.control_http.request("GET", url).json()
     return counts["reads"]
 
 
-def _one_change(fleet: procs.Fleet, rng: random.Random, num: int) -> float:
+def _measure_change_ms(
+    fleet: process_fleet.Fleet, rng: random.Random, num: int
+) -> float:
     entry = rng.choice(sorted(fleet.entries))
     with fleet.operator(entry) as client:
         expect = next(
@@ -192,17 +198,19 @@
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
         list(
             pool.map(
-                lambda name: _wait(fleet, name, reply.offset),
+                lambda name: _wait_for_offset(fleet, name, reply.offset),
                 fleet.entries,
             )
         )
     return (time.perf_counter() - began) * 1000
 
 
-def _wait(fleet: procs.Fleet, entry: str, offset: int) -> None:
+def _wait_for_offset(
+    fleet: process_fleet.Fleet, entry: str, offset: int
+) -> None:
     with fleet.operator(entry) as client:
-        procs.wait_until(
-            lambda: client.status().offset >= offset, what="in force"
+        process_fleet.wait_until(
+            lambda: client.status().offset >= offset, what="change applied"
         )
 
 
@@ -210,13 +218,16 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--seed", default=1, show_default=True)
 def main(as_json: bool, seed: int) -> None:
-    """Measure convergence and cost against the number of nodes."""
+    """Measure propagation time and cost by the number of nodes."""
     found = {
         "in_process": [
-            in_process(entries, agents, seed)
+            simulate(entries, agents, seed)
             for entries, agents in ((24, 24), (100, 190), (400, 760))
         ],
-        "processes": [processes(1, 1, seed), processes(3, 2, seed)],
+        "processes": [
+            measure_processes(1, 1, seed),
+            measure_processes(3, 2, seed),
+        ],
     }
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
--- a/bench/control.py
+++ b/bench/control_costs.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Slopes of control: bytes, processor time and memory of each thing.
+"""Bytes, processor time and memory of the control traffic and state.
 
-``python bench/control.py --json``. The figures of docs/CAPACITY.md are
-worked out from these.
+    python bench/control_costs.py --json
+
+Fits the cost of each message, object, link and stream, from which the figures
+in docs/CAPACITY.md are computed.
 """
 
 from collections.abc import Iterator
@@ -18,21 +20,22 @@
 
 import click
 
+import bench_stats
+
 from lugcross import cfg
 from lugcross import ids
 from lugcross import membership
 from lugcross import routing
 from lugcross import shares
 from lugcross import wire
-import procs
-import slopes
+import process_fleet
 
 _MICRO = 1e6
 _IDLE_S = 10.0
-#: What WebSocket, TCP and IP add to a small frame and its ack.
-_PACKET = 2 + 52 + 52
-#: A ping and its pong, each with an ack.
-_PING = 2 * (6 + 52 + 52)
+#: Headers of WebSocket, TCP and IP for a small frame and its TCP ack.
+_FRAME_OVERHEAD_BYTES = 2 + 52 + 52
+#: A WebSocket ping and its pong, each with a TCP ack.
+_PING_BYTES = 2 * (6 + 52 + 52)
 
 
 def _change(num: int, obj: cfg.Object) -> cfg.Change:
@@ -74,8 +77,8 @@
     return config
 
 
-def messages() -> dict[str, Any]:
-    """Bytes and time of the messages between entry host and agent."""
+def measure_messages() -> dict[str, Any]:
+    """Measure size and coding time of messages between entry and agent."""
     token = json.dumps(
         {
             "id": "cmpl-12345678",
@@ -114,26 +117,30 @@
         found[name] = {
             "bytes": len(frame),
             "encode_us": _MICRO
-            * slopes.seconds_each(lambda m=msg: wire.encode([m]), count=2000),
+            * bench_stats.median_call_s(
+                lambda m=msg: wire.encode([m]), count=2000
+            ),
             "decode_us": _MICRO
-            * slopes.seconds_each(lambda f=frame: wire.decode(f), count=2000),
+            * bench_stats.median_call_s(
+                lambda f=frame: wire.decode(f), count=2000
+            ),
         }
     return found
 
 
-def records() -> dict[str, Any]:
-    """Bytes and time of a configuration record, against objects."""
+def measure_records() -> dict[str, Any]:
+    """Measure a configuration record by the number of objects."""
     points = []
     for backends in (100, 400, 760):
         config = _config(backends, 250)
         group = cfg.WorkspaceGroup(name="new", share=1.0)
         data = cfg.encode(_change(1, group))
         offset = ids.Offset(config.offset + 1)
-        took = slopes.seconds_each(
+        took = bench_stats.median_call_s(
             lambda c=config, o=offset, d=data: cfg.step(c, o, d), count=200
         )
         points.append((float(backends + 252), took * _MICRO))
-    rate, base = slopes.slope(points)
+    rate, base = bench_stats.fit_line(points)
     return {
         "record_bytes": len(cfg.encode(_change(1, _backend(1)))),
         "apply_us_at_1012_objects": points[-1][1],
@@ -142,8 +149,8 @@
     }
 
 
-def decisions() -> dict[str, Any]:
-    """Time of a choice, a subset and a turn of the fair queue."""
+def measure_decisions() -> dict[str, Any]:
+    """Measure choice of a backend server, link subset and fair queue."""
     rng = random.Random(1)
     found: dict[str, Any] = {}
     for count in (24, 64, 760):
@@ -158,14 +165,14 @@
             )
             for num in range(count)
         ]
-        found[f"choice_us_at_{count}"] = _MICRO * slopes.seconds_each(
+        found[f"choice_us_at_{count}"] = _MICRO * bench_stats.median_call_s(
             lambda c=candidates: routing.choose_backend(
                 c, own_domain=ids.DomainName("d1"), tried=(), rng=rng
             ),
             count=300,
         )
     backends = [_backend(num) for num in range(760)]
-    found["subset_ms_at_760"] = 1000 * slopes.seconds_each(
+    found["subset_ms_at_760"] = 1000 * bench_stats.median_call_s(
         lambda: membership.choose_backend_subset(
             ids.NodeName("e"),
             ids.DomainName("domain-1"),
@@ -174,17 +181,17 @@
         ),
         count=20,
     )
-    found["fair_queue_us_push_and_pop"] = _MICRO * slopes.seconds_each(
-        _turns(), count=2000
+    found["fair_queue_us_push_and_pop"] = _MICRO * bench_stats.median_call_s(
+        _fair_queue_step(), count=2000
     )
     return found
 
 
-def _turns() -> Any:
+def _fair_queue_step() -> Any:
     queue = shares.FairQueue(lambda group: 1.0)
     count = iter(range(10_000_000))
 
-    def turn() -> None:
+    def push_and_pop() -> None:
         num = next(count)
         queue.push(
             shares.QueuedRequest(
@@ -197,7 +204,7 @@
         if len(queue) > 250:
             queue.pop()
 
-    return turn
+    return push_and_pop
 
 
 def _python_memory(code: str) -> int:
@@ -218,34 +225,34 @@
     return int(result.stdout.split()[-1])
 
 
-def memory() -> dict[str, Any]:
-    """Memory of imports and of configuration objects."""
+def measure_memory() -> dict[str, Any]:
+    """Measure the memory of imports and of configuration objects."""
     bare = _python_memory("pass")
     agent = _python_memory("import lugcross.agent")
     entry = _python_memory("import lugcross.entry")
     points = []
     for objects in (0, 500, 1000, 2000):
         used = _python_memory(
-            f"import control\nc = control._config({objects}, 250)"
+            f"import control_costs\nc = control_costs._config({objects}, 250)"
         )
         points.append((float(objects), float(used)))
     return {
         "bare_mb": bare / 1e6,
         "agent_imports_mb": agent / 1e6,
         "entry_imports_mb": entry / 1e6,
-        "bytes_a_replica_known": slopes.slope(points)[0],
+        "bytes_a_replica_known": bench_stats.fit_line(points)[0],
     }
 
 
-def links(counts: tuple[int, ...]) -> dict[str, Any]:
-    """Idle cost of links, from real processes: processor and memory."""
+def measure_links(counts: tuple[int, ...]) -> dict[str, Any]:
+    """Measure processor time and memory of idle links in real processes."""
     cpu: list[tuple[float, float]] = []
     agent_cpu: list[tuple[float, float]] = []
-    rss: list[tuple[float, float]] = []
+    rss_bytes: list[tuple[float, float]] = []
     agents_rss: list[float] = []
     for count in counts:
         with tempfile.TemporaryDirectory() as folder:
-            fleet = procs.Fleet(pathlib.Path(folder), engines=count)
+            fleet = process_fleet.Fleet(pathlib.Path(folder), engines=count)
             try:
                 fleet.start()
                 entry = next(iter(fleet.entries.values()))
@@ -260,35 +267,37 @@
                         (agent.threads_cpu_s() - before[1]) / _IDLE_S * 100,
                     )
                 )
-                rss.append((float(count + 1), float(entry.rss())))
-                agents_rss.append(float(agent.rss()))
+                rss_bytes.append((float(count + 1), float(entry.rss_bytes())))
+                agents_rss.append(float(agent.rss_bytes()))
             finally:
                 fleet.stop()
     load = len(
         wire.encode([wire.Load(queued=9, running=8, capacity=8, waiting=9)])
     )
-    rate, base = slopes.slope(cpu)
-    rss_rate, rss_base = slopes.slope(rss)
+    rate, base = bench_stats.fit_line(cpu)
+    rss_rate, rss_base = bench_stats.fit_line(rss_bytes)
     return {
         "links": [int(x) for x, _ in cpu],
         "entry_idle_cpu_percent": [round(y, 2) for _, y in cpu],
         "entry_cpu_percent_a_link": rate,
         "entry_cpu_percent_base": base,
-        "entry_rss_mb": [round(y / 1e6, 1) for _, y in rss],
+        "entry_rss_mb": [round(y / 1e6, 1) for _, y in rss_bytes],
         "entry_rss_kb_a_link": rss_rate / 1e3,
         "entry_rss_mb_base": rss_base / 1e6,
         "agent_idle_cpu_percent": [round(y, 2) for _, y in agent_cpu],
         "agent_rss_mb": [round(y / 1e6, 1) for y in agents_rss],
-        "idle_bytes_a_s_a_link": (load + _PACKET) / 5 + 2 * _PING / 10,
-        "busy_bytes_a_s_a_link": 2 * (load + _PACKET) + 2 * _PING / 10,
+        "idle_bytes_a_s_a_link": (load + _FRAME_OVERHEAD_BYTES) / 5
+        + 2 * _PING_BYTES / 10,
+        "busy_bytes_a_s_a_link": 2 * (load + _FRAME_OVERHEAD_BYTES)
+        + 2 * _PING_BYTES / 10,
     }
 
 
-def streams(counts: tuple[int, ...]) -> dict[str, Any]:
-    """Memory of entry host and agent against open streams."""
+def measure_streams(counts: tuple[int, ...]) -> dict[str, Any]:
+    """Measure memory of entry host and agent by open streams."""
     points: dict[str, list[tuple[float, float]]] = {"entry": [], "agent": []}
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder), capacity=128, step_s=0.02, threads=128
         )
         try:
@@ -297,13 +306,13 @@
             agent = fleet.agents["model-d0-0"]
             for count in counts:
                 with _open_streams(fleet, count):
-                    points["entry"].append((float(count), entry.rss()))
-                    points["agent"].append((float(count), agent.rss()))
+                    points["entry"].append((float(count), entry.rss_bytes()))
+                    points["agent"].append((float(count), agent.rss_bytes()))
         finally:
             fleet.stop()
     found: dict[str, Any] = {"streams": list(counts)}
     for name, values in points.items():
-        rate, base = slopes.slope(values)
+        rate, base = bench_stats.fit_line(values)
         found[f"{name}_rss_mb"] = [round(y / 1e6, 1) for _, y in values]
         found[f"{name}_kb_a_stream"] = rate / 1e3
         found[f"{name}_base_mb"] = base / 1e6
@@ -311,11 +320,11 @@
 
 
 @contextlib.contextmanager
-def _open_streams(fleet: procs.Fleet, count: int) -> Iterator[None]:
-    """Keep ``count`` streams open, each some tokens far."""
+def _open_streams(fleet: process_fleet.Fleet, count: int) -> Iterator[None]:
+    """Keep ``count`` streams open, each after its first tokens."""
     body = json.dumps(
         {
-            "model": procs.MODEL,
+            "model": process_fleet.MODEL,
             "prompt": "a prompt",
             "max_tokens": 2000,
             "stream": True,
@@ -341,14 +350,14 @@
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--links", "counts", default="1,8,24", show_default=True)
 def main(as_json: bool, counts: str) -> None:
-    """Measure the slopes of control."""
+    """Measure the costs of control traffic and state."""
     found = {
-        "messages": messages(),
-        "records": records(),
-        "decisions": decisions(),
-        "memory": memory(),
-        "streams": streams((1, 32, 96)),
-        "links": links(tuple(int(one) for one in counts.split(","))),
+        "messages": measure_messages(),
+        "records": measure_records(),
+        "decisions": measure_decisions(),
+        "memory": measure_memory(),
+        "streams": measure_streams((1, 32, 96)),
+        "links": measure_links(tuple(int(one) for one in counts.split(","))),
     }
     click.echo(json.dumps(found, indent=None if as_json else 2))
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Real processes under steady load, while faults are drawn from a seed.
+"""Counts of wrong answers while random faults hit a fleet under load.
 
-``python bench/faults.py --json --seed 1``. Kills, freezes, cut links and
-trouble of the log hit entry hosts, agents and engines; what callers saw
-is then held against what engines and services truly ran.
+    python bench/faults.py --json --seed 1
+
+Kills and freezes processes, cuts links and lets the log fail. What callers
+recorded is then compared with what engines and services ran.
 """
 
 import collections
@@ -26,129 +27,141 @@
 import urllib3
 
 from lugcross.demo import calls
-import procs
+import process_fleet
 
 _TOKENS = 4
 _TIMEOUT_S = 10.0
-_SLACK_S = 15.0
-_REPEATS = 8
-_OUTCOME = "Lugcross-Outcome"
+_TIMEOUT_SLACK_S = 15.0
+_MAX_ATTEMPTS = 8
+_OUTCOME_HEADER = "Lugcross-Outcome"
 
 
 @final
 @dataclasses.dataclass
-class Seen:
-    """What a caller saw of one request.
-
-    :param whole: it got the whole answer, which was its own.
-    :param told: the outcome that the system told, or ``cut`` when the
-        connection went without one.
+class CallerRecord:
+    """What a caller recorded of one request.
+
+    :param complete: it got the complete answer to this request.
+    :param wrong_answer: it got an answer to another request.
+    :param timed_out: its last attempt got no answer in time.
+    :param outcome: outcome that the entry host reported for the last attempt,
+        ``cut`` where the connection ended early, or ``not-sent``.
+    :param outcomes: outcomes, or else the status codes, of all attempts.
     """
 
     id: str
-    keyed: bool
-    whole: bool = False
-    foreign: bool = False
-    hung: bool = False
-    told: str = ""
-    every: list[str] = dataclasses.field(default_factory=list)
+    has_key: bool
+    complete: bool = False
+    wrong_answer: bool = False
+    timed_out: bool = False
+    outcome: str = ""
+    outcomes: list[str] = dataclasses.field(default_factory=list)
 
 
 @final
-class Load:
-    """Callers that send requests one after the other."""
+class CallerLoad:
+    """Concurrent callers, each of which sends one request at a time."""
 
-    def __init__(self, fleet: procs.Fleet, callers: int, seed: int) -> None:
+    def __init__(
+        self, fleet: process_fleet.Fleet, callers: int, seed: int
+    ) -> None:
         self._fleet = fleet
         self._callers = callers
         self._seed = seed
         self._stop = threading.Event()
         self._count = itertools.count()
-        self.seen: list[Seen] = []
+        self.records: list[CallerRecord] = []
 
     def run(self) -> None:
-        """Send until :meth:`stop` is called."""
+        """Send requests until :meth:`stop` is called."""
         with concurrent.futures.ThreadPoolExecutor(self._callers) as pool:
             futs = [
-                pool.submit(self._call_on, num) for num in range(self._callers)
+                pool.submit(self._send_until_stopped, num)
+                for num in range(self._callers)
             ]
             for fut in futs:
                 fut.result()
 
     def stop(self) -> None:
-        """Send no new requests."""
+        """Let callers finish their requests and send no more."""
         self._stop.set()
 
-    def _call_on(self, num: int) -> None:
+    def _send_until_stopped(self, num: int) -> None:
         rng = random.Random(f"{self._seed}-{num}")
         http = urllib3.PoolManager(retries=False, maxsize=4)
         while not self._stop.is_set():
-            keyed = rng.random() < 0.5
-            seen = Seen(f"r{next(self._count)}", keyed)
-            if keyed:
-                self._charge(http, rng, seen)
+            has_key = rng.random() < 0.5
+            record = CallerRecord(f"r{next(self._count)}", has_key)
+            if has_key:
+                self._send_keyed(http, rng, record)
             else:
-                self._complete(http, rng, seen)
-            self.seen.append(seen)
-            if not seen.whole:
+                self._send_completion(http, rng, record)
+            self.records.append(record)
+            if not record.complete:
                 self._stop.wait(0.05)
 
-    def _charge(
-        self, http: urllib3.PoolManager, rng: random.Random, seen: Seen
+    def _send_keyed(
+        self,
+        http: urllib3.PoolManager,
+        rng: random.Random,
+        record: CallerRecord,
     ) -> None:
-        """Send under a key, and repeat as a caller would."""
-        for _ in range(_REPEATS):
+        """Send a request with a key, with retries as a caller makes them."""
+        for _ in range(_MAX_ATTEMPTS):
             resp = self._send(
                 http,
                 rng,
-                seen,
-                f"/services/{procs.LEDGER}/charge",
+                record,
+                f"/services/{process_fleet.LEDGER}/charge",
                 b'{"rent": 1}',
-                {"Idempotency-Key": seen.id},
+                {"Idempotency-Key": record.id},
             )
             if resp is not None and resp.status == 200:
-                seen.whole = json.loads(resp.data)["for"] == seen.id
-                seen.foreign = not seen.whole
+                record.complete = json.loads(resp.data)["for"] == record.id
+                record.wrong_answer = not record.complete
                 return
-            if seen.hung:
+            if record.timed_out:
                 return
             time.sleep(rng.uniform(0.05, 0.3))
 
-    def _complete(
-        self, http: urllib3.PoolManager, rng: random.Random, seen: Seen
+    def _send_completion(
+        self,
+        http: urllib3.PoolManager,
+        rng: random.Random,
+        record: CallerRecord,
     ) -> None:
         body = json.dumps(
             {
-                "model": procs.MODEL,
-                "prompt": seen.id,
+                "model": process_fleet.MODEL,
+                "prompt": record.id,
                 "max_tokens": _TOKENS,
                 "stream": True,
             }
         ).encode()
-        resp = self._send(http, rng, seen, "/v1/completions", body, {})
+        resp = self._send(http, rng, record, "/v1/completions", body, {})
         if resp is None or resp.status != 200:
             return
-        want = calls.expected(seen.id, _TOKENS)
+        want = calls.expected(record.id, _TOKENS)
         got = calls.stream_text(resp.data)
-        seen.whole = got == want
+        record.complete = got == want
         if got is None:
-            seen.told = "cut"
+            record.outcome = "cut"
         elif got != want:
-            mark = want.split("-")[0]
-            seen.foreign = any(
-                not word.startswith(mark) for word in got.split()
+            answer_prefix = want.split("-")[0]
+            record.wrong_answer = any(
+                not word.startswith(answer_prefix) for word in got.split()
             )
 
     def _send(
         self,
         http: urllib3.PoolManager,
         rng: random.Random,
-        seen: Seen,
+        record: CallerRecord,
         path: str,
         body: bytes,
         headers: dict[str, str],
     ) -> urllib3.BaseHTTPResponse | None:
-        """Send once, past entry hosts that take no connection."""
+        """Send one attempt, to an entry host that accepts a connection."""
         began = time.monotonic()
         for _ in range(30):
             url = rng.choice(self._fleet.urls() or ["http://127.0.0.1:9"])
@@ -160,32 +173,32 @@
                     headers={
                         "Authorization": f"Bearer {self._fleet.key}",
                         "Content-Type": "application/json",
-                        "X-Request-Id": seen.id,
+                        "X-Request-Id": record.id,
                         **headers,
                     },
-                    timeout=_TIMEOUT_S + _SLACK_S,
+                    timeout=_TIMEOUT_S + _TIMEOUT_SLACK_S,
                 )
             except urllib3.exceptions.NewConnectionError:
                 time.sleep(0.05)
                 continue
             except urllib3.exceptions.HTTPError:
-                seen.told = "cut"
-                seen.every.append("cut")
+                record.outcome = "cut"
+                record.outcomes.append("cut")
                 took = time.monotonic() - began
-                seen.hung = took > _TIMEOUT_S + _SLACK_S - 1
+                record.timed_out = took > _TIMEOUT_S + _TIMEOUT_SLACK_S - 1
                 return None
-            seen.told = resp.headers.get(_OUTCOME, "")
-            seen.every.append(seen.told or str(resp.status))
+            record.outcome = resp.headers.get(_OUTCOME_HEADER, "")
+            record.outcomes.append(record.outcome or str(resp.status))
             return resp
-        seen.told = "not-sent"
+        record.outcome = "not-sent"
         return None
 
 
 @final
-class Faults:
-    """Draws a fault, lets it last, and mends it."""
+class FaultInjector:
+    """Injects random faults, one at a time, and counts them by kind."""
 
-    def __init__(self, fleet: procs.Fleet, seed: int) -> None:
+    def __init__(self, fleet: process_fleet.Fleet, seed: int) -> None:
         self._fleet = fleet
         self._rng = random.Random(seed)
         self.counts: collections.Counter[str] = collections.Counter()
@@ -197,19 +210,19 @@
             "freeze-engine": self._freeze_engine,
             "cut-links": self._cut_links,
             "log-down": self._log_down,
-            "log-lost-answers": self._lost_answers,
+            "log-lost-answers": self._lose_log_answers,
             "engine-closes-early": self._close_early,
         }
 
-    def one(self) -> None:
-        """Draw one fault and carry it out."""
+    def inject_one(self) -> None:
+        """Inject a random fault, and return once it is removed."""
         name = self._rng.choice(sorted(self._kinds))
         self._kinds[name]()
         self.counts[name] += 1
 
     def _pick(
-        self, processes: dict[str, procs.Process]
-    ) -> tuple[str, procs.Process]:
+        self, processes: dict[str, process_fleet.Process]
+    ) -> tuple[str, process_fleet.Process]:
         name = self._rng.choice(sorted(processes))
         return name, processes[name]
 
@@ -223,7 +236,7 @@
         process.kill()
         process.start("links")
 
-    def _freeze(self, processes: dict[str, procs.Process]) -> None:
+    def _freeze(self, processes: dict[str, process_fleet.Process]) -> None:
         _, process = self._pick(processes)
         process.signal(signal.SIGSTOP)
         time.sleep(self._rng.uniform(0.2, 4.0))
@@ -241,50 +254,55 @@
         name = self._rng.choice(sorted(self._fleet.relays))
         self._fleet.relays[name].cut()
         time.sleep(self._rng.uniform(0.0, 1.5))
-        self._fleet.relays[name].mend()
+        self._fleet.relays[name].restore()
 
     def _log_down(self) -> None:
-        self._fleet.faults("log", down=True)
+        self._fleet.set_faults("log", down=True)
         time.sleep(self._rng.uniform(0.1, 2.0))
-        self._fleet.faults("log")
+        self._fleet.set_faults("log")
 
-    def _lost_answers(self) -> None:
-        self._fleet.faults("log", lose_answers=3)
+    def _lose_log_answers(self) -> None:
+        self._fleet.set_faults("log", lose_answers=3)
         time.sleep(0.2)
-        self._fleet.faults("log")
+        self._fleet.set_faults("log")
 
     def _close_early(self) -> None:
         engines = [n for n in self._fleet.standins if n.startswith("engine")]
-        self._fleet.faults(self._rng.choice(engines), close_early=3)
+        self._fleet.set_faults(self._rng.choice(engines), close_early=3)
 
 
-def judge(fleet: procs.Fleet, seen: list[Seen]) -> dict[str, Any]:
-    """Hold what callers saw against what truly ran."""
-    ran = fleet.ran()
-    model_ran = fleet.model_ran()
+def compare_with_runs(
+    fleet: process_fleet.Fleet, records: list[CallerRecord]
+) -> dict[str, Any]:
+    """Compare what callers recorded with what ran, and count verdicts."""
+    ran = fleet.ledger_run_counts()
+    model_run_counts = fleet.model_run_counts()
     counts: collections.Counter[str] = collections.Counter()
     bad: list[str] = []
-    for one in seen:
-        times = (ran if one.keyed else model_ran).get(one.id, 0)
-        doubled = one.keyed and times > 1
-        # A keyed request that was refused every time must not have run.
-        only_not_run = set(one.every) <= {"not-run"} and bool(one.every)
-        false_not_run = not one.whole and only_not_run and times > 0
-        lost = one.hung or (one.whole and times == 0)
+    for record in records:
+        times = (ran if record.has_key else model_run_counts).get(record.id, 0)
+        doubled = record.has_key and times > 1
+        # If all attempts were reported as not run, it must not have run.
+        only_not_run = set(record.outcomes) <= {"not-run"} and bool(
+            record.outcomes
+        )
+        false_not_run = not record.complete and only_not_run and times > 0
+        lost = record.timed_out or (record.complete and times == 0)
         verdicts = {
-            "whole": one.whole,
+            "whole": record.complete,
             "doubled": doubled,
-            "foreign": one.foreign,
+            "foreign": record.wrong_answer,
             "false_not_run": false_not_run,
             "lost": lost,
-            "refused_not_run": not one.whole and one.told == "not-run",
-            "not_sent": not one.whole and one.told == "not-sent",
-            "unknown": not one.whole
-            and one.told not in ("not-run", "not-sent"),
+            "refused_not_run": not record.complete
+            and record.outcome == "not-run",
+            "not_sent": not record.complete and record.outcome == "not-sent",
+            "unknown": not record.complete
+            and record.outcome not in ("not-run", "not-sent"),
         }
         counts.update(name for name, holds in verdicts.items() if holds)
-        if doubled or one.foreign or false_not_run or lost:
-            bad.append(f"{one} ran {times}")
+        if doubled or record.wrong_answer or false_not_run or lost:
+            bad.append(f"{record} ran {times}")
     names = (
         "whole",
         "lost",
@@ -295,15 +313,19 @@
         "refused_not_run",
         "not_sent",
     )
-    return {"sent": len(seen), **{n: counts[n] for n in names}, "bad": bad[:9]}
+    return {
+        "sent": len(records),
+        **{n: counts[n] for n in names},
+        "bad": bad[:9],
+    }
 
 
 def measure(
     *, seed: int, requests: int, faults: int, seconds: float, callers: int
 ) -> dict[str, Any]:
-    """Run the load and the faults, and judge."""
+    """Run the load and the faults; return the counts."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder),
             domains=3,
             entries=1,
@@ -315,27 +337,28 @@
         fleet.timeout_s = _TIMEOUT_S
         try:
             fleet.start()
-            load = Load(fleet, callers, seed)
-            drawn = Faults(fleet, seed)
+            load = CallerLoad(fleet, callers, seed)
+            injector = FaultInjector(fleet, seed)
             began = time.monotonic()
             thread = threading.Thread(target=load.run)
             thread.start()
             while time.monotonic() - began < seconds and (
-                len(load.seen) < requests or drawn.counts.total() < faults
+                len(load.records) < requests
+                or injector.counts.total() < faults
             ):
-                drawn.one()
+                injector.inject_one()
                 time.sleep(0.1)
             load.stop()
             thread.join()
             took = time.monotonic() - began
-            found = judge(fleet, load.seen)
+            found = compare_with_runs(fleet, load.records)
         finally:
             with contextlib.suppress(Exception):
                 fleet.stop()
     return {
         **found,
-        "faults": drawn.counts.total(),
-        "faults_by_kind": dict(drawn.counts),
+        "faults": injector.counts.total(),
+        "faults_by_kind": dict(injector.counts),
         "seconds": took,
         "seed": seed,
     }
@@ -346,7 +369,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--requests", default=20_000, show_default=True)
 @click.option("--faults", default=200, show_default=True)
-@click.option("--seconds", default=900.0, help="Longest time.")
+@click.option("--seconds", default=900.0, help="Time limit.")
 @click.option("--callers", default=32, show_default=True)
 def main(
     as_json: bool,
@@ -356,7 +379,7 @@
     seconds: float,
     callers: int,
 ) -> None:
-    """Count what callers saw while faults hit the fleet."""
+    """Count outcomes of requests while faults hit the fleet."""
     found = measure(
         seed=seed,
         requests=requests,
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,8 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What entry host and agent add to calling the engine directly.
+"""Latency that entry host and agent add to direct calls of an engine.
 
-``python bench/overhead.py --json``. Both ways are measured in turn in
-one run, so that the machine's drift hits both alike.
+    python bench/overhead.py --json
+
+Requests alternate between both paths, so that load on the machine affects
+both alike.
 """
 
 import concurrent.futures
@@ -16,21 +18,21 @@
 import click
 import urllib3
 
-import procs
-import slopes
+import bench_stats
+import process_fleet
 
 _TOKENS = 40
 _ROUNDS = 60
 _MILLI = 1000.0
 
 
-def _stream(
+def _token_times(
     pool: urllib3.PoolManager, url: str, key: str, prompt: str, tokens: int
 ) -> list[float]:
-    """Return when each token came, in seconds from the start."""
+    """Return the time of each token, in seconds since the request."""
     body = json.dumps(
         {
-            "model": procs.MODEL,
+            "model": process_fleet.MODEL,
             "prompt": prompt,
             "max_tokens": tokens,
             "stream": True,
@@ -55,44 +57,48 @@
     return times
 
 
-def _latencies(fleet: procs.Fleet) -> dict[str, Any]:
-    ways = {
+def _latencies(fleet: process_fleet.Fleet) -> dict[str, Any]:
+    urls_by_path = {
         "direct": fleet.standin_url("engine-d0-0"),
         "through": fleet.urls()[0],
     }
-    first: dict[str, list[float]] = {name: [] for name in ways}
-    between: dict[str, list[float]] = {name: [] for name in ways}
+    first_ms: dict[str, list[float]] = {name: [] for name in urls_by_path}
+    intervals_ms: dict[str, list[float]] = {name: [] for name in urls_by_path}
     for num in range(_ROUNDS):
-        for name, url in ways.items():
-            times = _stream(fleet.http, url, fleet.key, f"p{num}", _TOKENS)
-            first[name].append(times[0] * _MILLI)
-            between[name] += [
+        for name, url in urls_by_path.items():
+            times = _token_times(
+                fleet.http, url, fleet.key, f"p{num}", _TOKENS
+            )
+            first_ms[name].append(times[0] * _MILLI)
+            intervals_ms[name] += [
                 (b - a) * _MILLI
                 for a, b in zip(times, times[1:], strict=False)
             ]
     found: dict[str, Any] = {}
-    for what, samples in (("first_ms", first), ("token_ms", between)):
+    for what, samples in (("first_ms", first_ms), ("token_ms", intervals_ms)):
         for name, values in samples.items():
             found[f"{what}_{name}"] = {
-                "median": slopes.percentile(values, 0.5),
-                "p99": slopes.percentile(values, 0.99),
+                "median": bench_stats.percentile(values, 0.5),
+                "p99": bench_stats.percentile(values, 0.99),
             }
-        medians = [found[f"{what}_{name}"]["median"] for name in ways]
+        medians = [found[f"{what}_{name}"]["median"] for name in urls_by_path]
         found[f"{what}_added_median"] = medians[1] - medians[0]
         found[f"{what}_ratio_median"] = medians[1] / medians[0]
     return found
 
 
-def _capacity(fleet: procs.Fleet, callers: int, seconds: float) -> Any:
-    """Requests and tokens a second of processor time of each role."""
+def _capacity(fleet: process_fleet.Fleet, callers: int, seconds: float) -> Any:
+    """Measure requests and tokens a second, also per core of each role."""
     url = fleet.urls()[0]
     stop = threading.Event()
     counts = []
 
-    def call_on(num: int) -> int:
+    def send_until_stopped(num: int) -> int:
         count = 0
         while not stop.is_set():
-            _stream(fleet.http, url, fleet.key, f"c{num}-{count}", _TOKENS)
+            _token_times(
+                fleet.http, url, fleet.key, f"c{num}-{count}", _TOKENS
+            )
             count += 1
         return count
 
@@ -101,7 +107,7 @@
     before = entry.cpu_s(), sum(a.cpu_s() for a in agents)
     began = time.perf_counter()
     with concurrent.futures.ThreadPoolExecutor(callers) as pool:
-        futs = [pool.submit(call_on, num) for num in range(callers)]
+        futs = [pool.submit(send_until_stopped, num) for num in range(callers)]
         time.sleep(seconds)
         stop.set()
         counts = [fut.result() for fut in futs]
@@ -117,7 +123,7 @@
         "requests_a_s_a_core_of_entry": requests / entry_s,
         "tokens_a_s_a_core_of_entry": requests * _TOKENS / entry_s,
         "tokens_a_s_a_core_of_agent": requests * _TOKENS / agents_s,
-        "entry_rss_mb": entry.rss() / 1e6,
+        "entry_rss_mb": entry.rss_bytes() / 1e6,
     }
 
 
@@ -126,9 +132,9 @@
 @click.option("--callers", default=48, show_default=True)
 @click.option("--seconds", default=10.0, show_default=True)
 def main(as_json: bool, callers: int, seconds: float) -> None:
-    """Measure latency added, and capacity of one entry host."""
+    """Measure the latency added and the capacity of one entry host."""
     with tempfile.TemporaryDirectory() as folder:
-        fleet = procs.Fleet(
+        fleet = process_fleet.Fleet(
             pathlib.Path(folder), engines=3, capacity=32, step_s=0.01
         )
         try:
--- a/bench/relay.py
+++ b/bench/tcp_relay.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A TCP relay before each agent, so that a bench can cut its links."""
+"""A TCP relay that lets tests and benchmarks cut the links to an agent."""
 
 import asyncio
 import contextlib
@@ -7,12 +7,12 @@
 
 from lugcross import wire
 
-_PIECE = 65_536
+_READ_BYTES = 65_536
 
 
 @final
 class Relay:
-    """Passes bytes to one port until it is told to cut."""
+    """Forwards connections to one port, unless it is cut off."""
 
     def __init__(self, loop: wire.LoopThread, host: str, port: int) -> None:
         self._loop = loop
@@ -23,12 +23,12 @@
         self.port = loop.call(self._listen(), timeout_s=5)
 
     def cut(self) -> None:
-        """Drop all connections and refuse new ones."""
+        """Reset all connections, and new ones, until :meth:`restore`."""
         self._cut = True
-        self._loop.call(self._drop(), timeout_s=5)
+        self._loop.call(self._reset_connections(), timeout_s=5)
 
-    def mend(self) -> None:
-        """Take connections again."""
+    def restore(self) -> None:
+        """Accept connections again."""
         self._cut = False
 
     async def _listen(self) -> int:
@@ -36,7 +36,7 @@
         port: int = server.sockets[0].getsockname()[1]
         return port
 
-    async def _drop(self) -> None:
+    async def _reset_connections(self) -> None:
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -47,23 +47,24 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            target_reader, target_writer = await asyncio.open_connection(
                 self._host, self._target
             )
         except OSError:
             writer.transport.abort()
             return
         await asyncio.gather(
-            self._pass(reader, far_writer), self._pass(far_reader, writer)
+            self._forward(reader, target_writer),
+            self._forward(target_reader, writer),
         )
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
         try:
             with contextlib.suppress(OSError):
-                while data := await reader.read(_PIECE):
+                while data := await reader.read(_READ_BYTES):
                     writer.write(data)
                     await writer.drain()
         finally:
--- a/testing/support/soak_checks.py
+++ b/testing/support/soak_checks.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What callers and backend servers saw, and which promises it breaks."""
+"""Observations of a soak run, and the checks of the promises to callers."""
 
 import collections
 from collections.abc import Iterable
@@ -8,164 +8,187 @@
 import enum
 
 
-class Kind(enum.Enum):
-    """What may be done with a request."""
+class RequestKind(enum.Enum):
+    """Kind of a request, which decides whether it may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
     STREAM = "stream"
 
 
-#: Statuses that promise that a request has not run.
-NOT_RUN = (429, 503)
+#: Statuses by which the edge promises that the request was not run.
+NOT_RUN_STATUSES = (429, 503)
 OK = 200
 REFUSED = 503
-#: What was on its way may still arrive this long after a server has asked for
-#: rest, in seconds, and as many requests later.
-CROSSING_S = 0.5
-CROSSING_MOST = 2
-#: Time after which a server that leaves must get nothing, in seconds.
-DRAIN_S = 2.0
-#: Events of each stream.
-EVENTS = 6
-
-
-def answer_to(kind: Kind, name: str) -> bytes:
-    """Return the whole answer that a backend server gives to a request."""
-    if kind is Kind.STREAM:
-        return b"".join(event(name, num) for num in range(1, EVENTS + 1))
+#: Requests that were sent before the sender read a server's backoff may still
+#: arrive: any number for this long after the answer, and this many later.
+IN_FLIGHT_GRACE_S = 0.5
+MAX_IN_FLIGHT_REQUESTS = 2
+#: Time after which a server that said it leaves must get no requests.
+LEAVING_GRACE_S = 2.0
+EVENTS_PER_STREAM = 6
+
+
+def expected_body(kind: RequestKind, name: str) -> bytes:
+    """Return the complete body with which a backend server answers."""
+    if kind is RequestKind.STREAM:
+        return b"".join(
+            stream_event(name, num) for num in range(1, EVENTS_PER_STREAM + 1)
+        )
     return b"answer to " + name.encode()
 
 
-def event(name: str, num: int) -> bytes:
-    """Return one event of a stream."""
+def stream_event(name: str, num: int) -> bytes:
+    """Return the bytes of one server-sent event."""
     return b"id: %d\ndata: %s %d\n\n" % (num, name.encode(), num)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Call:
+class CallResult:
     """One request as its caller saw it.
 
-    :param status: 0 where no answer began.
-    :param whole: whether the answer had its end.
-    :param planned: whether nothing but planned stops was under way.
+    :param status: HTTP status; 0 where no response head was read.
+    :param complete: whether the body was read to its end.
+    :param planned_stops_only: whether planned stops of edge processes were
+        the only faults in the round.
     """
 
     name: str
-    kind: Kind
+    kind: RequestKind
     status: int = 0
     body: bytes = b""
-    whole: bool = False
-    planned: bool = False
+    complete: bool = False
+    planned_stops_only: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
-class Version:
-    """A version that one life of a process put in force."""
+class AppliedVersion:
+    """A desired state version that one run of an edge process applied."""
 
-    life: str
+    run: str
     number: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Visit:
-    """One request as its backend server saw it, and what that said.
-
-    :param sender: life of the process that sent it.
-    :param at: when it came, in seconds.
-    :param rest_s: rest that the server asked for in its answer; 0 for none.
-    :param leaves: whether its answer said that it leaves.
+class ReceivedRequest:
+    """One request as its backend server received and answered it.
+
+    :param sender: run of the edge process that sent it.
+    :param received_s: time of the event loop, in seconds.
+    :param backoff_s: backoff that the server asked for in its answer, or 0.
+    :param leaving: whether the server was leaving, which its answers say
+        unless they ask for a backoff.
     """
 
     server: str
     sender: str
-    at: float
-    rest_s: float = 0.0
-    leaves: bool = False
+    received_s: float
+    backoff_s: float = 0.0
+    leaving: bool = False
 
 
 @dataclasses.dataclass
 class History:
-    """All that was seen, by callers, backend servers and in logs."""
+    """What callers, backend servers and the logs of edge processes recorded.
+
+    :ivar run_counts: how often backend servers ran each request, by its name.
+    :ivar errors: lines in the output of edge processes that are not log lines.
+    """
 
-    calls: list[Call] = dataclasses.field(default_factory=list)
-    ran: collections.Counter[str] = dataclasses.field(
+    calls: list[CallResult] = dataclasses.field(default_factory=list)
+    run_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    versions: list[Version] = dataclasses.field(default_factory=list)
+    versions: list[AppliedVersion] = dataclasses.field(default_factory=list)
     errors: list[str] = dataclasses.field(default_factory=list)
-    visits: list[Visit] = dataclasses.field(default_factory=list)
+    received: list[ReceivedRequest] = dataclasses.field(default_factory=list)
 
-    def broken(self) -> list[str]:
-        """Return each promise that was broken, and by what."""
+    def violations(self) -> list[str]:
+        """Return a message for each violation of a promise."""
         return [
-            *self._wrong_answers(),
-            *self._parts_of_others(),
-            *self._false_refusals(),
-            *self._run_twice(),
-            *self._cut_by_stops(),
-            *_gone_back(self.versions),
-            *self._sent_into_rest(),
-            *self._sent_to_leaving(),
+            *self._wrong_bodies(),
+            *self._wrong_partial_bodies(),
+            *self._run_but_refused(),
+            *self._unsafe_run_twice(),
+            *self._cut_by_planned_stops(),
+            *_version_regressions(self.versions),
+            *self._sent_during_backoff(),
+            *self._sent_to_leaving_servers(),
             *self.errors,
         ]
 
-    def _wrong_answers(self) -> Iterable[str]:
+    def _wrong_bodies(self) -> Iterable[str]:
         for call in self.calls:
-            if call.status == OK and call.whole:
-                if call.body != answer_to(call.kind, call.name):
-                    yield f"{call.name}: not its own whole answer"
+            if call.status == OK and call.complete:
+                if call.body != expected_body(call.kind, call.name):
+                    yield f"{call.name}: body is not the complete answer to it"
 
-    def _parts_of_others(self) -> Iterable[str]:
+    def _wrong_partial_bodies(self) -> Iterable[str]:
         for call in self.calls:
-            if call.status == OK and not call.whole:
-                if not answer_to(call.kind, call.name).startswith(call.body):
-                    yield f"{call.name}: a part that is not of its answer"
+            if call.status == OK and not call.complete:
+                if not expected_body(call.kind, call.name).startswith(
+                    call.body
+                ):
+                    yield f"{call.name}: partial body is not of its answer"
 
-    def _false_refusals(self) -> Iterable[str]:
+    def _run_but_refused(self) -> Iterable[str]:
         for call in self.calls:
-            if call.kind is Kind.UNSAFE and call.status in NOT_RUN:
-                if self.ran[call.name]:
-                    yield f"{call.name}: ran, though {call.status} was told"
-
-    def _run_twice(self) -> Iterable[str]:
+            if (
+                call.kind is RequestKind.UNSAFE
+                and call.status in NOT_RUN_STATUSES
+            ):
+                if self.run_counts[call.name]:
+                    yield f"{call.name}: ran, but answered with {call.status}"
+
+    def _unsafe_run_twice(self) -> Iterable[str]:
         for call in self.calls:
-            if call.kind is Kind.UNSAFE and self.ran[call.name] > 1:
-                yield f"{call.name}: ran {self.ran[call.name]} times"
-
-    def _sent_into_rest(self) -> Iterable[str]:
-        for asked in self.visits:
-            end = asked.at + asked.rest_s
+            if (
+                call.kind is RequestKind.UNSAFE
+                and self.run_counts[call.name] > 1
+            ):
+                yield f"{call.name}: ran {self.run_counts[call.name]} times"
+
+    def _sent_during_backoff(self) -> Iterable[str]:
+        for asked in self.received:
+            end = asked.received_s + asked.backoff_s
             late = [
-                one for one in self._after(asked, CROSSING_S) if one.at <= end
+                one
+                for one in self._later_requests(asked, IN_FLIGHT_GRACE_S)
+                if one.received_s <= end
             ]
-            if len(late) > CROSSING_MOST:
-                yield f"{asked.server}: {len(late)} requests in its rest"
-
-    def _sent_to_leaving(self) -> Iterable[str]:
-        for told in self.visits:
-            if told.leaves and self._after(told, DRAIN_S):
-                yield f"{told.server}: requests long after it said it leaves"
-
-    def _after(self, first: Visit, by_s: float) -> list[Visit]:
-        """Return what the same sender sent later than that after a visit."""
+            if len(late) > MAX_IN_FLIGHT_REQUESTS:
+                yield f"{asked.server}: {len(late)} requests in its backoff"
+
+    def _sent_to_leaving_servers(self) -> Iterable[str]:
+        for first in self.received:
+            if first.leaving and self._later_requests(first, LEAVING_GRACE_S):
+                yield f"{first.server}: requests after the grace for leaving"
+
+    def _later_requests(
+        self, first: ReceivedRequest, delay_s: float
+    ) -> list[ReceivedRequest]:
+        """Return what this sender sent there more than ``delay_s`` later."""
         return [
             one
-            for one in self.visits
+            for one in self.received
             if one.server == first.server
             and one.sender == first.sender
-            and one.at > first.at + by_s
+            and one.received_s > first.received_s + delay_s
         ]
 
-    def _cut_by_stops(self) -> Iterable[str]:
+    def _cut_by_planned_stops(self) -> Iterable[str]:
         for call in self.calls:
-            if call.planned and self.ran[call.name] and not call.whole:
-                yield f"{call.name}: cut by a planned stop"
+            if (
+                call.planned_stops_only
+                and self.run_counts[call.name]
+                and not call.complete
+            ):
+                yield f"{call.name}: truncated by a planned stop"
 
 
-def _gone_back(versions: Sequence[Version]) -> Iterable[str]:
-    newest: dict[str, int] = {}
+def _version_regressions(versions: Sequence[AppliedVersion]) -> Iterable[str]:
+    newest_by_run: dict[str, int] = {}
     for one in versions:
-        if one.number < newest.get(one.life, 0):
-            yield f"{one.life}: back to version {one.number}"
-        newest[one.life] = max(one.number, newest.get(one.life, 0))
+        if one.number < newest_by_run.get(one.run, 0):
+            yield f"{one.run}: back to version {one.number}"
+        newest_by_run[one.run] = max(one.number, newest_by_run.get(one.run, 0))
--- a/testing/test_promises.py
+++ b/testing/test_promises.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The promises to callers, under failures of real processes."""
+"""The promises to callers hold while real processes fail."""
 
 from collections.abc import Iterator
 import concurrent.futures
@@ -16,7 +16,7 @@
 from lugcross import demo
 from lugcross.demo import calls
 from lugcross import logservice
-import procs
+import process_fleet
 
 AGENTS = ("model-d0-0", "model-d1-0")
 ENGINES = ("engine-d0-0", "engine-d1-0")
@@ -25,9 +25,9 @@
 @pytest.fixture(scope="module")
 def fleet(
     tmp_path_factory: pytest.TempPathFactory,
-) -> Iterator[procs.Fleet]:
-    """Two failure domains with a relay before each agent."""
-    running = procs.Fleet(
+) -> Iterator[process_fleet.Fleet]:
+    """A fleet with two failure domains and a TCP relay before each agent."""
+    running = process_fleet.Fleet(
         tmp_path_factory.mktemp("promises"),
         domains=2,
         relays=True,
@@ -42,31 +42,33 @@
 
 
 @pytest.fixture(autouse=True)
-def whole_fleet(fleet: procs.Fleet) -> None:
-    """Each test begins with every process up and linked."""
+def linked_fleet(fleet: process_fleet.Fleet) -> None:
+    """Wait until every entry host is linked to every agent."""
     fleet.wait_linked()
 
 
 @pytest.fixture
-def sender(fleet: procs.Fleet) -> demo.Sender:
-    """A caller with the fleet's workspace key."""
-    return fleet.sender()
+def sender(fleet: process_fleet.Fleet) -> demo.Sender:
+    """A caller that uses the workspace key of the fleet."""
+    return fleet.new_sender()
 
 
 @pytest.fixture
-def url(fleet: procs.Fleet) -> str:
-    """The first entry host, in the domain of the first agent."""
+def url(fleet: process_fleet.Fleet) -> str:
+    """Base URL of the entry host in the domain of the first agent."""
     return fleet.url("entry-d0-0")
 
 
 @final
 class Stream:
-    """A stream of which a test reads a part before something happens."""
+    """A streamed completion that a test reads in steps."""
 
-    def __init__(self, fleet: procs.Fleet, url: str, tokens: int) -> None:
-        self._want = calls.expected("a prompt", tokens)
+    def __init__(
+        self, fleet: process_fleet.Fleet, url: str, tokens: int
+    ) -> None:
+        self._expected = calls.expected("a prompt", tokens)
         body = {
-            "model": procs.MODEL,
+            "model": process_fleet.MODEL,
             "prompt": "a prompt",
             "max_tokens": tokens,
             "stream": True,
@@ -81,93 +83,95 @@
         )
         self._data = b""
 
-    def read(self, events: int) -> None:
-        """Read so many events."""
+    def read_events(self, events: int) -> None:
+        """Read until ``events`` events have arrived in all."""
         while self._data.count(b"\n\n") < events:
             self._data += self.resp.readline()
 
-    def whole(self) -> bool:
-        """Read to the end; tell whether it is whole and its own."""
+    def read_to_end(self) -> bool:
+        """Read to the end; return whether the text is what was requested."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             self._data += self.resp.read()
-        return calls.stream_text(self._data) == self._want
+        return calls.stream_text(self._data) == self._expected
 
     @property
-    def looks_whole(self) -> bool:
-        """Whether a caller would take it for whole."""
+    def looks_complete(self) -> bool:
+        """Whether a caller would take the answer for complete."""
         return calls.stream_text(self._data) is not None
 
 
-def runner_of(fleet: procs.Fleet) -> str:
-    """Return the agent that runs the only request there is."""
-    procs.wait_until(lambda: _running(fleet, ""), what="running")
-    return _running(fleet, "")
+def wait_for_running_agent(fleet: process_fleet.Fleet) -> str:
+    """Wait for an agent that runs a request, and return its name."""
+    process_fleet.wait_until(
+        lambda: _running_agent(fleet, ""), what="agent that runs a request"
+    )
+    return _running_agent(fleet, "")
 
 
-def wait_running(fleet: procs.Fleet, count: int) -> None:
-    """Wait until engines run ``count`` requests."""
+def wait_running(fleet: process_fleet.Fleet, count: int) -> None:
+    """Wait until the engines run ``count`` requests in all."""
 
     def running() -> bool:
         found = 0
         for name in ENGINES:
             url = f"{fleet.standin_url(name)}/load"
-            load = fleet.control.request("GET", url).json()
+            load = fleet.control_http.request("GET", url).json()
             found += load["running"]
         return bool(found == count)
 
-    procs.wait_until(running, what=f"{count} running")
+    process_fleet.wait_until(running, what=f"{count} running requests")
 
 
-# Whole answer, own request.
+# An answer is complete and belongs to its request.
 
 
-def test_link_cut_mid_stream_resumes_without_gap_or_double(
-    fleet: procs.Fleet, url: str
+def test_stream_resumes_after_link_cut_without_gap_or_duplicate(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 300)
-    stream.read(20)
-    relay = fleet.relays[runner_of(fleet)]
+    stream.read_events(20)
+    relay = fleet.relays[wait_for_running_agent(fleet)]
     relay.cut()
-    relay.mend()
-    assert stream.whole()
+    relay.restore()
+    assert stream.read_to_end()
 
 
-def test_agent_killed_mid_stream_goes_on_at_another_replica(
-    fleet: procs.Fleet, url: str
+def test_stream_continues_at_another_agent_after_a_kill(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 300)
-    stream.read(20)
-    agent = fleet.agents[runner_of(fleet)]
+    stream.read_events(20)
+    agent = fleet.agents[wait_for_running_agent(fleet)]
     agent.kill()
-    whole = stream.whole()
+    whole = stream.read_to_end()
     agent.start("links")
     assert whole
 
 
-def test_engine_that_closes_early_is_never_taken_for_whole(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_early_close_by_engine_is_not_taken_for_a_complete_answer(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     for name in ENGINES:
-        fleet.faults(name, close_early=1)
+        fleet.set_faults(name, close_early=1)
     result = sender.complete(url, "early", tokens=20, stream=True)
     for name in ENGINES:
-        fleet.faults(name)
-    # Both replicas closed early; a third attempt made it whole.
+        fleet.set_faults(name)
+    # Both engines closed early; a third attempt completed the answer.
     assert result.whole
 
 
-def test_caller_that_hangs_up_frees_its_slot(
-    fleet: procs.Fleet, url: str
+def test_disconnected_caller_frees_its_slot(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 100_000)
-    stream.read(5)
+    stream.read_events(5)
     wait_running(fleet, 1)
     stream.resp.close()
     wait_running(fleet, 0)
 
 
-def test_request_id_used_again_gets_its_own_answer(
-    fleet: procs.Fleet, url: str
+def test_reused_request_id_gets_its_own_answer(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     texts = []
     for prompt in ("one", "two"):
@@ -175,7 +179,11 @@
             "POST",
             f"{url}/v1/completions",
             body=json.dumps(
-                {"model": procs.MODEL, "prompt": prompt, "max_tokens": 3}
+                {
+                    "model": process_fleet.MODEL,
+                    "prompt": prompt,
+                    "max_tokens": 3,
+                }
             ),
             headers={
                 "Authorization": f"Bearer {fleet.key}",
@@ -186,11 +194,11 @@
     assert texts == [calls.expected(p, 3) for p in ("one", "two")]
 
 
-# "Not run" is true.
+# A request that is reported as "not-run" has not run.
 
 
-def test_backend_that_takes_no_connection_is_not_run(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_request_to_unreachable_backend_is_reported_as_not_run(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     ledger = fleet.standins["ledger"]
     port = ledger.ports["http"]
@@ -199,41 +207,43 @@
     ledger.args[1:1] = ["--port", str(port)]
     ledger.start("http")
     assert result.outcome == "not-run"
-    assert "refused" not in fleet.ran()
+    assert "refused" not in fleet.ledger_run_counts()
 
 
-def test_agent_killed_after_dispatch_is_not_called_not_run(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_agent_kill_after_dispatch_is_reported_as_unknown(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("ledger", frozen=True)
+    fleet.set_faults("ledger", frozen=True)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(sender.charge, url, b"{}", key="killed")
-        procs.wait_until(lambda: _plain_runs(fleet), what="dispatch")
-        agent = fleet.agents[_plain_runs(fleet)]
+        process_fleet.wait_until(
+            lambda: _running_plain_agent(fleet), what="dispatch"
+        )
+        agent = fleet.agents[_running_plain_agent(fleet)]
         agent.kill()
         result = fut.result()
-    fleet.faults("ledger")
+    fleet.set_faults("ledger")
     agent.start("links")
     assert result.outcome == "unknown"
 
 
-def test_entry_killed_is_a_cut_and_not_a_refusal(
-    fleet: procs.Fleet, url: str
+def test_entry_kill_visibly_truncates_the_stream(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 3000)
-    stream.read(5)
+    stream.read_events(5)
     entry = fleet.entries["entry-d0-0"]
     entry.kill()
-    assert not stream.whole()
-    assert not stream.looks_whole
+    assert not stream.read_to_end()
+    assert not stream.looks_complete
     entry.start("http", "rpc")
 
 
-# Not repeatable, at most once.
+# A request that must not be repeated runs at most once.
 
 
 def test_same_key_at_two_entries_at_once_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     with concurrent.futures.ThreadPoolExecutor(16) as pool:
         results = list(
@@ -245,28 +255,30 @@
             )
         )
     assert {result.body for result in results} == {results[0].body}
-    assert fleet.ran()["at once"] == 1
+    assert fleet.ledger_run_counts()["at once"] == 1
 
 
-def test_key_after_its_entry_died_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_key_runs_once_after_its_entry_was_killed(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("ledger", delay_s=0.5)
+    fleet.set_faults("ledger", delay_s=0.5)
     with concurrent.futures.ThreadPoolExecutor(1) as pool:
         fut = pool.submit(sender.charge, url, b"{}", key="orphan")
-        procs.wait_until(lambda: _plain_runs(fleet), what="dispatch")
+        process_fleet.wait_until(
+            lambda: _running_plain_agent(fleet), what="dispatch"
+        )
         fleet.entries["entry-d0-0"].kill()
         result = sender.charge(fleet.url("entry-d1-0"), b"{}", key="orphan")
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             fut.result()
-    fleet.faults("ledger")
+    fleet.set_faults("ledger")
     fleet.entries["entry-d0-0"].start("http", "rpc")
     assert result.whole
-    assert fleet.ran()["orphan"] == 1
+    assert fleet.ledger_run_counts()["orphan"] == 1
 
 
 def test_key_after_its_agent_was_restarted_does_not_run_again(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     assert sender.charge(url, b"{}", key="restart").whole
     for name in ("plain-d0", "plain-d1"):
@@ -275,48 +287,48 @@
     fleet.wait_linked()
     again = sender.charge(url, b"{}", key="restart")
     assert (again.kind, again.outcome) == ("key-lost", "unknown")
-    assert fleet.ran()["restart"] == 1
+    assert fleet.ledger_run_counts()["restart"] == 1
 
 
-def test_claim_whose_append_lost_its_answer_still_runs_once(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_claim_with_lost_append_answer_runs_once(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("log", lose_answers=1)
+    fleet.set_faults("log", lose_answers=1)
     assert sender.charge(url, b"{}", key="lost answer").whole
-    fleet.faults("log")
-    assert fleet.ran()["lost answer"] == 1
+    fleet.set_faults("log")
+    assert fleet.ledger_run_counts()["lost answer"] == 1
 
 
-def test_key_while_the_log_is_away_is_refused_at_once_and_runs_later(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_key_is_refused_while_the_log_is_down_and_runs_later(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.faults("log", down=True)
+    fleet.set_faults("log", down=True)
     result = sender.charge(url, b"{}", key="no log")
-    fleet.faults("log")
+    fleet.set_faults("log")
     assert (result.kind, result.outcome) == ("once-unavailable", "not-run")
     assert result.retry_after_s > 0
-    assert "no log" not in fleet.ran()
+    assert "no log" not in fleet.ledger_run_counts()
     assert sender.charge(url, b"{}", key="no log").whole
 
 
-def test_key_while_the_log_is_away_runs_once_from_memory_if_so_set(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_key_runs_once_from_memory_while_the_log_is_down(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    with _served_from_memory(fleet):
-        fleet.faults("log", down=True)
+    with _claims_from_memory(fleet):
+        fleet.set_faults("log", down=True)
         results = [
             sender.charge(one, b"{}", key="memory") for one in fleet.urls()
         ]
-        fleet.faults("log")
+        fleet.set_faults("log")
     assert [result.whole for result in results] == [True, True]
-    assert fleet.ran()["memory"] == 1
-    # The claim was appended when the log came back.
+    assert fleet.ledger_run_counts()["memory"] == 1
+    # The claim was appended once the log was up again.
     assert sender.charge(url, b"{}", key="memory").whole
-    assert fleet.ran()["memory"] == 1
+    assert fleet.ledger_run_counts()["memory"] == 1
 
 
-def test_agent_paused_past_the_deadline_and_woken_runs_no_key_twice(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_agent_resumed_after_the_deadline_runs_no_key_twice(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     frozen = [fleet.agents[name] for name in ("plain-d0", "plain-d1")]
     for agent in frozen:
@@ -327,107 +339,109 @@
     assert first.outcome == "unknown"
     fleet.wait_linked()
     sender.charge(url, b"{}", key="paused")
-    assert fleet.ran().get("paused", 0) <= 1
+    assert fleet.ledger_run_counts().get("paused", 0) <= 1
 
 
-def test_domain_that_is_cut_off_gives_its_keys_to_nobody_else(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_key_is_not_run_again_while_its_agent_is_cut_off(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     assert sender.charge(url, b"{}", key="cut off").whole
     relays = [fleet.relays[name] for name in ("plain-d0", "plain-d1")]
     for relay in relays:
         relay.cut()
         result = sender.charge(url, b"{}", key="cut off")
-        relay.mend()
+        relay.restore()
         fleet.wait_linked()
         assert result.whole or result.outcome == "unknown"
-    assert fleet.ran()["cut off"] == 1
+    assert fleet.ledger_run_counts()["cut off"] == 1
 
 
-# Leaving gets nothing new; a planned stop cuts nothing.
+# Leaving servers get no requests; planned stops truncate no answers.
 
 
-def test_backend_set_to_leaving_by_an_operator_gets_nothing_new(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_backend_set_to_leaving_by_an_operator_gets_no_requests(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    with _left(fleet, "model-d0-0"):
-        before = fleet.model_ran_at(ENGINES[0])
+    with _set_leaving_by_operator(fleet, "model-d0-0"):
+        before = fleet.engine_run_count(ENGINES[0])
         results = [
             sender.complete(url, f"op {num}", tokens=2, stream=False)
             for num in range(10)
         ]
-        after = fleet.model_ran_at(ENGINES[0])
+        after = fleet.engine_run_count(ENGINES[0])
     assert all(result.whole for result in results)
     assert after == before
 
 
-def test_backend_shown_as_leaving_by_the_late_list_gets_nothing_new(
-    fleet: procs.Fleet, sender: demo.Sender, url: str
+def test_backend_listed_as_leaving_by_the_platform_gets_no_requests(
+    fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    fleet.host("model-d0-0", logservice.HostState.LEAVING)
-    procs.wait_until(
-        lambda: _leaving(fleet, "model-d0-0"), what="leaving by the list"
+    fleet.set_host_state("model-d0-0", logservice.HostState.LEAVING)
+    process_fleet.wait_until(
+        lambda: _is_leaving(fleet, "model-d0-0"),
+        what="backend leaving by the host list",
     )
-    before = fleet.model_ran_at(ENGINES[0])
+    before = fleet.engine_run_count(ENGINES[0])
     result = sender.complete(url, "by the list", tokens=2, stream=False)
-    after = fleet.model_ran_at(ENGINES[0])
-    fleet.host("model-d0-0", logservice.HostState.LIVE)
-    procs.wait_until(
-        lambda: not _leaving(fleet, "model-d0-0"), what="back by the list"
+    after = fleet.engine_run_count(ENGINES[0])
+    fleet.set_host_state("model-d0-0", logservice.HostState.LIVE)
+    process_fleet.wait_until(
+        lambda: not _is_leaving(fleet, "model-d0-0"),
+        what="backend live by the host list",
     )
     assert result.whole
     assert after == before
 
 
-def test_sigterm_to_entry_and_agent_at_once_cuts_nothing(
-    fleet: procs.Fleet, url: str
+def test_simultaneous_sigterm_to_entry_and_agent_truncates_nothing(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 150)
-    stream.read(5)
-    agent = fleet.agents[runner_of(fleet)]
+    stream.read_events(5)
+    agent = fleet.agents[wait_for_running_agent(fleet)]
     entry = fleet.entries["entry-d0-0"]
     for process in (agent, entry):
         process.signal(signal.SIGTERM)
         process.signal(signal.SIGTERM)
-    assert stream.whole()
+    assert stream.read_to_end()
     assert (agent.wait(), entry.wait()) == (0, 0)
     agent.start("links")
     entry.start("http", "rpc")
 
 
-def test_stream_longer_than_the_grace_goes_on_at_another_replica(
-    fleet: procs.Fleet, url: str
+def test_stream_longer_than_the_grace_continues_at_another_agent(
+    fleet: process_fleet.Fleet, url: str
 ) -> None:
     stream = Stream(fleet, url, 600)
-    stream.read(5)
-    agent = fleet.agents[runner_of(fleet)]
+    stream.read_events(5)
+    agent = fleet.agents[wait_for_running_agent(fleet)]
     agent.signal(signal.SIGTERM)
     assert agent.wait() == 0
-    whole = stream.whole()
+    whole = stream.read_to_end()
     agent.start("links")
     assert whole
 
 
-def test_rolling_stop_of_every_process_under_load_cuts_nothing(
-    fleet: procs.Fleet, sender: demo.Sender
+def test_rolling_restart_under_load_truncates_nothing(
+    fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     stop = threading.Event()
     results: list[calls.Result] = []
     keys: list[str] = []
 
-    def call_on(num: int) -> None:
-        own = fleet.sender()
+    def send_until_stopped(num: int) -> None:
+        own = fleet.new_sender()
         for count in range(100_000):
             if stop.is_set():
                 return
             key = f"roll {num} {count}"
-            result = _on_ready(fleet, own, num, key)
+            result = _send_to_ready_host(fleet, own, num, key)
             results.append(result)
             if result.whole and num % 2:
                 keys.append(key)
 
     with concurrent.futures.ThreadPoolExecutor(6) as pool:
-        futs = [pool.submit(call_on, num) for num in range(6)]
+        futs = [pool.submit(send_until_stopped, num) for num in range(6)]
         for process in (*fleet.entries.values(), *fleet.agents.values()):
             ports = tuple(process.ports)
             process.signal(signal.SIGTERM)
@@ -443,27 +457,27 @@
         if not result.whole and result.outcome != "not-run"
     ]
     assert broken == []
-    ran = fleet.ran()
+    ran = fleet.ledger_run_counts()
     assert {ran[key] for key in keys} == {1}
 
 
-def _on_ready(
-    fleet: procs.Fleet, sender: demo.Sender, num: int, key: str
+def _send_to_ready_host(
+    fleet: process_fleet.Fleet, sender: demo.Sender, num: int, key: str
 ) -> calls.Result:
-    """Send as behind the platform's balancer: only to ready hosts."""
+    """Send to a ready entry host, as the platform's load balancer does."""
     while True:
         for url in fleet.urls():
-            if not _ready(fleet, url):
+            if not _is_ready(fleet, url):
                 continue
             if num % 2:
                 return sender.charge(url, b"{}", key=key)
             return sender.complete(url, key, tokens=10, stream=True)
 
 
-def _ready(fleet: procs.Fleet, url: str) -> bool:
-    """Ask for readiness as the balancer does, over a new connection."""
+def _is_ready(fleet: process_fleet.Fleet, url: str) -> bool:
+    """Check readiness as the load balancer does, over a new connection."""
     try:
-        resp = fleet.control.request(
+        resp = fleet.control_http.request(
             "GET",
             f"{url}/readyz",
             headers={"Connection": "close"},
@@ -474,31 +488,31 @@
     return resp.status == 200
 
 
-def _plain_runs(fleet: procs.Fleet) -> str:
-    """Return the plain agent that runs something, if any."""
-    return _running(fleet, "plain")
+def _running_plain_agent(fleet: process_fleet.Fleet) -> str:
+    """Return the plain agent that runs a request, or an empty string."""
+    return _running_agent(fleet, "plain")
 
 
-def _running(fleet: procs.Fleet, kind: str) -> str:
-    """Return an agent of a kind that runs something, if any."""
+def _running_agent(fleet: process_fleet.Fleet, kind: str) -> str:
+    """Return an agent of a kind that runs a request, or an empty string."""
     with fleet.operator("entry-d1-0") as client:
         peers = client.status().peers
     running = [p.backend for p in peers if p.running and kind in p.backend]
     return running[0] if running else ""
 
 
-def _leaving(fleet: procs.Fleet, backend: str) -> bool:
+def _is_leaving(fleet: process_fleet.Fleet, backend: str) -> bool:
     with fleet.operator("entry-d0-0") as client:
         peers = client.status().peers
     return any(p.backend == backend and p.leaving for p in peers)
 
 
 @contextlib.contextmanager
-def _served_from_memory(fleet: procs.Fleet) -> Iterator[None]:
-    """Let the plain service run from memory while the log is away."""
+def _claims_from_memory(fleet: process_fleet.Fleet) -> Iterator[None]:
+    """Let agents claim keys in memory while the log is down."""
     for away in (cfg.OnceLogAway.MEMORY, cfg.OnceLogAway.REFUSE):
         service = cfg.Service(
-            name=procs.LEDGER,
+            name=process_fleet.LEDGER,
             type=cfg.ServiceType.PLAIN,
             repeatable=False,
             timeout_s=fleet.timeout_s,
@@ -511,22 +525,24 @@
                 if item.service.name == service.name
             )
             offset = client.put(service, expect=revision).offset
-        procs.wait_until(
-            lambda want=offset: _agents_have(fleet, want),
-            what="service in force",
+        process_fleet.wait_until(
+            lambda want=offset: _agents_applied(fleet, want),
+            what="service applied by all agents",
         )
         if away is cfg.OnceLogAway.MEMORY:
             yield
 
 
-def _agents_have(fleet: procs.Fleet, offset: int) -> bool:
+def _agents_applied(fleet: process_fleet.Fleet, offset: int) -> bool:
     with fleet.operator("entry-d0-0") as client:
         return all(p.offset >= offset for p in client.status().peers)
 
 
 @contextlib.contextmanager
-def _left(fleet: procs.Fleet, backend: str) -> Iterator[None]:
-    """Let an operator set a backend server to leaving for a while."""
+def _set_leaving_by_operator(
+    fleet: process_fleet.Fleet, backend: str
+) -> Iterator[None]:
+    """Set a backend server to leaving through the operator API."""
     ref = cfg.Ref(cfg.Kind.BACKEND, backend)
     for leaving in (True, False):
         with fleet.operator("entry-d0-0") as client:
@@ -536,9 +552,9 @@
                 if item.backend.name == ref.name
             )
             client.set_leaving(backend, leaving, expect=revision)
-        procs.wait_until(
-            lambda want=leaving: _leaving(fleet, backend) == want,
-            what="leaving in force",
+        process_fleet.wait_until(
+            lambda want=leaving: _is_leaving(fleet, backend) == want,
+            what="leaving state applied",
         )
         if leaving:
             yield
