--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -157,7 +157,7 @@
                 self._topic,
                 start,
                 wait=self._poll_wait(),
-                answer=long_poll.ANSWER_TIMEOUT,
+                answer_timeout=long_poll.ANSWER_TIMEOUT,
             )
         )
         try:
--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -13,10 +13,10 @@
 from lugcross import ids
 from lugcross.platform import header_names
 
-_Headers = Iterable[tuple[bytes, bytes]]
+_RawHeaders = Iterable[tuple[bytes, bytes]]
 
 #: Headers that concern one connection only.
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -31,7 +31,7 @@
     )
 )
 #: Headers that only the system may set, whatever a caller sends.
-_SYSTEM_ONLY = frozenset(
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         header_names.API_KEY,
@@ -53,7 +53,7 @@
 )
 
 #: Value of a header that only says yes.
-_TRUE = "1"
+_HEADER_TRUE = "1"
 #: Longest rest that is believed, in seconds: a server that asked for more by
 #: mistake is tried again by one request an hour.
 _MAX_RETRY_AFTER_S = 3_600.0
@@ -119,9 +119,9 @@
     :param resume_after: event after which a broken stream goes on.
     """
     drop = (
-        _HOP_BY_HOP
-        | _SYSTEM_ONLY
-        | _named_by_connection(headers)
+        _HOP_BY_HOP_HEADERS
+        | _RESERVED_HEADERS
+        | _connection_options(headers)
         | {b"content-length"}
     )
     if resume_after:
@@ -143,12 +143,16 @@
     headers: Sequence[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
     """Return a backend server's headers without those of its hop."""
-    drop = _HOP_BY_HOP | _named_by_connection(headers) | {b"content-length"}
+    drop = (
+        _HOP_BY_HOP_HEADERS
+        | _connection_options(headers)
+        | {b"content-length"}
+    )
     return [(n, v) for n, v in headers if n.lower() not in drop]
 
 
 def parse_backend_response_head(
-    status: int, headers: _Headers
+    status: int, headers: _RawHeaders
 ) -> BackendResponseHead:
     """Return what the head of a backend server's answer says.
 
@@ -159,27 +163,27 @@
     wrong_instance = status == http.HTTPStatus.MISDIRECTED_REQUEST
     return BackendResponseHead(
         status=status,
-        attempt_id=header_names.text_of(found, header_names.ATTEMPT_ID),
-        signed=bool(header_names.text_of(found, header_names.SIGNATURE)),
+        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
+        signed=bool(header_names.header_text(found, header_names.SIGNATURE)),
         not_executed=wrong_instance
-        or bool(header_names.text_of(found, header_names.NOT_EXECUTED)),
+        or bool(header_names.header_text(found, header_names.NOT_EXECUTED)),
         wrong_instance=wrong_instance,
         content_encoded=b"content-encoding" in found,
         load=_parse_load(
-            header_names.text_of(found, header_names.SERVER_LOAD)
+            header_names.header_text(found, header_names.SERVER_LOAD)
         ),
         keep_alive=_parse_keep_alive(
-            header_names.text_of(found, b"Keep-Alive")
+            header_names.header_text(found, b"Keep-Alive")
         ),
         retry_after=_parse_retry_after(headers)
-        if _is_server_failure(status)
+        if _is_overload_or_server_error(status)
         else None,
-        leaving=header_names.text_of(found, header_names.SERVER_LEAVING)
-        == _TRUE,
+        leaving=header_names.header_text(found, header_names.SERVER_LEAVING)
+        == _HEADER_TRUE,
     )
 
 
-def _named_by_connection(headers: _Headers) -> frozenset[bytes]:
+def _connection_options(headers: _RawHeaders) -> frozenset[bytes]:
     named: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -202,7 +206,7 @@
     return None
 
 
-def _is_server_failure(status: int) -> bool:
+def _is_overload_or_server_error(status: int) -> bool:
     """Tell whether a status says that the server could not serve.
 
     With others the header is meant for whoever asked the service.
@@ -210,7 +214,7 @@
     return status == http.HTTPStatus.TOO_MANY_REQUESTS or status >= 500
 
 
-def _parse_retry_after(headers: _Headers) -> datetime.timedelta | None:
+def _parse_retry_after(headers: _RawHeaders) -> datetime.timedelta | None:
     """Return the longest rest that any field asks for, if one does."""
     name = header_names.RETRY_AFTER.lower()
     told = [_parse_seconds(value) for found, value in headers if found == name]
--- a/src/lugcross/platform/caller_headers.py
+++ b/src/lugcross/platform/caller_headers.py
@@ -10,7 +10,7 @@
 
 from lugcross.platform import header_names
 
-_Headers = Iterable[tuple[bytes, bytes]]
+_RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
 @final
@@ -35,26 +35,28 @@
     expected_tokens: int = 0
 
 
-def parse_caller_request_head(headers: _Headers) -> CallerRequestHead:
+def parse_caller_request_head(headers: _RawHeaders) -> CallerRequestHead:
     """Return what the request's headers say.
 
     A number that is none is left out with a log line: the request is
     served as if its caller had not sent it.
     """
     found = {name: value for name, value in headers}
-    tokens = header_names.text_of(found, header_names.TOKEN_COUNTS).partition(
-        ","
-    )
+    tokens = header_names.header_text(
+        found, header_names.TOKEN_COUNTS
+    ).partition(",")
     left_ms = _parse_header_int(found, header_names.TIME_LEFT)
     return CallerRequestHead(
-        attempt_id=header_names.text_of(found, header_names.ATTEMPT_ID),
+        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
         time_left=(
             None
             if left_ms is None
             else datetime.timedelta(milliseconds=left_ms)
         ),
-        api_key=header_names.text_of(found, header_names.API_KEY),
-        last_event_id=header_names.text_of(found, header_names.LAST_EVENT_ID),
+        api_key=header_names.header_text(found, header_names.API_KEY),
+        last_event_id=header_names.header_text(
+            found, header_names.LAST_EVENT_ID
+        ),
         prompt_tokens=_parse_int(tokens[0], header_names.TOKEN_COUNTS) or 0,
         max_tokens=_parse_int(tokens[2], header_names.TOKEN_COUNTS) or 0,
         expected_tokens=_parse_header_int(found, header_names.LENGTH_HINT)
@@ -63,7 +65,7 @@
 
 
 def _parse_header_int(found: dict[bytes, bytes], name: bytes) -> int | None:
-    return _parse_int(header_names.text_of(found, name), name)
+    return _parse_int(header_names.header_text(found, name), name)
 
 
 def _parse_int(text: str, name: bytes) -> int | None:
--- a/src/lugcross/platform/engine_client.py
+++ b/src/lugcross/platform/engine_client.py
@@ -19,10 +19,10 @@
 
 _REPORT_PATH = "/report"
 #: With ``lists`` in the query it tells maps, without it counts.
-_COUNTS_PATH = "/picked"
-_MAPS_PATH = "/picked?lists=1"
+_EXPERT_COUNTS_PATH = "/picked"
+_HELD_MAP_PATH = "/picked?lists=1"
 _ORDER_PATH = "/order"
-_GROUP_OPEN = "open"
+_OPEN_GROUP_STATE = "open"
 #: Most times slower than usual that a rank is taken for: what is slower still
 #: gets no more work than it would at this, and figures stay finite.
 _MAX_SLOWNESS_FACTOR = 100.0
@@ -34,7 +34,7 @@
 ]
 
 
-class _Group(msgspec.Struct):
+class _GroupState(msgspec.Struct):
     name: str
     epoch: int
     rank: int
@@ -60,7 +60,7 @@
     prepared: int | None = None
     armed: _ArmedMap | None = None
     held: int | None = None
-    group: _Group | None = None
+    group: _GroupState | None = None
     pace: Annotated[float, msgspec.Meta(ge=0)] = 1.0
     born: int | None = None
 
@@ -122,7 +122,7 @@
             rank_count=raw.size,
             rank=experts.Rank(raw.group.rank),
             epoch=experts.Epoch(raw.group.epoch),
-            is_open=raw.group.state == _GROUP_OPEN,
+            is_open=raw.group.state == _OPEN_GROUP_STATE,
             request_count=raw.running + raw.waiting,
             last_pass=experts.PassNumber(raw.step),
             version_in_use=experts.MapVersion(raw.map),
@@ -152,7 +152,7 @@
 
         :raises EngineQueryError: when it does not tell.
         """
-        raw = await self._get(backend, _COUNTS_PATH, _ExpertCounts)
+        raw = await self._get(backend, _EXPERT_COUNTS_PATH, _ExpertCounts)
         try:
             sets = experts.counts_by_set(raw.counts, limits)
         except ValueError as exc:
@@ -170,7 +170,7 @@
 
         :raises EngineQueryError: when it does not tell.
         """
-        raw = await self._get(backend, _MAPS_PATH, _HeldMapAnswer)
+        raw = await self._get(backend, _HELD_MAP_PATH, _HeldMapAnswer)
         return tuple(map(tuple, raw.map.experts))
 
     async def order(
--- a/src/lugcross/platform/header_names.py
+++ b/src/lugcross/platform/header_names.py
@@ -42,7 +42,7 @@
 RETRY_AFTER = b"Retry-After"
 
 
-def text_of(found: Mapping[bytes, bytes], name: bytes) -> str:
+def header_text(found: Mapping[bytes, bytes], name: bytes) -> str:
     """Return a header's text; empty if it is missing.
 
     :param found: headers by their names in lower case.
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -110,14 +110,16 @@
             status, body = await self._request("GET", "/log-newest", query)
             if status != http.HTTPStatus.OK:
                 raise _log_unavailable_error(f"status {status}")
-            page = _decode_page(body)
+            page = _decode_newest_page(body)
             era = self.era
             if end is not None and positions.era(end) != era:
                 raise _log_unavailable_error(
                     "its era has changed between two pages"
                 )
-            records.extend(_decode_item(item, era) for item in page.items)
-            end = _position(era, page.end) if end is None else end
+            records.extend(
+                _decode_newest_item(item, era) for item in page.items
+            )
+            end = _make_position(era, page.end) if end is None else end
             if not page.has_more or not page.items:
                 return ReadResult(end=end, records=tuple(records))
             after = page.items[-1].private_key
@@ -128,13 +130,13 @@
         start: positions.Position,
         *,
         wait: datetime.timedelta,
-        answer: datetime.timedelta | None = None,
+        answer_timeout: datetime.timedelta | None = None,
     ) -> ReadResult:
         """Return the records from ``start`` on, waiting for the first.
 
         :param wait: how long the store may wait for the first.
-        :param answer: longest wait for the answer past that; the usual one
-            without it.
+        :param answer_timeout: longest wait for the response, added to
+            ``wait``; the client's ``timeout`` if none.
         :raises errors.OffsetExpiredError: when ``start`` is too old, or of
             an earlier era.
         :raises errors.LogUnavailableError: when they cannot be read.
@@ -148,7 +150,7 @@
             wait_ms = wait / datetime.timedelta(milliseconds=1)
             query["wait_ms"] = str(int(wait_ms))
         status, body = await self._request(
-            "GET", "/log-read", query, wait=wait, answer=answer
+            "GET", "/log-read", query, wait=wait, answer_timeout=answer_timeout
         )
         if status == http.HTTPStatus.GONE or era < self.era:
             raise _offset_expired_error(topic, start)
@@ -236,9 +238,9 @@
         *,
         body: bytes = b"",
         wait: datetime.timedelta = datetime.timedelta(),
-        answer: datetime.timedelta | None = None,
+        answer_timeout: datetime.timedelta | None = None,
     ) -> tuple[int, bytes]:
-        limit = (wait + (answer or self._timeout)).total_seconds()
+        limit = (wait + (answer_timeout or self._timeout)).total_seconds()
         conn = await self._acquire_connection()
         kept = bool(conn.request_count)
         try:
@@ -291,7 +293,7 @@
 def _parse_era(answer: http1.ResponseHead) -> positions.Era | None:
     """Return the era that an answer tells; none if it tells none."""
     found = dict(answer.headers)
-    text = header_names.text_of(found, header_names.STORE_ERA)
+    text = header_names.header_text(found, header_names.STORE_ERA)
     if not text:
         return None
     digits = text.isascii() and text.isdigit()
@@ -305,22 +307,24 @@
     return None
 
 
-def _position(era: positions.Era, offset: int) -> positions.Position:
+def _make_position(era: positions.Era, offset: int) -> positions.Position:
     try:
         return positions.position_of(era, ids.Offset(offset))
     except ValueError as exc:
         raise _log_unavailable_error(f"bad answer: {exc}") from exc
 
 
-def _decode_item(item: _NewestItem, era: positions.Era) -> KeyedRecord:
+def _decode_newest_item(item: _NewestItem, era: positions.Era) -> KeyedRecord:
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError:
         value = _UNREADABLE_VALUE
-    return KeyedRecord(_position(era, item.offset), item.private_key, value)
+    return KeyedRecord(
+        _make_position(era, item.offset), item.private_key, value
+    )
 
 
-def _decode_page(body: bytes) -> _NewestPage:
+def _decode_newest_page(body: bytes) -> _NewestPage:
     try:
         return msgspec.json.decode(body, type=_NewestPage)
     except msgspec.DecodeError as exc:
@@ -343,11 +347,11 @@
             at += _RECORD_LENGTH.size
             record = body[at : at + size]
             at += size
-            records.append(_decode_record(_position(era, offset), record))
+            records.append(_decode_record(_make_position(era, offset), record))
             offset += 1
     except struct.error as exc:
         raise _log_unavailable_error(f"bad records: {exc}") from exc
-    return ReadResult(end=_position(era, end), records=tuple(records))
+    return ReadResult(end=_make_position(era, end), records=tuple(records))
 
 
 def _decode_record(offset: positions.Position, record: bytes) -> KeyedRecord:
--- a/src/lugcross/platform/store_records.py
+++ b/src/lugcross/platform/store_records.py
@@ -56,7 +56,7 @@
 _BITS_PER_BYTE = 8.0
 
 
-class _Share(msgspec.Struct):
+class _WeightedService(msgspec.Struct):
     service: str
     weight: float = 0.0
 
@@ -69,7 +69,7 @@
     timeout_ms: float
     latency_target_ms: float = 0.0
     service: str = ""
-    split: list[_Share] = []
+    split: list[_WeightedService] = []
     attempts: int = 1
     priority: int = 0
     public: bool = False
@@ -115,7 +115,7 @@
     priority: int | None = None
 
 
-class _Desired(msgspec.Struct):
+class _DesiredState(msgspec.Struct):
     version: int
     routes: list[_Route]
     services: list[_Service]
@@ -152,8 +152,8 @@
     :raises errors.ChangeError: when it is not one.
     """
     try:
-        raw = msgspec.json.decode(data, type=_Desired)
-        return _desired(raw)
+        raw = msgspec.json.decode(data, type=_DesiredState)
+        return _to_desired_state(raw)
     except _DECODE_ERRORS as exc:
         raise errors.ChangeError(
             f"not a desired state ({exc})",
@@ -171,7 +171,7 @@
         host, port = address.split_host_port(raw.address)
         _check_address(host, port)
         return desired.Backend(
-            id=_backend_id(key),
+            id=_to_backend_id(key),
             started_at_ms=raw.born,
             service=ids.ServiceName(raw.service),
             host=host,
@@ -188,7 +188,7 @@
         ) from exc
 
 
-def _backend_id(key: str) -> desired.BackendId:
+def _to_backend_id(key: str) -> desired.BackendId:
     """Return the id in the key of an entry; it goes into a header."""
     if not key.isprintable() or not key.isascii() or " " in key or not key:
         raise ValueError(f"no id: {key[:40]!r}")
@@ -202,10 +202,10 @@
         raise ValueError(f"no port: {port}")
 
 
-def _desired(raw: _Desired) -> desired.DesiredState:
+def _to_desired_state(raw: _DesiredState) -> desired.DesiredState:
     by_host: dict[str, list[desired.Route]] = {}
     for one in raw.routes:
-        by_host.setdefault(one.host, []).append(_route(one))
+        by_host.setdefault(one.host, []).append(_to_route(one))
     keys = {}
     for space in raw.tenants or ():
         workspace = desired.Workspace(
@@ -219,7 +219,7 @@
             for host, routes in by_host.items()
         },
         services={
-            ids.ServiceName(one.name): _service(one) for one in raw.services
+            ids.ServiceName(one.name): _to_service(one) for one in raw.services
         },
         limits=desired.RequestLimits(
             max_head_bytes=raw.limits.header_bytes,
@@ -232,7 +232,7 @@
     )
 
 
-def _route(raw: _Route) -> desired.Route:
+def _to_route(raw: _Route) -> desired.Route:
     shares = [
         desired.WeightedService(ids.ServiceName(one.service), one.weight)
         for one in raw.split
@@ -254,16 +254,16 @@
     )
 
 
-def _service(raw: _Service) -> desired.Service:
+def _to_service(raw: _Service) -> desired.Service:
     return desired.Service(
         name=ids.ServiceName(raw.name),
         health_path=raw.health_path,
         max_connections=raw.connection_limit,
-        engine=_engine(raw.engine) if raw.engine else None,
+        engine=_to_engine_spec(raw.engine) if raw.engine else None,
     )
 
 
-def _engine(raw: _Engine) -> desired.EngineSpec:
+def _to_engine_spec(raw: _Engine) -> desired.EngineSpec:
     return desired.EngineSpec(
         slots=raw.slots,
         kv_cache_tokens=raw.kv_cache_tokens,
@@ -273,11 +273,11 @@
         ms_per_1k_context_tokens=raw.context_per_k,
         prefill_tokens_per_s=raw.read_per_s,
         report_lag=_milliseconds(raw.report_lag_ms),
-        experts=_expert_limits(raw),
+        experts=_to_expert_limits(raw),
     )
 
 
-def _expert_limits(raw: _Engine) -> experts.ExpertLimits | None:
+def _to_expert_limits(raw: _Engine) -> experts.ExpertLimits | None:
     if not raw.sets or not raw.experts:
         return None
     megabits = raw.expert_mb * _BITS_PER_BYTE
