--- a/bench/config.py
+++ b/bench/config.py
@@ -172,7 +172,7 @@
 
 
 def _log_reads(fleet: procs.Fleet) -> int:
-    url = f"{fleet.standin_url('log')}{standin.log.COUNTS_PATH}"
+    url = f"{fleet.standin_url('log')}{standin.log.CALL_COUNTS_PATH}"
     counts: dict[str, int] = fleet.control.request("GET", url).json()
     return counts["reads"]
 
--- a/bench/once.py
+++ b/bench/once.py
@@ -70,7 +70,7 @@
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
-    server.app.faults = standin.Faults(delay_s=_LOG_S)
+    server.fault_injector.faults = standin.Faults(delay_s=_LOG_S)
     running = [_Agent(server.url, f"a{num}") for num in range(agents)]
     rng = random.Random(1)
     began = time.perf_counter()
@@ -88,7 +88,7 @@
     return {
         "agents": agents,
         "keys_a_s": asked / took_s,
-        "appends_a_s": log.appends / took_s,
+        "appends_a_s": log.append_count / took_s,
         "refused": sum(one.away for one in running),
         "median_ms": slopes.percentile(took, 0.5),
         "p99_ms": slopes.percentile(took, 0.99),
@@ -100,7 +100,7 @@
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
-    server.app.faults = standin.Faults(delay_s=_LOG_S)
+    server.fault_injector.faults = standin.Faults(delay_s=_LOG_S)
     client = logservice.HttpLog(server.url, timeout_s=5)
     took: list[float] = []
     refused = 0
@@ -126,7 +126,7 @@
     server.stop()
     return {
         "keys_a_s": len(futs) / took_s,
-        "appends_a_s": log.appends / took_s,
+        "appends_a_s": log.append_count / took_s,
         "refused": refused,
         "median_ms": slopes.percentile(took, 0.5),
         "p99_ms": slopes.percentile(took, 0.99),
--- a/src/lugcross/cli/standin.py
+++ b/src/lugcross/cli/standin.py
@@ -33,7 +33,7 @@
         """Serve ``app`` until the process is asked to stop."""
         server = standin_lib.StandinServer(app, host=self.host, port=self.port)
         if isinstance(app, standin_lib.EngineStandin):
-            app.server = server.app
+            app.fault_injector = server.fault_injector
         owner = app_lib.Application(name=self.name)
         for hook in hooks:
             owner.add(hook)
--- a/src/lugcross/demo/fleet.py
+++ b/src/lugcross/demo/fleet.py
@@ -127,7 +127,7 @@
                 speed=standin.EngineSpeed(step_s=_STEP_S), max_batch=_SLOTS
             )
             server = self._serve(engine)
-            engine.server = server.app
+            engine.fault_injector = server.fault_injector
             engine.start()
             self._engines.append(engine)
             self._start_agent(
--- a/src/lugcross/standin/engine.py
+++ b/src/lugcross/standin/engine.py
@@ -27,7 +27,7 @@
 _MAX_CACHE_EVENTS = 1000
 _DROPPED_EVENT_INTERVAL = 17
 _DEFAULT_MAX_TOKENS = 16
-_END_MARK = b"data: [DONE]\n\n"
+_DONE_EVENT = b"data: [DONE]\n\n"
 _IDLE_WAIT_S = 0.05
 
 
@@ -37,13 +37,13 @@
     """How fast an engine is.
 
     :param step_s: a step with an empty batch, in seconds.
-    :param seq_s: added for each sequence of the batch, in seconds.
-    :param prefill_s: added for each uncached prompt byte, in seconds.
+    :param per_sequence_s: added for each sequence of the batch, in seconds.
+    :param per_prefill_byte_s: added for each uncached prompt byte, in seconds.
     """
 
     step_s: float = 0.005
-    seq_s: float = 0.0001
-    prefill_s: float = 0.000_001
+    per_sequence_s: float = 0.0001
+    per_prefill_byte_s: float = 0.000_001
 
 
 @final
@@ -86,7 +86,7 @@
 
     :param max_batch: sequences in one step; more wait.
     :param checks_orders: whether it refuses orders with an old fence.
-    :param event_lag_s: how late cache events are, in seconds.
+    :param cache_event_lag_s: how late cache events are, in seconds.
     """
 
     def __init__(
@@ -96,38 +96,42 @@
         max_batch: int = 16,
         max_waiting: int = 256,
         checks_orders: bool = True,
-        event_lag_s: float = 0.5,
-        load_lag_s: float = 0.5,
+        cache_event_lag_s: float = 0.5,
+        load_report_lag_s: float = 0.5,
         tracer: observe.Tracer | None = None,
     ) -> None:
         self._speed = speed
         self._max_batch = max_batch
         self._max_waiting = max_waiting
         self._checks_orders = checks_orders
-        self._event_lag_s = event_lag_s
-        self._load_lag_s = load_lag_s
+        self._cache_event_lag_s = cache_event_lag_s
+        self._load_report_lag_s = load_report_lag_s
         self._tracer = tracer
-        self._wake = threading.Condition()
+        self._changed = threading.Condition()
         self._waiting: list[_Sequence] = []
         self._batch: list[_Sequence] = []
         self._cache: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self._events: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=_MAX_CACHE_EVENTS
+        self._cache_events: collections.deque[dict[str, Any]] = (
+            collections.deque(maxlen=_MAX_CACHE_EVENTS)
         )
-        self._event_count = 0
-        self._loads: collections.deque[tuple[float, dict[str, Any]]] = (
-            collections.deque()
-        )
-        self._load: dict[str, Any] = {"running": 0, "waiting": 0, "step": 0}
-        self._fence = 0
+        self._cache_event_count = 0
+        self._pending_loads: collections.deque[
+            tuple[float, dict[str, Any]]
+        ] = collections.deque()
+        self._visible_load: dict[str, Any] = {
+            "running": 0,
+            "waiting": 0,
+            "step": 0,
+        }
+        self._highest_fence = 0
         self._orders: list[dict[str, Any]] = []
-        self._steps = 0
-        self._ran: collections.Counter[str] = collections.Counter()
+        self._step_count = 0
+        self._run_counts: collections.Counter[str] = collections.Counter()
         self._stopping = False
-        self.server: faults.FaultInjector | None = None
-        self._thread = threading.Thread(target=self._run, daemon=True)
+        self.fault_injector: faults.FaultInjector | None = None
+        self._thread = threading.Thread(target=self._run_steps, daemon=True)
 
     def start(self) -> None:
         """Start the step clock."""
@@ -135,12 +139,12 @@
 
     def stop(self) -> None:
         """Stop the step clock."""
-        with self._wake:
+        with self._changed:
             self._stopping = True
-            self._wake.notify_all()
+            self._changed.notify_all()
 
     @property
-    def running(self) -> int:
+    def sequence_count(self) -> int:
         """Sequences in the batch and waiting; cancelled ones are gone."""
         return len(self._batch) + len(self._waiting)
 
@@ -151,15 +155,19 @@
         path = environ["PATH_INFO"]
         if path == "/load":
             return faults.json_response(
-                start_response, http.HTTPStatus.OK, self._delayed_load()
+                start_response,
+                http.HTTPStatus.OK,
+                self._delayed_load(),
             )
         if path == service.RUN_COUNTS_PATH:
             return faults.json_response(
-                start_response, http.HTTPStatus.OK, dict(self._ran)
+                start_response, http.HTTPStatus.OK, dict(self._run_counts)
             )
         if path == "/events":
             return faults.json_response(
-                start_response, http.HTTPStatus.OK, self._delayed_events()
+                start_response,
+                http.HTTPStatus.OK,
+                self._delayed_cache_events(),
             )
         if path == "/orders":
             return self._accept_order(environ, start_response)
@@ -172,15 +180,15 @@
     ) -> Iterable[bytes]:
         fields = json.loads(faults.read_body(environ))
         seq = _Sequence(fields, int(fields.get("resume_from", 0)))
-        with self._wake:
+        with self._changed:
             if len(self._waiting) >= self._max_waiting:
                 return faults.json_response(
                     start_response, http.HTTPStatus.TOO_MANY_REQUESTS
                 )
-            self._ran[environ.get("HTTP_X_REQUEST_ID", "")] += 1
+            self._run_counts[environ.get("HTTP_X_REQUEST_ID", "")] += 1
             self._waiting.append(seq)
             self._waiting.sort(key=lambda s: -s.priority)
-            self._wake.notify_all()
+            self._changed.notify_all()
         start_response("200 OK", [("Content-Type", "text/event-stream")])
         return self._stream(seq, environ)
 
@@ -192,44 +200,47 @@
         name = environ.get("HTTP_X_REQUEST_ID", "")
         try:
             if tracer is None:
-                yield from self._tokens(seq)
+                yield from self._stream_tokens(seq)
                 return
             with tracer.span("engine.complete", parent, request=name):
-                yield from self._tokens(seq)
+                yield from self._stream_tokens(seq)
         finally:
             # Runs when the reader hangs up, too: its slot is freed.
             seq.cancelled = True
 
-    def _tokens(self, seq: _Sequence) -> Iterator[bytes]:
-        early = self.server is not None and self.server.consume("close_early")
+    def _stream_tokens(self, seq: _Sequence) -> Iterator[bytes]:
+        early = (
+            self.fault_injector is not None
+            and self.fault_injector.consume("close_early")
+        )
         while True:
             position = seq.output.get()
             if position is None:
-                yield _END_MARK
+                yield _DONE_EVENT
                 return
             last = position + 1 >= seq.max_tokens
-            yield b"data: " + _chunk(seq, position, last=last) + b"\n\n"
+            yield b"data: " + _encode_chunk(seq, position, last=last) + b"\n\n"
             if early and position >= seq.max_tokens // 2:
                 # Cleanly, as far as HTTP can tell: only the end mark is
                 # missing.
                 return
 
-    def _run(self) -> None:
+    def _run_steps(self) -> None:
         while not self._stopping:
-            with self._wake:
+            with self._changed:
                 if not self._batch and not self._waiting:
-                    self._wake.wait(_IDLE_WAIT_S)
+                    self._changed.wait(_IDLE_WAIT_S)
                     continue
                 self._admit()
                 batch = list(self._batch)
             time.sleep(self._step_time(batch))
             for seq in batch:
                 self._emit_token(seq)
-            with self._wake:
+            with self._changed:
                 self._batch = [
                     s for s in self._batch if s.next_position < s.max_tokens
                 ]
-                self._steps += 1
+                self._step_count += 1
                 self._record_load()
 
     def _admit(self) -> None:
@@ -244,7 +255,9 @@
         fresh = [seq for seq in batch if not seq.prefilled]
         prefill = sum(self._fill_cache(seq) for seq in fresh)
         return (
-            speed.step_s + speed.seq_s * len(batch) + speed.prefill_s * prefill
+            speed.step_s
+            + speed.per_sequence_s * len(batch)
+            + speed.per_prefill_byte_s * prefill
         )
 
     def _fill_cache(self, seq: _Sequence) -> int:
@@ -278,34 +291,39 @@
     # Reports, which come late.
 
     def _publish_cache_event(self, what: str, block: str) -> None:
-        self._event_count += 1
-        if self._event_count % _DROPPED_EVENT_INTERVAL == 0:
+        self._cache_event_count += 1
+        if self._cache_event_count % _DROPPED_EVENT_INTERVAL == 0:
             return  # The published stream has gaps; so has this one.
-        self._events.append(
+        self._cache_events.append(
             {
-                "seq": self._event_count,
+                "seq": self._cache_event_count,
                 "at": time.monotonic(),
                 "what": what,
                 "block": block[:16],
             }
         )
 
-    def _delayed_events(self) -> list[dict[str, Any]]:
-        until = time.monotonic() - self._event_lag_s
-        return [event for event in self._events if event["at"] <= until]
+    def _delayed_cache_events(self) -> list[dict[str, Any]]:
+        until = time.monotonic() - self._cache_event_lag_s
+        return [event for event in self._cache_events if event["at"] <= until]
 
     def _record_load(self) -> None:
         report = {
             "running": len(self._batch),
             "waiting": len(self._waiting),
-            "step": self._steps,
+            "step": self._step_count,
         }
-        self._loads.append((time.monotonic() + self._load_lag_s, report))
+        self._pending_loads.append(
+            (time.monotonic() + self._load_report_lag_s, report)
+        )
 
     def _delayed_load(self) -> dict[str, Any]:
-        while self._loads and self._loads[0][0] <= time.monotonic():
-            _, self._load = self._loads.popleft()
-        return self._load
+        while (
+            self._pending_loads
+            and self._pending_loads[0][0] <= time.monotonic()
+        ):
+            _, self._visible_load = self._pending_loads.popleft()
+        return self._visible_load
 
     # Orders.
 
@@ -313,20 +331,20 @@
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
         order = json.loads(faults.read_body(environ))
-        if self._checks_orders and order["fence"] < self._fence:
+        if self._checks_orders and order["fence"] < self._highest_fence:
             return faults.json_response(
                 start_response,
                 http.HTTPStatus.CONFLICT,
-                {"fence": self._fence},
+                {"fence": self._highest_fence},
             )
-        self._fence = max(self._fence, order["fence"])
+        self._highest_fence = max(self._highest_fence, order["fence"])
         self._orders.append(order)
         return faults.json_response(
             start_response, http.HTTPStatus.OK, {"orders": len(self._orders)}
         )
 
 
-def _chunk(seq: _Sequence, position: int, *, last: bool) -> bytes:
+def _encode_chunk(seq: _Sequence, position: int, *, last: bool) -> bytes:
     text = answer_token(seq.answer_prefix, position)
     part: dict[str, Any] = {
         "index": 0,
--- a/src/lugcross/standin/faults.py
+++ b/src/lugcross/standin/faults.py
@@ -117,16 +117,16 @@
     """
 
     def __init__(self, app: WsgiApp, *, host: str, port: int) -> None:
-        self.app = FaultInjector(app)
+        self.fault_injector = FaultInjector(app)
         self._server = wsgi.Server(
             (host, port),
-            self.app,
+            self.fault_injector,
             numthreads=_SERVER_THREADS,
             max=_SERVER_THREADS,
             request_queue_size=_LISTEN_BACKLOG,
         )
         self._server.shutdown_timeout = 1
-        self._server.error_log = _no_log  # type: ignore[method-assign]
+        self._server.error_log = _log_at_debug  # type: ignore[method-assign]
         self._thread = threading.Thread(
             target=self._server.serve, name="standin", daemon=True
         )
@@ -149,7 +149,9 @@
         self._server.stop()
 
 
-def _no_log(msg: str = "", level: int = 20, traceback: bool = False) -> None:
+def _log_at_debug(
+    msg: str = "", level: int = 20, traceback: bool = False
+) -> None:
     # Dropped connections are what a stand-in is for.
     del level, traceback
     logging.debug("standin: %s", msg)
--- a/src/lugcross/standin/hosts.py
+++ b/src/lugcross/standin/hosts.py
@@ -40,14 +40,14 @@
         return faults.json_response(
             start_response,
             http.HTTPStatus.OK,
-            msgspec.to_builtins(self._list()),
+            msgspec.to_builtins(self._visible_hosts()),
         )
 
     def set(self, host: logservice.Host) -> None:
         """Let the list show ``host`` after the lag."""
         self._pending.append((time.monotonic() + self._lag_s, host))
 
-    def _list(self) -> list[logservice.Host]:
+    def _visible_hosts(self) -> list[logservice.Host]:
         while self._pending and self._pending[0][0] <= time.monotonic():
             _, host = self._pending.popleft()
             self._visible[host.name] = host
--- a/src/lugcross/standin/log.py
+++ b/src/lugcross/standin/log.py
@@ -15,7 +15,7 @@
 from lugcross.standin import faults
 
 #: Path that answers how many appends and reads there were.
-COUNTS_PATH = "/counts"
+CALL_COUNTS_PATH = "/counts"
 
 _DEFAULT_APPENDS_PER_S = 100.0
 _DEFAULT_RETENTION_S = 24 * 3600.0
@@ -29,17 +29,17 @@
 @final
 class _Stream:
     def __init__(self) -> None:
-        self.first = 1
+        self.first_offset = 1
         self.records: collections.deque[_StoredRecord] = collections.deque()
 
     @property
     def end(self) -> int:
-        return self.first + len(self.records)
+        return self.first_offset + len(self.records)
 
     def expire(self, before: float) -> None:
         while self.records and self.records[0].appended_at < before:
             self.records.popleft()
-            self.first += 1
+            self.first_offset += 1
 
 
 @final
@@ -59,18 +59,18 @@
         self._appends_per_s = appends_per_s
         self._retention_s = retention_s
         self._tokens = appends_per_s
-        self._refilled = time.monotonic()
+        self._refilled_at = time.monotonic()
         self._streams: dict[str, _Stream] = {}
         self._changed = threading.Condition()
-        self.appends = 0
-        self.reads = 0
+        self.append_count = 0
+        self.read_count = 0
 
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
         """Answer one request."""
-        if environ["PATH_INFO"] == COUNTS_PATH:
-            counts = {"appends": self.appends, "reads": self.reads}
+        if environ["PATH_INFO"] == CALL_COUNTS_PATH:
+            counts = {"appends": self.append_count, "reads": self.read_count}
             return faults.json_response(
                 start_response, http.HTTPStatus.OK, counts
             )
@@ -84,7 +84,7 @@
         with self._changed:
             stream = self._streams.setdefault(name, _Stream())
             stream.records.append(_StoredRecord(time.monotonic(), data))
-            self.appends += 1
+            self.append_count += 1
             self._changed.notify_all()
             return stream.end - 1
 
@@ -92,9 +92,9 @@
         """Drop the records of a stream before an offset, as age would."""
         with self._changed:
             stream = self._streams[name]
-            while stream.first < before and stream.records:
+            while stream.first_offset < before and stream.records:
                 stream.records.popleft()
-                stream.first += 1
+                stream.first_offset += 1
 
     def _append(
         self,
@@ -124,43 +124,45 @@
         start = int(query["from"])
         max_records = int(query.get("max", logservice.READ_MAX))
         with self._changed:
-            self.reads += 1
+            self.read_count += 1
             stream = self._streams.setdefault(name, _Stream())
             self._changed.wait_for(
                 lambda: stream.end > start, float(query.get("wait", "0"))
             )
             stream.expire(time.monotonic() - self._retention_s)
-            if start < stream.first:
+            if start < stream.first_offset:
                 return faults.json_response(
                     start_response,
                     http.HTTPStatus.GONE,
-                    {"first": stream.first},
+                    {"first": stream.first_offset},
                 )
-            batch = _batch(stream, start, max_records)
+            batch = _encode_batch(stream, start, max_records)
         return faults.json_response(start_response, http.HTTPStatus.OK, batch)
 
     def _take_token(self) -> bool:
         with self._changed:
             now = time.monotonic()
-            earned = (now - self._refilled) * self._appends_per_s
+            earned = (now - self._refilled_at) * self._appends_per_s
             self._tokens = min(self._appends_per_s, self._tokens + earned)
-            self._refilled = now
+            self._refilled_at = now
             if self._tokens < 1:
                 return False
             self._tokens -= 1
             return True
 
 
-def _batch(stream: _Stream, start: int, max_records: int) -> dict[str, object]:
+def _encode_batch(
+    stream: _Stream, start: int, max_records: int
+) -> dict[str, object]:
     last = min(stream.end, start + max_records)
     return {
-        "first": stream.first,
+        "first": stream.first_offset,
         "end": stream.end,
         "records": [
             {
                 "offset": offset,
                 "data": base64.b64encode(
-                    stream.records[offset - stream.first].data
+                    stream.records[offset - stream.first_offset].data
                 ).decode(),
             }
             for offset in range(start, last)
--- a/src/lugcross/standin/memory_log.py
+++ b/src/lugcross/standin/memory_log.py
@@ -20,10 +20,10 @@
     def __init__(self) -> None:
         self.down = False
         self.lose_answers = 0
-        self.appends = 0
+        self.append_count = 0
         self.read_waits_s: list[float] = []
         self._streams: dict[str, list[bytes]] = {}
-        self._first: dict[str, int] = {}
+        self._first_offsets: dict[str, int] = {}
 
     def append(self, stream: str, data: bytes) -> ids.Offset:
         """Append one record.
@@ -37,7 +37,7 @@
             )
         records = self._streams.setdefault(stream, [])
         records.append(data)
-        self.appends += 1
+        self.append_count += 1
         if self.lose_answers:
             self.lose_answers -= 1
             raise errors.AppendUnknownError("lost answer", remedy="read on")
@@ -56,7 +56,7 @@
             raise errors.LogUnavailableError(
                 "the log is down", remedy="try again"
             )
-        first = self._first.get(stream, 1)
+        first = self._first_offsets.get(stream, 1)
         if start < first:
             raise errors.OffsetExpiredError(
                 f"offset {start} has expired", remedy="use a snapshot"
@@ -75,4 +75,4 @@
     def expire(self, stream: str, *, before: int) -> None:
         """Let the records before an offset expire."""
         end = len(self._streams.get(stream, [])) + 1
-        self._first[stream] = min(before, end)
+        self._first_offsets[stream] = min(before, end)
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -31,7 +31,7 @@
 @final
 class _Topic:
     def __init__(self) -> None:
-        self.first = 0
+        self.first_offset = 0
         self.records: list[tuple[str, bytes]] = []
         self.newest: dict[str, tuple[int, bytes]] = {}
         self.changed = asyncio.Event()
@@ -86,14 +86,14 @@
 
     def compact(self, topic: str) -> None:
         """Drop all records but the newest of each key."""
-        self._topic(topic).first = self._topic(topic).end
+        self._topic(topic).first_offset = self._topic(topic).end
 
     def copy(self) -> "StoreStandin":
         """Return a store that has what this one has now."""
         made = StoreStandin()
         for name, topic in self._topics.items():
             one = made._topic(name)
-            one.first = topic.first
+            one.first_offset = topic.first_offset
             one.records = list(topic.records)
             one.newest = dict(topic.newest)
         return made
@@ -175,8 +175,8 @@
     ) -> tuple[http.HTTPStatus, bytes]:
         topic = self._topic(query["topic"])
         start = int(query["from"])
-        if not topic.first <= start <= topic.end:
-            gone = json.dumps({"first": topic.first}).encode()
+        if not topic.first_offset <= start <= topic.end:
+            gone = json.dumps({"first": topic.first_offset}).encode()
             return http.HTTPStatus.GONE, gone
         wait_s = int(query.get("wait_ms", "0")) / 1000
         if start >= topic.end and wait_s:
@@ -188,7 +188,7 @@
                 pass
             query = {**query, "wait_ms": "0"}
             return await self._read(query)
-        body = _READ_BOUNDS.pack(topic.end, topic.first)
+        body = _READ_BOUNDS.pack(topic.end, topic.first_offset)
         for key, value in topic.records[start:]:
             name = key.encode()
             record = bytes((len(name),)) + name + value
--- a/src/lugcross/standin/weights.py
+++ b/src/lugcross/standin/weights.py
@@ -24,9 +24,9 @@
 
     def __init__(self, *, bytes_per_s: float = _DEFAULT_BYTES_PER_S) -> None:
         self._bytes_per_s = bytes_per_s
-        self._free_at = time.monotonic()
+        self._busy_until = time.monotonic()
         self._lock = threading.Lock()
-        self.served = 0
+        self.served_bytes = 0
 
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
@@ -50,6 +50,8 @@
         """Reserve a part of the rate; return how long to wait for it."""
         with self._lock:
             now = time.monotonic()
-            self._free_at = max(self._free_at, now) + size / self._bytes_per_s
-            self.served += size
-            return self._free_at - now
+            self._busy_until = (
+                max(self._busy_until, now) + size / self._bytes_per_s
+            )
+            self.served_bytes += size
+            return self._busy_until - now
--- a/testing/agent/test_claims.py
+++ b/testing/agent/test_claims.py
@@ -220,7 +220,7 @@
         agent.claimer.ask(str(num), claims.Claim(bytes([num]) * 16, b"b"))
     agent.claimer.append_once()
     agent.claimer.read_once()
-    assert log.appends == 1
+    assert log.append_count == 1
     assert len(agent.decided) == 50
 
 
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -332,12 +332,12 @@
         expect = max(0, config.revision(ref) - lag)
         one = change(self.count, expect, share=float(self.count))
         data = b"\xff\x00" if bad else cfg.encode(one)
-        before = self.log.appends
+        before = self.log.append_count
         try:
             self.log.append(cfg.STREAM, data)
         except errors.PlatformError:
             pass
-        if self.log.appends > before:
+        if self.log.append_count > before:
             offset = ids.Offset(len(self.truth))
             after, applied = cfg.step(self.truth[-1], offset, data)
             self.truth.append(after)
