--- a/src/lugcross/platform/__init__.py
+++ b/src/lugcross/platform/__init__.py
@@ -1,7 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The users' platform: names, formats and calls, decoded into our types.
+"""Adapter to the users' platform: headers, stored records, engines, store.
 
-The only package that knows how that platform speaks; it decides nothing.
+Only this package and the stand-ins know the platform's names and formats. It
+converts between them and lugcross's own types, and takes no decisions.
 """
 
 from lugcross.platform.backend_headers import BackendResponseHead
--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Heads on the way to a backend server, and what its answers say."""
+"""Headers of requests to backend servers and of their responses."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -15,7 +15,7 @@
 
 _RawHeaders = Iterable[tuple[bytes, bytes]]
 
-#: Headers that concern one connection only.
+#: Headers that apply to one connection and are not forwarded.
 _HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
@@ -30,7 +30,7 @@
         b"expect",
     )
 )
-#: Headers that only the system may set, whatever a caller sends.
+#: Headers that only lugcross sets; a caller's own are dropped.
 _RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -42,7 +42,7 @@
         header_names.TIME_LEFT,
     )
 )
-#: Statuses by which a caller takes it that its request has not run.
+#: Statuses that tell a caller that its request was not executed.
 NOT_EXECUTED_STATUSES = frozenset(
     (
         http.HTTPStatus.REQUEST_TIMEOUT,
@@ -52,17 +52,22 @@
     )
 )
 
-#: Value of a header that only says yes.
+#: Value of a boolean header that is set.
 _HEADER_TRUE = "1"
-#: Longest rest that is believed, in seconds: a server that asked for more by
-#: mistake is tried again by one request an hour.
+#: Upper limit of a ``Retry-After`` value, in seconds: a server that sends a
+#: larger one by mistake is still tried once an hour.
 _MAX_RETRY_AFTER_S = 3_600.0
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class ServerLoad:
-    """Requests at a backend server when it sent an answer."""
+    """Load of a backend server at the time of a response.
+
+    :param running: number of running requests.
+    :param waiting: number of requests that wait at the server.
+    :param slots: number of requests that the server runs at once.
+    """
 
     running: int
     waiting: int
@@ -72,18 +77,23 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BackendResponseHead:
-    """What the head of a backend server's answer says.
-
-    :param attempt_id: request that it answers.
-    :param signed: whether it is signed.
-    :param not_executed: whether it proves that the request has not run.
-    :param wrong_instance: whether another life has the address.
-    :param content_encoded: whether the body is not the backend server's own.
-    :param load: its load, if it tells it.
-    :param keep_alive: how long it keeps an idle connection, if it says so.
-    :param retry_after: for how long it wants nothing from this process, if it
-        could not serve the request and says so.
-    :param leaving: whether it says that it is leaving.
+    """Decoded status and headers of a backend server's response.
+
+    :param attempt_id: attempt that the response belongs to; empty if the
+        response names none.
+    :param signed: whether the response carries a signature.
+    :param not_executed: whether the server states that it did not run the
+        request.
+    :param wrong_instance: whether the address belongs to another server, or
+        to another life of the expected one.
+    :param content_encoded: whether the body has a content encoding, which
+        backend servers don't apply.
+    :param load: the server's load; none if not sent.
+    :param keep_alive: how long the server keeps an idle connection open;
+        none if not sent.
+    :param retry_after: how long this process must send the server nothing;
+        none unless the status is 429 or 5xx and the header is set.
+    :param leaving: whether the server announces that it is leaving.
     """
 
     status: int
@@ -112,11 +122,15 @@
     body_bytes: int | None,
     resume_after: str = "",
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a request on its way to ``backend``.
-
-    :param headers: as the caller sent them, names as spelled there.
-    :param body_bytes: none for a request without a body.
-    :param resume_after: event after which a broken stream goes on.
+    """Return the headers with which a request is forwarded to ``backend``.
+
+    :param headers: as the caller sent them, in its spelling.
+    :param workspace: workspace of the caller; none where the route needs no
+        API key.
+    :param time_left: how long this process will wait for the response.
+    :param body_bytes: length of the body; none for a request without one.
+    :param resume_after: id of the event after which a broken stream resumes;
+        empty to keep the caller's own, if any.
     """
     drop = (
         _HOP_BY_HOP_HEADERS
@@ -142,7 +156,7 @@
 def headers_to_caller(
     headers: Sequence[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
-    """Return a backend server's headers without those of its hop."""
+    """Return a backend server's headers without the hop-by-hop ones."""
     drop = (
         _HOP_BY_HOP_HEADERS
         | _connection_options(headers)
@@ -154,7 +168,7 @@
 def parse_backend_response_head(
     status: int, headers: _RawHeaders
 ) -> BackendResponseHead:
-    """Return what the head of a backend server's answer says.
+    """Decode the status and headers of a backend server's response.
 
     :param headers: names in lower case.
     """
@@ -184,6 +198,7 @@
 
 
 def _connection_options(headers: _RawHeaders) -> frozenset[bytes]:
+    """Return the headers that ``Connection`` declares as hop-by-hop."""
     named: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -207,26 +222,29 @@
 
 
 def _is_overload_or_server_error(status: int) -> bool:
-    """Tell whether a status says that the server could not serve.
+    """Tell whether the status is 429 or 5xx.
 
-    With others the header is meant for whoever asked the service.
+    With any other status ``Retry-After`` is meant for the caller, not for
+    this process.
     """
     return status == http.HTTPStatus.TOO_MANY_REQUESTS or status >= 500
 
 
 def _parse_retry_after(headers: _RawHeaders) -> datetime.timedelta | None:
-    """Return the longest rest that any field asks for, if one does."""
+    """Return the longest time of all ``Retry-After`` fields, if any."""
     name = header_names.RETRY_AFTER.lower()
-    told = [_parse_seconds(value) for found, value in headers if found == name]
-    longest = max(told, default=0.0)
+    values = [
+        _parse_seconds(value) for found, value in headers if found == name
+    ]
+    longest = max(values, default=0.0)
     return datetime.timedelta(seconds=longest) if longest else None
 
 
 def _parse_seconds(value: bytes) -> float:
-    """Return a number of seconds; 0 where it is no time to wait.
+    """Return a number of seconds, at most an hour; 0 if it is invalid.
 
-    Dates count as none: clocks of two hosts may be seconds apart, which is as
-    long as rests are.
+    HTTP dates are ignored: the clocks of two hosts may differ by seconds,
+    which is as long as a usual backoff.
     """
     try:
         seconds = float(value)
--- a/src/lugcross/platform/caller_headers.py
+++ b/src/lugcross/platform/caller_headers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a caller's request head says, decoded once."""
+"""Decodes the headers of a caller's request."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -16,14 +16,17 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerRequestHead:
-    """What the headers of a request ask for.
-
-    :param attempt_id: empty if the caller sent none.
-    :param time_left: how long the caller will wait, if it said so.
-    :param api_key: key of its workspace; empty if there is none.
-    :param prompt_tokens: tokens of the prompt; 0 if not told.
-    :param max_tokens: the most tokens to write; 0 if not told.
-    :param expected_tokens: estimate of the tokens written; 0 if none.
+    """Decoded headers of a caller's request.
+
+    :param attempt_id: the caller's id of this attempt; empty if not sent.
+    :param time_left: how long the caller will still wait; none if not sent.
+    :param api_key: API key of the caller's workspace; empty if not sent.
+    :param last_event_id: last event of a stream that the caller has
+        received; empty if not sent.
+    :param prompt_tokens: number of prompt tokens; 0 if not sent.
+    :param max_tokens: limit of generated tokens; 0 if not sent.
+    :param expected_tokens: the caller's estimate of the number of generated
+        tokens; 0 if not sent.
     """
 
     attempt_id: str = ""
@@ -36,10 +39,11 @@
 
 
 def parse_caller_request_head(headers: _RawHeaders) -> CallerRequestHead:
-    """Return what the request's headers say.
+    """Decode the headers of a request.
+
+    A value that is not a valid number is logged and treated as not sent.
 
-    A number that is none is left out with a log line: the request is
-    served as if its caller had not sent it.
+    :param headers: names in lower case.
     """
     found = {name: value for name, value in headers}
     tokens = header_names.header_text(
@@ -71,11 +75,11 @@
 def _parse_int(text: str, name: bytes) -> int | None:
     if not text:
         return None
-    # Longer numbers are no times or sizes of anything that is served.
+    # The limit on digits rejects absurd values and bounds the conversion.
     if text.isascii() and text.isdigit() and len(text) < 12:
         return int(text)
     logging.warning(
-        "header is not a whole number",
+        "header value is not a whole number",
         extra={"header": name.decode(), "value": text[:40]},
     )
     return None
--- a/src/lugcross/platform/header_names.py
+++ b/src/lugcross/platform/header_names.py
@@ -1,50 +1,50 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Names of the platform's headers, as they stand on the wire.
+"""Names of the platform's HTTP headers, spelled as they are sent.
 
-h11 compares header names in lower case; what is sent goes out as it is
-spelled here.
+Received header names are in lower case.
 """
 
 from collections.abc import Mapping
 
-#: Chosen by the caller for each of its attempts; comes back in answers.
+#: Id that the caller chooses for each of its attempts; responses repeat it.
 ATTEMPT_ID = b"Attempt-Identifier"
-#: Milliseconds that the caller, or the sender, will still wait.
+#: Milliseconds that the sender of a request will still wait for its response.
 TIME_LEFT = b"Time-Remaining"
-#: Key of a workspace; never shown to a backend server.
+#: API key of a workspace; never forwarded to a backend server.
 API_KEY = b"X-Api-Key"
-#: Name of the workspace whose key was shown; set by the system only.
+#: Name of the workspace that the API key belongs to; set by lugcross only.
 WORKSPACE = b"Tenant"
-#: The one life of a backend server that may run the request.
+#: Id of the only backend server that may run the request.
 EXPECTED_INSTANCE = b"Expected-Instance"
-#: Weight version that a replica must have; the system's to set.
+#: Version of the weights that the server must have; set by lugcross only.
 EXPECTED_VERSION = b"Expected-Version"
-#: 0 to 9, 0 first; the system's to set.
+#: Priority from 0, the highest, to 9; set by lugcross only.
 PRIORITY = b"Request-Priority"
-#: Id of the last event that the caller has; the stream goes on after it.
+#: Id of the last event received; the stream resumes with the one after it.
 LAST_EVENT_ID = b"Last-Event-Id"
-#: Tokens of the prompt, and the most to write, with a comma between.
+#: Prompt tokens and the limit of generated tokens, separated by a comma.
 TOKEN_COUNTS = b"Token-Counts"
-#: The caller's estimate of the tokens that will be written.
+#: The caller's estimate of the number of generated tokens.
 LENGTH_HINT = b"Length-Hint"
-#: A backend server's signature over its answer.
+#: A backend server's signature of its response.
 SIGNATURE = b"Response-Seal"
-#: In a backend server's refusal: the request has not run.
+#: Set by a backend server that refuses a request without running it.
 NOT_EXECUTED = b"Not-Executed"
-#: Requests running, requests waiting and slots, with commas between.
+#: Running requests, waiting requests and slots, separated by commas.
 SERVER_LOAD = b"Server-Load"
-#: In a backend server's answer: it is leaving.
+#: "1" if the backend server is leaving.
 SERVER_LEAVING = b"Server-Leaving"
-#: In all answers of the store: rises each time that it comes back from a copy.
+#: Era of the store, in all its responses: rises each time that the store comes
+#: back from an older copy.
 STORE_ERA = b"Store-Era"
-#: Seconds, fractions allowed, after which a caller may come back; from a
-#: backend server, for which it wants nothing from the process that it tells.
+#: Seconds, fractions allowed. To a caller: wait before its next try. From a
+#: backend server: how long this process must send it nothing.
 RETRY_AFTER = b"Retry-After"
 
 
 def header_text(found: Mapping[bytes, bytes], name: bytes) -> str:
-    """Return a header's text; empty if it is missing.
+    """Return a header's value, stripped; empty if the header is missing.
 
-    :param found: headers by their names in lower case.
+    :param found: header values by lower-case name.
     """
     return found.get(name.lower(), b"").decode("latin-1").strip()
