--- a/src/lugcross/platform/engine_client.py
+++ b/src/lugcross/platform/engine_client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Reports of model engines, counts of their experts, and orders to them."""
+"""Client of model engines: rank reports, expert counts, map-switch orders."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -18,17 +18,17 @@
 from lugcross import http1
 
 _REPORT_PATH = "/report"
-#: With ``lists`` in the query it tells maps, without it counts.
+#: Answers the expert counts; with ``lists`` in the query, the held experts.
 _EXPERT_COUNTS_PATH = "/picked"
 _HELD_MAP_PATH = "/picked?lists=1"
 _ORDER_PATH = "/order"
 _OPEN_GROUP_STATE = "open"
-#: Most times slower than usual that a rank is taken for: what is slower still
-#: gets no more work than it would at this, and figures stay finite.
+#: Upper limit of a rank's slowness; keeps what is computed from it finite.
 _MAX_SLOWNESS_FACTOR = 100.0
 
-#: Sends one request (method, target, body) to a backend server and returns
-#: status and body; raises what :mod:`lugcross.http1` raises.
+#: Sends one request (method, target, body) to a backend server and returns the
+#: status and body of the response. Raises ``http1.NoConnectionError`` or
+#: ``http1.ConnectionBrokenError``.
 SendRequest = Callable[
     [desired.Backend, str, str, bytes], Awaitable[tuple[int, bytes]]
 ]
@@ -47,9 +47,18 @@
 
 
 class _Report(msgspec.Struct):
-    """``waiting`` and ``running`` are requests, ``step`` is a pass.
-
-    ``pace`` says how many times longer than usual the rank takes.
+    """Report of one rank, as engines send it.
+
+    :param step: number of the pass that began last.
+    :param map: version of the map in use.
+    :param size: number of ranks in the group.
+    :param running: number of running requests.
+    :param waiting: number of waiting requests.
+    :param prepared: version of the prepared map.
+    :param armed: map that the rank will switch to, and the pass at which.
+    :param held: number of the pass that the rank holds.
+    :param pace: how many times longer than usual a pass takes at the rank.
+    :param born: start of the server, in milliseconds since 1970.
     """
 
     step: int = 0
@@ -66,7 +75,13 @@
 
 
 class _ExpertCounts(msgspec.Struct):
-    """``counts`` holds the experts of the first set, then of the next."""
+    """Uses of each expert at one rank, as engines send them.
+
+    :param step: number of the pass that began last.
+    :param epoch: life of the group.
+    :param counts: one count per expert, layer set by layer set.
+    :param born: start of the server, in milliseconds since 1970.
+    """
 
     step: int
     epoch: int
@@ -89,15 +104,15 @@
 
 
 class EngineQueryError(errors.PlatformError):
-    """An engine that did not tell what it was asked."""
+    """A query that failed or got no valid response."""
 
 
 @final
 class EngineClient:
-    """Asks engines and gives them orders.
+    """Client of the engines of all ranks.
 
-    :param send_query: sends a question to a backend server.
-    :param send_order: sends an order, with the patience that orders get.
+    :param send_query: sends queries, with the timeout of queries.
+    :param send_order: sends orders, with the timeout of orders.
     """
 
     def __init__(
@@ -109,9 +124,9 @@
     async def report(
         self, backend: desired.Backend
     ) -> experts.RankReport | None:
-        """Return the state of a rank; none if it is in no group.
+        """Return the report of a rank; none if it belongs to no group.
 
-        :raises EngineQueryError: when it does not tell.
+        :raises EngineQueryError: when the query fails.
         """
         raw = await self._get(backend, _REPORT_PATH, _Report)
         if raw.group is None:
@@ -148,9 +163,12 @@
     async def counts(
         self, backend: desired.Backend, limits: experts.ExpertLimits
     ) -> experts.ExpertCounts:
-        """Return how often each expert was used at a rank.
+        """Return how often a rank has used each expert since its start.
 
-        :raises EngineQueryError: when it does not tell.
+        :param limits: number of layer sets and experts that the response
+            must have.
+        :raises EngineQueryError: when the query fails, or the response has
+            another number of counts.
         """
         raw = await self._get(backend, _EXPERT_COUNTS_PATH, _ExpertCounts)
         try:
@@ -166,9 +184,9 @@
     async def held_experts(
         self, backend: desired.Backend
     ) -> experts.ExpertsBySet:
-        """Return the experts that a rank holds, by set.
+        """Return the experts that a rank holds, by layer set.
 
-        :raises EngineQueryError: when it does not tell.
+        :raises EngineQueryError: when the query fails.
         """
         raw = await self._get(backend, _HELD_MAP_PATH, _HeldMapAnswer)
         return tuple(map(tuple, raw.map.experts))
@@ -180,10 +198,12 @@
         epoch: experts.Epoch,
         generation: experts.Generation | None,
     ) -> experts.OrderResult:
-        """Give an order that counts in ``epoch`` only.
+        """Send an order to a rank, valid in ``epoch`` only.
 
-        :param generation: number of the lease that it is given under;
-            none where engines don't check it.
+        :param generation: generation of the leader's lease, sent as the
+            fence; none to send the order without a fence.
+        :returns: ``UNKNOWN`` if there is no response or its status says
+            nothing of the order.
         """
         fields = {**_order_fields(order), "epoch": epoch}
         if generation is not None:
@@ -196,7 +216,8 @@
         except http1.ConnectionBrokenError:
             return experts.OrderResult.UNKNOWN
         except http1.NoConnectionError:
-            # Not sent; asked again like one that may have been.
+            # The order was not sent. Callers repeat it just as they repeat
+            # one whose outcome is unknown.
             return experts.OrderResult.UNKNOWN
         if status in (http.HTTPStatus.OK, http.HTTPStatus.ACCEPTED):
             return experts.OrderResult.DONE
@@ -216,25 +237,27 @@
         if status != http.HTTPStatus.OK:
             raise _query_error(backend, f"status {status}")
         try:
-            told = msgspec.json.decode(body, type=kind)
+            answer = msgspec.json.decode(body, type=kind)
         except (msgspec.DecodeError, RecursionError) as exc:
             raise _query_error(backend, str(exc)) from exc
-        if None not in (told.born, backend.started_at_ms) and (
-            told.born != backend.started_at_ms
+        if None not in (answer.born, backend.started_at_ms) and (
+            answer.born != backend.started_at_ms
         ):
-            raise _query_error(backend, "another life of it answers")
-        return told
+            raise _query_error(
+                backend, "another life of the server has answered"
+            )
+        return answer
 
 
 @functools.singledispatch
 def _order_fields(order: experts.Order) -> dict[str, Any]:
-    """Return an order's fields as engines spell them."""
-    raise TypeError(f"no order: {order!r}")
+    """Return the JSON fields of an order, without epoch and fence."""
+    raise TypeError(f"not an order: {order!r}")
 
 
 @_order_fields.register
 def _(order: experts.Prepare) -> dict[str, Any]:
-    # On the wire a map is by set, then by rank.
+    # Engines take a map by layer set, then by rank.
     return {
         "operation": "prepare",
         "version": order.version,
@@ -268,6 +291,6 @@
 
 def _query_error(backend: desired.Backend, why: str) -> EngineQueryError:
     return EngineQueryError(
-        f"engine {backend.key} did not tell its state ({why})",
-        remedy="nothing to do: it is asked again",
+        f"query to engine {backend.key} failed ({why})",
+        remedy="nothing to do: the query is repeated",
     )
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Client of the platform's log, over HTTP, for asyncio.
+"""Asynchronous HTTP client of the platform's store.
 
-A topic has partitions of records. In a topic with keys the newest record
-of each key is kept for good; a record without a value removes its key.
+The store keeps topics, each with partitions of records; this client uses
+partition 0 of keyed topics. The store keeps the newest record of each key for
+good, and a record with an empty value removes its key.
 """
 
 import asyncio
@@ -27,16 +28,16 @@
 
 _RECORD_LENGTH = struct.Struct(">I")
 _READ_BOUNDS = struct.Struct(">QQ")
-#: Digits of the largest era, and a few more that a log line shows.
+#: Longest era that is parsed, in digits; longer texts are cut in log lines.
 _MAX_ERA_DIGITS = 12
-#: Stands for a value that cannot be read; none would remove its key.
+#: Replaces a value that cannot be decoded; an empty one would remove its key.
 _UNREADABLE_VALUE = b"\xff"
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class KeyedRecord:
-    """One record of a topic with keys; no value removes the key."""
+    """One record of a keyed topic; an empty value removes the key."""
 
     position: positions.Position
     key: str
@@ -46,9 +47,9 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ReadResult:
-    """Answer to one read of a topic.
+    """Records of one read of a topic.
 
-    :param end: position that the next record will get.
+    :param end: position that the topic's next record will get.
     """
 
     end: positions.Position
@@ -73,21 +74,22 @@
 
 @final
 class StoreClient:
-    """Reads and writes the platform's log, one call at a time each.
+    """Client of the store; each call in progress has a connection of its own.
 
-    :param address: as ``HOST:PORT``.
-    :param timeout: longest wait for an answer, past what a read asked
-        the store to wait.
+    :param address: address of the store as ``HOST:PORT``.
+    :param timeout: longest time to wait for a connection, and for a response
+        beyond the time that a read lets the store wait.
     """
 
     def __init__(self, address: str, *, timeout: datetime.timedelta) -> None:
         self._host, self._port = address_lib.split_host_port(address)
         self._timeout = timeout
         self._idle: list[http1.ClientConn] = []
-        #: The newest era that the store has told.
+        #: Latest era in any response of the store.
         self.era = positions.Era(0)
         self._has_answered = False
-        #: Called with a new era, and the one before it.
+        #: Called with the new era and the one before it; not called for the
+        #: first response.
         self.on_new_era: Callable[[positions.Era, positions.Era], None] = (
             lambda era, before: None
         )
@@ -95,10 +97,11 @@
     async def read_newest(self, topic: str) -> ReadResult:
         """Return the newest record of each key of ``topic``.
 
-        The end is that of the first page: the pages are no snapshot, so
-        that reading must go on from before the others were made.
+        The end is that of the first page. Records may be appended between
+        two pages, so that a reader must go on from there to miss none.
 
-        :raises errors.LogUnavailableError: when they cannot be read.
+        :raises errors.LogUnavailableError: when the call fails, or the era
+            changes between two pages.
         """
         records: list[KeyedRecord] = []
         end: positions.Position | None = None
@@ -114,7 +117,7 @@
             era = self.era
             if end is not None and positions.era(end) != era:
                 raise _log_unavailable_error(
-                    "its era has changed between two pages"
+                    "its era changed between two pages"
                 )
             records.extend(
                 _decode_newest_item(item, era) for item in page.items
@@ -132,14 +135,14 @@
         wait: datetime.timedelta,
         answer_timeout: datetime.timedelta | None = None,
     ) -> ReadResult:
-        """Return the records from ``start`` on, waiting for the first.
+        """Return the records from ``start`` on.
 
-        :param wait: how long the store may wait for the first.
+        :param wait: how long the store waits for a record if there is none.
         :param answer_timeout: longest wait for the response, added to
             ``wait``; the client's ``timeout`` if none.
-        :raises errors.OffsetExpiredError: when ``start`` is too old, or of
-            an earlier era.
-        :raises errors.LogUnavailableError: when they cannot be read.
+        :raises errors.OffsetExpiredError: when the store no longer has
+            ``start``, or ``start`` is of an earlier era.
+        :raises errors.LogUnavailableError: when the call fails.
         """
         era = positions.era(start)
         if era < self.era:
@@ -159,9 +162,10 @@
         return _decode_records(body, start)
 
     def _update_era(self, answer: http1.ResponseHead) -> None:
-        """Take over the era that an answer tells.
+        """Store the era of a response, and report a new one.
 
-        :raises errors.LogUnavailableError: when it is an earlier one.
+        :raises errors.LogUnavailableError: when the response is of an earlier
+            era.
         """
         first, self._has_answered = not self._has_answered, True
         era = _parse_era(answer)
@@ -169,29 +173,30 @@
             return
         if era < self.era:
             raise _log_unavailable_error(
-                f"an answer of era {era} after {self.era}"
+                f"response of era {era} after {self.era}"
             )
         before, self.era = self.era, era
         if not first:
             self.on_new_era(era, before)
 
     async def append(self, topic: str, key: str, value: bytes) -> None:
-        """Append one record to a topic with keys.
+        """Append one record to a keyed topic.
 
-        :raises errors.AppendUnknownError: it may have been kept.
+        :raises errors.AppendUnknownError: when the record may or may not have
+            been appended.
         """
         await self._append(topic, key, value, {})
 
     async def append_if_end(
         self, topic: str, key: str, value: bytes, end: positions.Position
     ) -> positions.Position:
-        """Append one record if the topic ends at ``end``.
+        """Append one record on the condition that the topic ends at ``end``.
 
-        :returns: where the topic ends now.
-        :raises errors.AppendConflictError: when it ends elsewhere, or an
-            era has begun in which the same end stands for another place.
-        :raises errors.AppendUnknownError: it may have been kept, or may
-            be yet.
+        :returns: the new end of the topic.
+        :raises errors.AppendConflictError: when the topic ends elsewhere, or
+            a new era has begun, in which its offsets are given out again.
+        :raises errors.AppendUnknownError: when the record may or may not have
+            been appended, or may still be.
         """
         era = positions.era(end)
         if era < self.era:
@@ -204,7 +209,7 @@
             appended = msgspec.json.decode(body, type=_AppendAnswer)
             return positions.position_of(era, ids.Offset(appended.end))
         except ValueError as exc:
-            raise _append_unknown_error(f"bad answer: {exc}") from exc
+            raise _append_unknown_error(f"malformed response: {exc}") from exc
 
     async def _append(
         self, topic: str, key: str, value: bytes, condition: dict[str, str]
@@ -226,7 +231,7 @@
         return body
 
     def close(self) -> None:
-        """Close the connections that no call uses."""
+        """Close the idle connections; calls in progress go on."""
         while self._idle:
             self._idle.pop().close()
 
@@ -242,7 +247,7 @@
     ) -> tuple[int, bytes]:
         limit = (wait + (answer_timeout or self._timeout)).total_seconds()
         conn = await self._acquire_connection()
-        kept = bool(conn.request_count)
+        reused = bool(conn.request_count)
         try:
             async with asyncio.timeout(limit):
                 target = f"{path}?{urllib.parse.urlencode(query)}"
@@ -252,17 +257,17 @@
                     headers.append((b"Content-Length", length))
                 conn.send(method.encode(), target.encode(), headers, body)
                 head = await conn.read_head()
-                answered = await conn.read_body()
+                answer = await conn.read_body()
         except (http1.ConnectionBrokenError, TimeoutError) as exc:
             conn.close()
             if isinstance(exc, TimeoutError):
-                # Silence mostly strikes all connections of one path: the
-                # next call on another kept one would hang as long.
+                # All connections that share a network path tend to go silent
+                # together: the next call on an idle one would time out, too.
                 self.close()
             why = str(exc) or f"no answer within {limit:g} s"
-            way = "kept" if kept else "new"
+            which = "reused" if reused else "new"
             raise _log_unavailable_error(
-                f"{why}, on a {way} connection"
+                f"{why}, on a {which} connection"
             ) from exc
         except BaseException:
             conn.close()
@@ -272,7 +277,7 @@
         else:
             conn.close()
         self._update_era(head)
-        return head.status, answered
+        return head.status, answer
 
     async def _acquire_connection(self) -> http1.ClientConn:
         while self._idle:
@@ -291,7 +296,7 @@
 
 
 def _parse_era(answer: http1.ResponseHead) -> positions.Era | None:
-    """Return the era that an answer tells; none if it tells none."""
+    """Return the era of a response; none if it has no valid one."""
     found = dict(answer.headers)
     text = header_names.header_text(found, header_names.STORE_ERA)
     if not text:
@@ -303,7 +308,9 @@
         and int(text) <= positions.MAX_ERA
     ):
         return positions.Era(int(text))
-    logging.warning("era not read", extra={"why": text[:_MAX_ERA_DIGITS]})
+    logging.warning(
+        "store era is invalid", extra={"why": text[:_MAX_ERA_DIGITS]}
+    )
     return None
 
 
@@ -311,7 +318,7 @@
     try:
         return positions.position_of(era, ids.Offset(offset))
     except ValueError as exc:
-        raise _log_unavailable_error(f"bad answer: {exc}") from exc
+        raise _log_unavailable_error(f"malformed response: {exc}") from exc
 
 
 def _decode_newest_item(item: _NewestItem, era: positions.Era) -> KeyedRecord:
@@ -328,13 +335,16 @@
     try:
         return msgspec.json.decode(body, type=_NewestPage)
     except msgspec.DecodeError as exc:
-        raise _log_unavailable_error(f"bad answer: {exc}") from exc
+        raise _log_unavailable_error(f"malformed response: {exc}") from exc
 
 
 def _decode_records(body: bytes, start: positions.Position) -> ReadResult:
-    """Decode the end, the first offset kept and the records.
+    """Decode the response to a read from ``start``.
+
+    The response is the end of the topic and its oldest offset (8 bytes each),
+    then the records, each after its length (4 bytes). Integers are big-endian.
 
-    Each record is its length, the length of its key, key and value.
+    :raises errors.LogUnavailableError: when it is malformed.
     """
     try:
         era = positions.era(start)
@@ -350,14 +360,15 @@
             records.append(_decode_record(_make_position(era, offset), record))
             offset += 1
     except struct.error as exc:
-        raise _log_unavailable_error(f"bad records: {exc}") from exc
+        raise _log_unavailable_error(f"malformed records: {exc}") from exc
     return ReadResult(end=_make_position(era, end), records=tuple(records))
 
 
 def _decode_record(offset: positions.Position, record: bytes) -> KeyedRecord:
-    """Return one record; one that cannot be read must not hide the others.
+    """Decode a record: length of its key (1 byte), key, value.
 
-    Its key is of no server then, or its value none that a server writes.
+    A malformed record must not keep the others from being read: it gets a
+    key or a value that no reader accepts.
     """
     key_end = 1 + record[0] if record else 1
     if key_end > len(record):
@@ -372,28 +383,28 @@
     return errors.OffsetExpiredError(
         f"topic {topic} no longer has offset {positions.offset(start)} of era"
         f" {positions.era(start)}",
-        remedy="start again from the newest record of each key",
+        remedy="read the newest record of each key instead",
     )
 
 
 def _append_conflict_error(topic: str) -> errors.LugcrossError:
     return errors.AppendConflictError(
-        f"topic {topic} does not end where it was read",
-        remedy="read it again",
+        f"the end of topic {topic} has changed since it was read",
+        remedy="read the topic again",
     )
 
 
 def _log_unavailable_error(why: str) -> errors.LogUnavailableError:
     return errors.LogUnavailableError(
-        f"the platform's log cannot be used ({why})",
-        remedy="nothing to do: it is asked again, and so are peers",
+        f"the store is unavailable ({why})",
+        remedy="nothing to do: the call is repeated, and peers are asked",
     )
 
 
 def _append_unknown_error(why: str) -> errors.AppendUnknownError:
     return errors.AppendUnknownError(
-        f"the append got no clear answer ({why})",
-        remedy="append it again: the newest record of a key counts",
+        f"the outcome of the append is unknown ({why})",
+        remedy="append the record again: only the newest of a key counts",
     )
 
 
--- a/src/lugcross/platform/store_records.py
+++ b/src/lugcross/platform/store_records.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Decoders of what the operator and the backend servers write.
+"""Decoders of the records that the operator and backend servers store.
 
-The structs mirror the platform's JSON; what leaves this module is in the
-product's own types.
+The private structs mirror the platform's JSON; the public functions return
+lugcross's own types.
 """
 
 import datetime
@@ -17,16 +17,18 @@
 from lugcross import experts
 from lugcross import ids
 
-#: Topics of the operator's and the backend servers' records.
+#: Topic to which the operator writes the desired state.
 OPERATOR_TOPIC = "keyed.op"
+#: Topic with the entry of each backend server.
 BACKENDS_TOPIC = "keyed.servers"
 #: Key of the desired state in the operator's topic.
 DESIRED_STATE_KEY = "config"
-#: Topic of the system's own, where each process tells its address.
+#: Lugcross's own topic in which each process registers its address.
 NODES_TOPIC = "keyed.lugcross.nodes"
-#: Topic of the system's own, with the lease of each duty.
+#: Lugcross's own topic of leases.
 LEASES_TOPIC = "keyed.lugcross.leases"
-#: Requests that are refused since servers have ended under them.
+#: Lugcross's own topic of crash suspects: requests that are refused because
+#: servers crashed while they ran them.
 SUSPECTS_TOPIC = "keyed.lugcross.suspects"
 
 _ROUTE_KINDS = {
@@ -38,13 +40,12 @@
     "ready": desired.BackendState.READY,
     "draining": desired.BackendState.LEAVING,
 }
-#: Latest start of a server that is believed, in milliseconds since 1970:
-#: far past any clock, and short enough for an id.
+#: Latest start of a server that is accepted, in milliseconds since 1970. The
+#: limit bounds the length of ids that contain the start.
 _MAX_START_MS = 10**15
-#: Largest port of TCP.
 _MAX_PORT = 65_535
-#: What decoding raises on bytes of another writer: other types, unknown
-#: names, figures past what a time can hold, or nesting without an end.
+#: Raised for malformed records: invalid JSON or types, unknown enum names,
+#: numbers too large for a time, or JSON nested too deeply.
 _DECODE_ERRORS = (
     msgspec.DecodeError,
     KeyError,
@@ -52,7 +53,7 @@
     RecursionError,
     ValueError,
 )
-#: Bits of a byte: weights are told in megabytes, links in megabits.
+#: Converts expert sizes, in megabytes, to megabits, the unit of links.
 _BITS_PER_BYTE = 8.0
 
 
@@ -129,10 +130,12 @@
 
 
 class _Backend(msgspec.Struct):
-    """Entry of a server, whole: one that lacks a field is not a server's.
+    """Entry of a backend server; one that lacks a required field is invalid.
 
-    ``version`` is that of its software, ``cold_ms`` how much longer it is
-    slow from its start; ``sequence`` counts its heartbeats.
+    :param version: version of the server's software.
+    :param cold_ms: how long the server is still slow after its start.
+    :param sequence: number of heartbeats that the server has sent.
+    :param born: start of the server, in milliseconds since 1970.
     """
 
     service: _Name
@@ -147,24 +150,26 @@
 
 
 def decode_desired(data: bytes) -> desired.DesiredState:
-    """Return the desired state in one record of the operator.
+    """Decode a desired state that the operator has stored.
 
-    :raises errors.ChangeError: when it is not one.
+    :raises errors.ChangeError: when it is invalid.
     """
     try:
         raw = msgspec.json.decode(data, type=_DesiredState)
         return _to_desired_state(raw)
     except _DECODE_ERRORS as exc:
         raise errors.ChangeError(
-            f"not a desired state ({exc})",
-            remedy="the one in force stands; publish a valid one",
+            f"desired state is invalid ({exc})",
+            remedy="the current one stays in force; publish a valid one",
         ) from exc
 
 
 def decode_backend(key: str, data: bytes) -> desired.Backend:
-    """Return the backend server in one record of the list.
+    """Decode the entry of a backend server.
 
-    :raises errors.ChangeError: when it is none.
+    :param key: key of the record, which is the server's id.
+    :param data: value of the record.
+    :raises errors.ChangeError: when the id or the entry is invalid.
     """
     try:
         raw = msgspec.json.decode(data, type=_Backend)
@@ -183,23 +188,26 @@
         )
     except _DECODE_ERRORS as exc:
         raise errors.ChangeError(
-            f"not a backend server ({exc})",
-            remedy="nothing is sent there until its entry is a server's",
+            f"entry of a backend server is invalid ({exc})",
+            remedy="the server gets no requests until its entry is valid",
         ) from exc
 
 
 def _to_backend_id(key: str) -> desired.BackendId:
-    """Return the id in the key of an entry; it goes into a header."""
+    """Return the id in the key of an entry.
+
+    :raises ValueError: when the key cannot be sent in a header.
+    """
     if not key.isprintable() or not key.isascii() or " " in key or not key:
-        raise ValueError(f"no id: {key[:40]!r}")
+        raise ValueError(f"invalid id: {key[:40]!r}")
     return desired.BackendId(key)
 
 
 def _check_address(host: str, port: int) -> None:
-    """Refuse what no connection can be made to."""
+    """Raise ``ValueError`` unless these are an IP address and a TCP port."""
     ipaddress.ip_address(host)
     if not 0 < port <= _MAX_PORT:
-        raise ValueError(f"no port: {port}")
+        raise ValueError(f"invalid port: {port}")
 
 
 def _to_desired_state(raw: _DesiredState) -> desired.DesiredState:
--- a/testing/platform/test_store_client.py
+++ b/testing/platform/test_store_client.py
@@ -155,7 +155,7 @@
         # Two calls side by side, so that two connections are kept.
         await asyncio.gather(*(client.read_newest(TOPIC) for _ in range(2)))
         store.silence_connections()
-        with pytest.raises(errors.LogUnavailableError, match="on a kept"):
+        with pytest.raises(errors.LogUnavailableError, match="on a reused"):
             await client.read_newest(TOPIC)
         before = asyncio.get_running_loop().time()
         await client.read_newest(TOPIC)
