--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -173,26 +173,26 @@
     :param headers: names in lower case.
     """
     headers = list(headers)
-    found = {name: value for name, value in headers}
+    values = {name: value for name, value in headers}
     wrong_instance = status == http.HTTPStatus.MISDIRECTED_REQUEST
     return BackendResponseHead(
         status=status,
-        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
-        signed=bool(header_names.header_text(found, header_names.SIGNATURE)),
+        attempt_id=header_names.header_text(values, header_names.ATTEMPT_ID),
+        signed=bool(header_names.header_text(values, header_names.SIGNATURE)),
         not_executed=wrong_instance
-        or bool(header_names.header_text(found, header_names.NOT_EXECUTED)),
+        or bool(header_names.header_text(values, header_names.NOT_EXECUTED)),
         wrong_instance=wrong_instance,
-        content_encoded=b"content-encoding" in found,
+        content_encoded=b"content-encoding" in values,
         load=_parse_load(
-            header_names.header_text(found, header_names.SERVER_LOAD)
+            header_names.header_text(values, header_names.SERVER_LOAD)
         ),
         keep_alive=_parse_keep_alive(
-            header_names.header_text(found, b"Keep-Alive")
+            header_names.header_text(values, b"Keep-Alive")
         ),
         retry_after=_parse_retry_after(headers)
         if _is_overload_or_server_error(status)
         else None,
-        leaving=header_names.header_text(found, header_names.SERVER_LEAVING)
+        leaving=header_names.header_text(values, header_names.SERVER_LEAVING)
         == _HEADER_TRUE,
     )
 
@@ -232,11 +232,11 @@
 
 def _parse_retry_after(headers: _RawHeaders) -> datetime.timedelta | None:
     """Return the longest time of all ``Retry-After`` fields, if any."""
-    name = header_names.RETRY_AFTER.lower()
-    values = [
-        _parse_seconds(value) for found, value in headers if found == name
+    retry_after = header_names.RETRY_AFTER.lower()
+    seconds = [
+        _parse_seconds(value) for name, value in headers if name == retry_after
     ]
-    longest = max(values, default=0.0)
+    longest = max(seconds, default=0.0)
     return datetime.timedelta(seconds=longest) if longest else None
 
 
--- a/src/lugcross/platform/caller_headers.py
+++ b/src/lugcross/platform/caller_headers.py
@@ -45,31 +45,31 @@
 
     :param headers: names in lower case.
     """
-    found = {name: value for name, value in headers}
+    values = {name: value for name, value in headers}
     tokens = header_names.header_text(
-        found, header_names.TOKEN_COUNTS
+        values, header_names.TOKEN_COUNTS
     ).partition(",")
-    left_ms = _parse_header_int(found, header_names.TIME_LEFT)
+    left_ms = _parse_header_int(values, header_names.TIME_LEFT)
     return CallerRequestHead(
-        attempt_id=header_names.header_text(found, header_names.ATTEMPT_ID),
+        attempt_id=header_names.header_text(values, header_names.ATTEMPT_ID),
         time_left=(
             None
             if left_ms is None
             else datetime.timedelta(milliseconds=left_ms)
         ),
-        api_key=header_names.header_text(found, header_names.API_KEY),
+        api_key=header_names.header_text(values, header_names.API_KEY),
         last_event_id=header_names.header_text(
-            found, header_names.LAST_EVENT_ID
+            values, header_names.LAST_EVENT_ID
         ),
         prompt_tokens=_parse_int(tokens[0], header_names.TOKEN_COUNTS) or 0,
         max_tokens=_parse_int(tokens[2], header_names.TOKEN_COUNTS) or 0,
-        expected_tokens=_parse_header_int(found, header_names.LENGTH_HINT)
+        expected_tokens=_parse_header_int(values, header_names.LENGTH_HINT)
         or 0,
     )
 
 
-def _parse_header_int(found: dict[bytes, bytes], name: bytes) -> int | None:
-    return _parse_int(header_names.header_text(found, name), name)
+def _parse_header_int(values: dict[bytes, bytes], name: bytes) -> int | None:
+    return _parse_int(header_names.header_text(values, name), name)
 
 
 def _parse_int(text: str, name: bytes) -> int | None:
--- a/src/lugcross/platform/header_names.py
+++ b/src/lugcross/platform/header_names.py
@@ -42,9 +42,9 @@
 RETRY_AFTER = b"Retry-After"
 
 
-def header_text(found: Mapping[bytes, bytes], name: bytes) -> str:
+def header_text(values: Mapping[bytes, bytes], name: bytes) -> str:
     """Return a header's value, stripped; empty if the header is missing.
 
-    :param found: header values by lower-case name.
+    :param values: header values by lower-case name.
     """
-    return found.get(name.lower(), b"").decode("latin-1").strip()
+    return values.get(name.lower(), b"").decode("latin-1").strip()
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -167,7 +167,7 @@
         :raises errors.LogUnavailableError: when the response is of an earlier
             era.
         """
-        first, self._has_answered = not self._has_answered, True
+        is_first, self._has_answered = not self._has_answered, True
         era = _parse_era(answer)
         if era is None or era == self.era:
             return
@@ -176,7 +176,7 @@
                 f"response of era {era} after {self.era}"
             )
         before, self.era = self.era, era
-        if not first:
+        if not is_first:
             self.on_new_era(era, before)
 
     async def append(self, topic: str, key: str, value: bytes) -> None:
@@ -215,8 +215,8 @@
         self, topic: str, key: str, value: bytes, condition: dict[str, str]
     ) -> bytes:
         name = key.encode()
-        rest = bytes((len(name),)) + name + value
-        record = _RECORD_LENGTH.pack(len(rest)) + rest
+        content = bytes((len(name),)) + name + value
+        record = _RECORD_LENGTH.pack(len(content)) + content
         query = {"topic": topic, "part": "0", **condition}
         try:
             status, body = await self._request(
@@ -297,8 +297,8 @@
 
 def _parse_era(answer: http1.ResponseHead) -> positions.Era | None:
     """Return the era of a response; none if it has no valid one."""
-    found = dict(answer.headers)
-    text = header_names.header_text(found, header_names.STORE_ERA)
+    headers = dict(answer.headers)
+    text = header_names.header_text(headers, header_names.STORE_ERA)
     if not text:
         return None
     digits = text.isascii() and text.isdigit()
@@ -350,13 +350,13 @@
         era = positions.era(start)
         end, first = _READ_BOUNDS.unpack_from(body)
         records = []
-        at = _READ_BOUNDS.size
+        pos = _READ_BOUNDS.size
         offset = max(positions.offset(start), first)
-        while at < len(body):
-            (size,) = _RECORD_LENGTH.unpack_from(body, at)
-            at += _RECORD_LENGTH.size
-            record = body[at : at + size]
-            at += size
+        while pos < len(body):
+            (size,) = _RECORD_LENGTH.unpack_from(body, pos)
+            pos += _RECORD_LENGTH.size
+            record = body[pos : pos + size]
+            pos += size
             records.append(_decode_record(_make_position(era, offset), record))
             offset += 1
     except struct.error as exc:
--- a/src/lugcross/platform/store_records.py
+++ b/src/lugcross/platform/store_records.py
@@ -214,12 +214,12 @@
     by_host: dict[str, list[desired.Route]] = {}
     for one in raw.routes:
         by_host.setdefault(one.host, []).append(_to_route(one))
-    keys = {}
-    for space in raw.tenants or ():
+    workspaces_by_key = {}
+    for tenant in raw.tenants or ():
         workspace = desired.Workspace(
-            name=ids.WorkspaceName(space.name), priority=space.priority
+            name=ids.WorkspaceName(tenant.name), priority=tenant.priority
         )
-        keys.update(dict.fromkeys(space.api_keys, workspace))
+        workspaces_by_key.update(dict.fromkeys(tenant.api_keys, workspace))
     return desired.DesiredState(
         version=raw.version,
         routes={
@@ -235,7 +235,7 @@
             head_timeout=_milliseconds(raw.limits.header_ms),
             idle_timeout=_milliseconds(raw.limits.idle_ms),
         ),
-        workspaces_by_key=keys,
+        workspaces_by_key=workspaces_by_key,
         keys_required=raw.tenants is not None,
     )
 
--- a/src/lugcross/standin/__init__.py
+++ b/src/lugcross/standin/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Small stand-ins of the platform and of what backend servers run."""
+"""Stand-ins of the platform's services and of backend servers."""
 
 from lugcross.standin.engine import answer_prefix
 from lugcross.standin.engine import answer_token
--- a/src/lugcross/standin/engine.py
+++ b/src/lugcross/standin/engine.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Stand-in of a model engine that batches continuously.
+"""Stand-in of a model engine with continuous batching.
 
-Its tokens are a function of prompt and position, so that a reader can
-tell whose answer it has, and a stream can be resumed anywhere.
+Each generated token is a function of the prompt and of its position, so that
+tests can check that a response belongs to its request, and a stream can be
+resumed at any position.
 """
 
 import collections
@@ -34,11 +35,11 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class EngineSpeed:
-    """How fast an engine is.
+    """Durations that make up one step of an engine, in seconds.
 
-    :param step_s: a step with an empty batch, in seconds.
-    :param per_sequence_s: added for each sequence of the batch, in seconds.
-    :param per_prefill_byte_s: added for each uncached prompt byte, in seconds.
+    :param step_s: fixed part.
+    :param per_sequence_s: added for each sequence in the batch.
+    :param per_prefill_byte_s: added for each prompt byte that isn't cached.
     """
 
     step_s: float = 0.005
@@ -48,7 +49,12 @@
 
 @final
 class _Sequence:
-    """One request in the engine."""
+    """One request in the engine.
+
+    :param fields: JSON fields of the request.
+    :param start: position of the first token to generate.
+    :ivar output: positions of generated tokens; none marks the end.
+    """
 
     def __init__(self, fields: dict[str, Any], start: int) -> None:
         prompt = fields.get("messages") or fields.get("prompt")
@@ -68,7 +74,7 @@
 
 
 def answer_prefix(prompt: str) -> str:
-    """Return what every token of the answer to ``prompt`` begins with.
+    """Return the prefix of all tokens generated for ``prompt``.
 
     :param prompt: the JSON text of the prompt or the messages.
     """
@@ -76,17 +82,22 @@
 
 
 def answer_token(prefix: str, position: int) -> str:
-    """Return one token of an answer."""
+    """Return the generated token at a position."""
     return f"{prefix}-{position} "
 
 
 @final
 class EngineStandin:
-    """Batches requests step by step.
-
-    :param max_batch: sequences in one step; more wait.
-    :param checks_orders: whether it refuses orders with an old fence.
-    :param cache_event_lag_s: how late cache events are, in seconds.
+    """Engine that generates one token for each sequence of a batch per step.
+
+    :param max_batch: limit of sequences in the batch.
+    :param max_waiting: limit of waiting sequences; further requests get 429.
+    :param checks_orders: whether orders with an outdated fence are refused.
+    :param cache_event_lag_s: delay of cache events, in seconds.
+    :param load_report_lag_s: delay of load reports, in seconds.
+    :param tracer: traces completions; none for no traces.
+    :ivar fault_injector: provides the fault ``close_early``; none if the
+        engine runs without a server.
     """
 
     def __init__(
@@ -134,24 +145,27 @@
         self._thread = threading.Thread(target=self._run_steps, daemon=True)
 
     def start(self) -> None:
-        """Start the step clock."""
+        """Start the thread that runs the steps."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop the step clock."""
+        """Stop the thread that runs the steps."""
         with self._changed:
             self._stopping = True
             self._changed.notify_all()
 
     @property
     def sequence_count(self) -> int:
-        """Sequences in the batch and waiting; cancelled ones are gone."""
+        """Number of sequences in the batch and waiting.
+
+        Cancelled ones count until the next step begins.
+        """
         return len(self._batch) + len(self._waiting)
 
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         path = environ["PATH_INFO"]
         if path == "/load":
             return faults.json_response(
@@ -205,11 +219,12 @@
             with tracer.span("engine.complete", parent, request=name):
                 yield from self._stream_tokens(seq)
         finally:
-            # Runs when the reader hangs up, too: its slot is freed.
+            # A client that disconnects ends the generator, too; this frees
+            # the slot of its sequence.
             seq.cancelled = True
 
     def _stream_tokens(self, seq: _Sequence) -> Iterator[bytes]:
-        early = (
+        closes_early = (
             self.fault_injector is not None
             and self.fault_injector.consume("close_early")
         )
@@ -220,9 +235,9 @@
                 return
             last = position + 1 >= seq.max_tokens
             yield b"data: " + _encode_chunk(seq, position, last=last) + b"\n\n"
-            if early and position >= seq.max_tokens // 2:
-                # Cleanly, as far as HTTP can tell: only the end mark is
-                # missing.
+            if closes_early and position >= seq.max_tokens // 2:
+                # The HTTP response ends properly, but the stream lacks its
+                # end event.
                 return
 
     def _run_steps(self) -> None:
@@ -246,22 +261,22 @@
     def _admit(self) -> None:
         self._batch = [s for s in self._batch if not s.cancelled]
         self._waiting = [s for s in self._waiting if not s.cancelled]
-        room = self._max_batch - len(self._batch)
-        self._batch += self._waiting[:room]
-        del self._waiting[:room]
+        free_count = self._max_batch - len(self._batch)
+        self._batch += self._waiting[:free_count]
+        del self._waiting[:free_count]
 
     def _step_time(self, batch: list[_Sequence]) -> float:
         speed = self._speed
-        fresh = [seq for seq in batch if not seq.prefilled]
-        prefill = sum(self._fill_cache(seq) for seq in fresh)
+        to_prefill = [seq for seq in batch if not seq.prefilled]
+        prefill_bytes = sum(self._fill_cache(seq) for seq in to_prefill)
         return (
             speed.step_s
             + speed.per_sequence_s * len(batch)
-            + speed.per_prefill_byte_s * prefill
+            + speed.per_prefill_byte_s * prefill_bytes
         )
 
     def _fill_cache(self, seq: _Sequence) -> int:
-        """Fill the prefix cache; return the bytes that were not there."""
+        """Add a prompt to the prefix cache; return its uncached length."""
         seq.prefilled = True
         missing = len(seq.prompt)
         for end in range(
@@ -288,17 +303,18 @@
         if seq.next_position >= seq.max_tokens:
             seq.output.put(None)
 
-    # Reports, which come late.
+    # Cache events and load reports; both become visible after a lag.
 
-    def _publish_cache_event(self, what: str, block: str) -> None:
+    def _publish_cache_event(self, kind: str, block: str) -> None:
         self._cache_event_count += 1
         if self._cache_event_count % _DROPPED_EVENT_INTERVAL == 0:
-            return  # The published stream has gaps; so has this one.
+            # Like the events of real engines, these have gaps.
+            return
         self._cache_events.append(
             {
                 "seq": self._cache_event_count,
                 "at": time.monotonic(),
-                "what": what,
+                "what": kind,
                 "block": block[:16],
             }
         )
--- a/src/lugcross/standin/faults.py
+++ b/src/lugcross/standin/faults.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Switches that make a stand-in misbehave, and its HTTP server."""
+"""Fault injection for stand-ins, and the HTTP server that they run in."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 _SERVER_THREADS = 128
 _LISTEN_BACKLOG = 256
-#: Path on which every stand-in takes its switches.
+#: Path at which every stand-in accepts a JSON-encoded :class:`Faults`.
 FAULTS_PATH = "/faults"
 
 Environ = dict[str, Any]
@@ -27,15 +27,16 @@
 
 @final
 class Faults(msgspec.Struct, kw_only=True, forbid_unknown_fields=True):
-    """How a stand-in misbehaves.
-
-    :param down: answers 503 without doing anything (an outage).
-    :param cut: drops each connection without doing anything.
-    :param frozen: takes requests and does nothing until unset.
-    :param delay_s: waits before doing anything (slow, late).
-    :param lose_answers: next requests that take effect and are then
-        dropped without an answer.
-    :param close_early: next streams that end without their end mark.
+    """Faults that a stand-in injects.
+
+    :param down: respond with 503 without executing the request.
+    :param cut: close the connection without executing the request.
+    :param frozen: accept requests, but execute them only once this is unset.
+    :param delay_s: delay before executing each request, in seconds.
+    :param lose_answers: number of next requests that are executed, but whose
+        connection is closed without a response.
+    :param close_early: number of next streams that end without their end
+        event.
     """
 
     down: bool = False
@@ -47,7 +48,7 @@
 
 
 class DroppedConnectionError(Exception):
-    """Makes the server close a connection without an answer."""
+    """Makes the server close a connection without a response."""
 
 
 _FROZEN_POLL_S = 0.01
@@ -55,7 +56,10 @@
 
 @final
 class FaultInjector:
-    """Puts switches before a stand-in's own application."""
+    """WSGI middleware that injects faults before a stand-in's application.
+
+    :ivar faults: faults that are injected now.
+    """
 
     def __init__(self, app: WsgiApp) -> None:
         self._app = app
@@ -65,7 +69,7 @@
     def __call__(
         self, environ: Environ, start_response: StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request, or misbehave."""
+        """Handle one request, with the faults that are set."""
         if environ["PATH_INFO"] == FAULTS_PATH:
             return self._set_faults(environ, start_response)
         self._apply_faults()
@@ -81,7 +85,10 @@
         return body
 
     def consume(self, name: str) -> bool:
-        """Use up one of a counted fault; tell whether there was one."""
+        """Decrement a counted fault unless it is 0; tell whether it was not 0.
+
+        :param name: field of :class:`Faults`.
+        """
         with self._lock:
             left = getattr(self.faults, name)
             if left:
@@ -111,9 +118,11 @@
 
 @final
 class StandinServer:
-    """One stand-in on a port of its own.
+    """HTTP server of one stand-in.
 
-    :param port: 0 lets the system choose.
+    :param app: the stand-in.
+    :param port: port to listen on; 0 for any free port.
+    :ivar fault_injector: injects faults before ``app``.
     """
 
     def __init__(self, app: WsgiApp, *, host: str, port: int) -> None:
@@ -133,12 +142,12 @@
 
     @property
     def url(self) -> str:
-        """Base URL, once started."""
+        """Base URL; known once the server has started."""
         host, port = self._server.bind_addr
         return f"http://{host}:{port}"
 
     def start(self) -> None:
-        """Listen and serve."""
+        """Listen, and serve in a thread."""
         self._server.prepare()
         self._thread.start()
         port = self._server.bind_addr[1]
@@ -152,13 +161,13 @@
 def _log_at_debug(
     msg: str = "", level: int = 20, traceback: bool = False
 ) -> None:
-    # Dropped connections are what a stand-in is for.
+    # Stand-ins drop connections on purpose; that is no error to report.
     del level, traceback
-    logging.debug("standin: %s", msg)
+    logging.debug("stand-in server: %s", msg)
 
 
 def read_body(environ: Environ) -> bytes:
-    """Return the whole body of a request."""
+    """Read the body of a request."""
     body: bytes = environ["wsgi.input"].read()
     return body
 
@@ -170,7 +179,11 @@
     *,
     headers: Iterable[tuple[str, str]] = (),
 ) -> list[bytes]:
-    """Send a small JSON answer."""
+    """Start a JSON response, and return its body.
+
+    :param fields: value to encode.
+    :param headers: further headers of the response.
+    """
     body = json.dumps(fields).encode()
     start_response(
         f"{status.value} {status.phrase}",
--- a/src/lugcross/standin/hosts.py
+++ b/src/lugcross/standin/hosts.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Stand-in of the platform's list of live and leaving hosts."""
+"""Stand-in of the platform's list of hosts."""
 
 import collections
 from collections.abc import Iterable
@@ -17,9 +17,9 @@
 
 @final
 class HostsStandin:
-    """A list that shows each change only after a while.
+    """Host list that shows each change after a fixed lag.
 
-    :param lag_s: how far the list is behind, in seconds.
+    :param lag_s: time until a change becomes visible, in seconds.
     """
 
     def __init__(self, *, lag_s: float = _DEFAULT_LAG_S) -> None:
@@ -32,7 +32,7 @@
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        """``GET`` answers the list; ``POST`` sets one host."""
+        """Return the list on ``GET``; set one host on ``POST``."""
         if environ["REQUEST_METHOD"] == "POST":
             body = faults.read_body(environ)
             self.set(msgspec.json.decode(body, type=logservice.Host))
@@ -44,7 +44,7 @@
         )
 
     def set(self, host: logservice.Host) -> None:
-        """Let the list show ``host`` after the lag."""
+        """Add or replace ``host``, visible after the lag."""
         self._pending.append((time.monotonic() + self._lag_s, host))
 
     def _visible_hosts(self) -> list[logservice.Host]:
--- a/src/lugcross/standin/log.py
+++ b/src/lugcross/standin/log.py
@@ -14,7 +14,7 @@
 from lugcross import logservice
 from lugcross.standin import faults
 
-#: Path that answers how many appends and reads there were.
+#: Path at which the stand-in returns its numbers of appends and reads.
 CALL_COUNTS_PATH = "/counts"
 
 _DEFAULT_APPENDS_PER_S = 100.0
@@ -44,10 +44,13 @@
 
 @final
 class LogStandin:
-    """Streams in memory, with a rate limit and a retention.
+    """In-memory log with a rate limit and a retention period.
 
-    :param appends_per_s: appends a second, all streams together.
-    :param retention_s: how long a record is kept, in seconds.
+    :param appends_per_s: limit of appends a second over all streams; a burst
+        of one second's worth is allowed.
+    :param retention_s: retention period of a record, in seconds.
+    :ivar append_count: number of appended records.
+    :ivar read_count: number of reads.
     """
 
     def __init__(
@@ -68,7 +71,7 @@
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         if environ["PATH_INFO"] == CALL_COUNTS_PATH:
             counts = {"appends": self.append_count, "reads": self.read_count}
             return faults.json_response(
@@ -80,7 +83,7 @@
         return self._read(name, environ, start_response)
 
     def append(self, name: str, data: bytes) -> int:
-        """Append one record, past the rate limit."""
+        """Append one record without the rate limit; return its offset."""
         with self._changed:
             stream = self._streams.setdefault(name, _Stream())
             stream.records.append(_StoredRecord(time.monotonic(), data))
@@ -89,7 +92,7 @@
             return stream.end - 1
 
     def expire(self, name: str, *, before: int) -> None:
-        """Drop the records of a stream before an offset, as age would."""
+        """Drop a stream's records before an offset, as if they had expired."""
         with self._changed:
             stream = self._streams[name]
             while stream.first_offset < before and stream.records:
--- a/src/lugcross/standin/memory_log.py
+++ b/src/lugcross/standin/memory_log.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The platform's log in memory, with its faults, for focused tests."""
+"""In-process implementation of the platform's log, with faults, for tests."""
 
 from typing import final
 
@@ -10,11 +10,13 @@
 
 @final
 class InMemoryLog:
-    """Implements :class:`logservice.Log` without waiting or sockets.
+    """Implementation of :class:`logservice.Log` that never waits.
 
-    :ivar down: appends and reads fail; nothing is kept.
-    :ivar lose_answers: next appends that are kept and look failed.
-    :ivar read_waits_s: how long each read asked to wait for news, in seconds.
+    :ivar down: whether all appends and reads fail.
+    :ivar lose_answers: number of next appends that take effect, but raise
+        :class:`errors.AppendUnknownError`.
+    :ivar append_count: number of records appended.
+    :ivar read_waits_s: ``wait_s`` of each read.
     """
 
     def __init__(self) -> None:
@@ -26,10 +28,10 @@
         self._first_offsets: dict[str, int] = {}
 
     def append(self, stream: str, data: bytes) -> ids.Offset:
-        """Append one record.
+        """Append one record; return its offset.
 
         :raises errors.LogThrottledError: while the log is down.
-        :raises errors.AppendUnknownError: when the answer is lost.
+        :raises errors.AppendUnknownError: while ``lose_answers`` is not 0.
         """
         if self.down:
             raise errors.LogThrottledError(
@@ -40,16 +42,19 @@
         self.append_count += 1
         if self.lose_answers:
             self.lose_answers -= 1
-            raise errors.AppendUnknownError("lost answer", remedy="read on")
+            raise errors.AppendUnknownError(
+                "response lost", remedy="read the log for the outcome"
+            )
         return ids.Offset(len(records))
 
     def read(
         self, stream: str, start: ids.Offset, *, wait_s: float = 0.0
     ) -> logservice.Batch:
-        """Return the records from ``start`` on.
+        """Return the records from ``start`` on, without waiting.
 
         :raises errors.LogUnavailableError: while the log is down.
-        :raises errors.OffsetExpiredError: when ``start`` is too old.
+        :raises errors.OffsetExpiredError: when the record at ``start`` has
+            expired.
         """
         self.read_waits_s.append(wait_s)
         if self.down:
@@ -73,6 +78,6 @@
         )
 
     def expire(self, stream: str, *, before: int) -> None:
-        """Let the records before an offset expire."""
+        """Expire the records of a stream before an offset."""
         end = len(self._streams.get(stream, [])) + 1
         self._first_offsets[stream] = min(before, end)
--- a/src/lugcross/standin/service.py
+++ b/src/lugcross/standin/service.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Stand-in of a plain service, which records all that it ran."""
+"""Stand-in of a plain service that counts the requests that it executes."""
 
 import collections
 from collections.abc import Iterable
@@ -10,15 +10,19 @@
 
 from lugcross.standin import faults
 
-#: Path that answers how often each request ran, by its id.
+#: Path at which a stand-in returns how often it has run each request, by
+#: idempotency key or request id.
 RUN_COUNTS_PATH = "/ran"
 
 
 @final
 class ServiceStandin:
-    """Gives a receipt for each request.
+    """Service that returns a numbered receipt for each request.
+
+    Requests are counted by idempotency key, or request id without a key.
 
     :param work_s: how long one request takes, in seconds.
+    :ivar run_counts: number of executions of each request.
     """
 
     def __init__(self, *, work_s: float = 0.002) -> None:
@@ -29,7 +33,7 @@
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        """Run one request and answer its receipt."""
+        """Execute one request, and respond with its receipt."""
         if environ["PATH_INFO"] == RUN_COUNTS_PATH:
             return faults.json_response(
                 start_response, http.HTTPStatus.OK, dict(self.run_counts)
--- a/src/lugcross/standin/store.py
+++ b/src/lugcross/standin/store.py
@@ -1,8 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Stand-in of the users' log store, as its published protocol has it.
+"""Stand-in of the platform's store, after its published protocol.
 
-Topics with keys only: reads from an offset, the newest record of each
-key, and appends. Faults are set on the object while it runs.
+It has keyed topics only, and supports reads from an offset, reads of the
+newest record of each key, and appends. Tests set faults on the object while
+it runs.
 """
 
 import asyncio
@@ -53,11 +54,12 @@
 
 @final
 class StoreStandin:
-    """A store in memory.
+    """In-memory store.
 
-    :ivar unavailable: whether every call gets 503.
-    :ivar page_size: keys of one page of newest records.
-    :ivar era: what it tells in all answers; none where it tells nothing.
+    :ivar unavailable: whether all calls get 503.
+    :ivar page_size: keys per page of newest records.
+    :ivar era: value of the era header in all responses; none to send no era.
+    :ivar called_paths: path of each call.
     """
 
     def __init__(self) -> None:
@@ -70,7 +72,7 @@
         self.called_paths: list[str] = []
 
     async def start(self, host: str) -> str:
-        """Listen on a free port; return the address."""
+        """Listen on a free port; return the address as ``HOST:PORT``."""
         self._server = await asyncio.start_server(self._serve, host, 0)
         port = self._server.sockets[0].getsockname()[1]
         return f"{host}:{port}"
@@ -89,25 +91,26 @@
         self._topic(topic).first_offset = self._topic(topic).end
 
     def copy(self) -> "StoreStandin":
-        """Return a store that has what this one has now."""
-        made = StoreStandin()
+        """Return a new store with copies of the topics, but no era."""
+        copy = StoreStandin()
         for name, topic in self._topics.items():
-            one = made._topic(name)
-            one.first_offset = topic.first_offset
-            one.records = list(topic.records)
-            one.newest = dict(topic.newest)
-        return made
+            copied = copy._topic(name)
+            copied.first_offset = topic.first_offset
+            copied.records = list(topic.records)
+            copied.newest = dict(topic.newest)
+        return copy
 
     def restore_from(self, older: "StoreStandin") -> None:
-        """Go on from an older copy of this store, in a new era.
+        """Replace the topics with those of an older copy; begin a new era.
 
-        Reads that wait go on waiting, at ends that now are others.
+        Reads that wait for records aren't woken, although the ends of their
+        topics may have changed.
         """
         self._topics = older.copy()._topics
         self.era = str(int(self.era or 0) + 1)
 
     def headers(self) -> list[tuple[bytes, bytes]]:
-        """Return the headers of each answer."""
+        """Return the headers that all responses have."""
         return [] if self.era is None else [(b"Store-Era", self.era.encode())]
 
     async def _serve(
@@ -132,11 +135,12 @@
         await response.write_head(status, self.headers(), body, whole=True)
 
     async def handle_request(
-        self, target: str, sent: bytes
+        self, target: str, body: bytes
     ) -> tuple[http.HTTPStatus, bytes]:
-        """Return status and body of the answer to one call.
+        """Execute one call; return the status and body of its response.
 
         :param target: path and query.
+        :param body: body of the request.
         """
         parts = urllib.parse.urlsplit(target)
         query = dict(urllib.parse.parse_qsl(parts.query))
@@ -148,7 +152,7 @@
         if parts.path == "/log-read":
             return await self._read(query)
         if parts.path == "/log-append":
-            return self._append(query, sent)
+            return self._append(query, body)
         return http.HTTPStatus.NOT_FOUND, b""
 
     def _topic(self, name: str) -> _Topic:
@@ -184,7 +188,7 @@
                 async with asyncio.timeout(wait_s):
                     await topic.changed.wait()
             except TimeoutError:
-                # Nothing came: the answer holds no records.
+                # The response has no records.
                 pass
             query = {**query, "wait_ms": "0"}
             return await self._read(query)
@@ -203,14 +207,14 @@
         if int(query.get("current_rev", first)) != first:
             body = json.dumps({"end": first}).encode()
             return http.HTTPStatus.PRECONDITION_FAILED, body
-        at = 0
-        while at < len(body):
-            (size,) = _RECORD_LENGTH.unpack_from(body, at)
+        pos = 0
+        while pos < len(body):
+            (size,) = _RECORD_LENGTH.unpack_from(body, pos)
             record = body[
-                at + _RECORD_LENGTH.size : at + _RECORD_LENGTH.size + size
+                pos + _RECORD_LENGTH.size : pos + _RECORD_LENGTH.size + size
             ]
-            at += _RECORD_LENGTH.size + size
+            pos += _RECORD_LENGTH.size + size
             key_end = 1 + record[0]
             topic.append(record[1:key_end].decode(), record[key_end:])
-        answer = {"offset": first, "end": topic.end}
-        return http.HTTPStatus.OK, json.dumps(answer).encode()
+        result = {"offset": first, "end": topic.end}
+        return http.HTTPStatus.OK, json.dumps(result).encode()
--- a/src/lugcross/standin/weights.py
+++ b/src/lugcross/standin/weights.py
@@ -17,9 +17,12 @@
 
 @final
 class WeightsStandin:
-    """``GET /weights/NAME?bytes=N`` answers N bytes, all readers metered.
+    """Store with a rate limit that all its readers share.
 
-    :param bytes_per_s: what all readers get together.
+    ``GET /weights/NAME?bytes=N`` returns N zero bytes.
+
+    :param bytes_per_s: rate limit, in bytes a second.
+    :ivar served_bytes: number of bytes sent or about to be sent.
     """
 
     def __init__(self, *, bytes_per_s: float = _DEFAULT_BYTES_PER_S) -> None:
@@ -31,7 +34,7 @@
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         query = dict(urllib.parse.parse_qsl(environ["QUERY_STRING"]))
         size = int(query["bytes"])
         status = http.HTTPStatus.OK
@@ -47,7 +50,10 @@
             yield bytes(chunk)
 
     def _reserve(self, size: int) -> float:
-        """Reserve a part of the rate; return how long to wait for it."""
+        """Reserve transfer time for some bytes.
+
+        :returns: time until they may be sent, in seconds.
+        """
         with self._lock:
             now = time.monotonic()
             self._busy_until = (
