--- a/testing/platform/test_engine_client.py
+++ b/testing/platform/test_engine_client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""How engines are asked and ordered, by the platform's published words."""
+"""The engine client against responses of the platform's protocol."""
 
 import asyncio
 import dataclasses
@@ -37,13 +37,16 @@
 }
 
 
-class FakeTransport:
-    """Answers every request alike and keeps what was asked."""
+class _FakeTransport:
+    """Gives every request the same response, or raises the same error.
+
+    :ivar requests: method, target and body of each request.
+    """
 
     def __init__(self, status: int, answer: object) -> None:
         self.status = status
         self.answer = answer
-        self.asked: list[tuple[str, str, bytes]] = []
+        self.requests: list[tuple[str, str, bytes]] = []
 
     async def exchange(
         self, backend: desired.Backend, method: str, target: str, body: bytes
@@ -51,25 +54,25 @@
         assert backend == dataclasses.replace(
             BACKEND, started_at_ms=backend.started_at_ms
         )
-        self.asked.append((method, target, body))
+        self.requests.append((method, target, body))
         if isinstance(self.answer, Exception):
             raise self.answer
         return self.status, json.dumps(self.answer).encode()
 
 
-def engine_client(
+def _make_client(
     answer: object, status: int = 200
-) -> tuple[platform.EngineClient, FakeTransport]:
-    transport = FakeTransport(status, answer)
+) -> tuple[platform.EngineClient, _FakeTransport]:
+    transport = _FakeTransport(status, answer)
     return platform.EngineClient(
         transport.exchange, transport.exchange
     ), transport
 
 
-def test_report_is_decoded_into_what_its_fields_say():
-    client, transport = engine_client(REPORT)
+def test_report_is_decoded():
+    client, transport = _make_client(REPORT)
     report = asyncio.run(client.report(BACKEND))
-    assert transport.asked == [("GET", "/report", b"")]
+    assert transport.requests == [("GET", "/report", b"")]
     assert report == experts.RankReport(
         group="g",
         rank_count=8,
@@ -86,24 +89,24 @@
 
 
 def test_engine_without_a_group_has_no_report():
-    client, _ = engine_client({"running": 1})
+    client, _ = _make_client({"running": 1})
     assert asyncio.run(client.report(BACKEND)) is None
 
 
-def test_group_that_is_not_open_is_broken():
+def test_broken_group_is_not_open():
     group = {**REPORT["group"], "state": "broken"}
-    client, _ = engine_client({**REPORT, "group": group})
+    client, _ = _make_client({**REPORT, "group": group})
     report = asyncio.run(client.report(BACKEND))
     assert report is not None
     assert not report.is_open
 
 
-def test_counts_are_split_into_sets():
-    client, transport = engine_client(
+def test_counts_are_split_by_layer_set():
+    client, transport = _make_client(
         {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
     )
     counts = asyncio.run(client.counts(BACKEND, LIMITS))
-    assert transport.asked == [("GET", "/picked", b"")]
+    assert transport.requests == [("GET", "/picked", b"")]
     assert counts.uses_by_set == ((1, 2, 3), (4, 5, 6))
 
 
@@ -115,10 +118,10 @@
         http1.ConnectionBrokenError("cut", remedy=""),
         http1.NoConnectionError("none", remedy=""),
     ],
-    ids=["short", "malformed", "cut", "unreached"],
+    ids=["short", "malformed", "broken", "unreached"],
 )
-def test_counts_that_cannot_be_had_are_an_error_that_says_so(answer: object):
-    client, _ = engine_client(answer)
+def test_failed_query_for_counts_names_the_backend_server(answer: object):
+    client, _ = _make_client(answer)
     with pytest.raises(platform.EngineQueryError, match="i-1"):
         asyncio.run(client.counts(BACKEND, LIMITS))
 
@@ -126,10 +129,10 @@
 @pytest.mark.parametrize(
     ("pace", "slowness"),
     [(1.0, 1.0), (4.04, 4.04), (0.5, 1.0), (1e300, 100.0)],
-    ids=["usual", "slow", "fast", "absurd"],
+    ids=["usual", "slow", "fast", "too-large"],
 )
-def test_rank_tells_how_slow_it_is(pace: float, slowness: float):
-    client, _ = engine_client({**REPORT, "pace": pace})
+def test_slowness_is_limited_to_its_range(pace: float, slowness: float):
+    client, _ = _make_client({**REPORT, "pace": pace})
     report = asyncio.run(client.report(BACKEND))
     assert report is not None
     assert report.slowness == slowness
@@ -146,8 +149,8 @@
         max_leaves=5,
     ),
 )
-def test_any_report_is_read_or_no_answer(field: str, value: object):
-    client, _ = engine_client({**REPORT, field: value})
+def test_any_report_is_decoded_or_refused(field: str, value: object):
+    client, _ = _make_client({**REPORT, field: value})
     try:
         report = asyncio.run(client.report(BACKEND))
     except platform.EngineQueryError:
@@ -155,31 +158,31 @@
     assert report is None or 1.0 <= report.slowness <= 100.0
 
 
-@pytest.mark.parametrize("told", [2000, 1000, None])
-def test_answer_of_another_instance_is_an_error(told: int | None):
-    """An engine that started again knows nothing of what it was told before.
+@pytest.mark.parametrize("born", [2000, 1000, None])
+def test_response_of_another_life_is_an_error(born: int | None):
+    """A restarted engine has lost its counts, but may keep its address.
 
-    Its address may stay: without a look at its start a new life's counts
-    would be taken off those of the old one.
+    If its start were not checked, counts of the new life would be compared
+    with those of the old one.
     """
     backend = dataclasses.replace(BACKEND, started_at_ms=1000)
     answer = {"step": 9, "epoch": 1, "counts": [1, 2, 3, 4, 5, 6]}
-    client, _ = engine_client(
-        answer if told is None else {**answer, "born": told}
+    client, _ = _make_client(
+        answer if born is None else {**answer, "born": born}
     )
-    if told == 2000:
+    if born == 2000:
         with pytest.raises(platform.EngineQueryError, match="another life"):
             asyncio.run(client.counts(backend, LIMITS))
     else:
         assert asyncio.run(client.counts(backend, LIMITS)).last_pass == 9
 
 
-def test_held_experts_are_those_of_the_map_in_use():
-    client, transport = engine_client(
+def test_held_experts_are_decoded():
+    client, transport = _make_client(
         {"epoch": 1, "map": {"version": 3, "experts": [[0, 2], [1]]}}
     )
     assert asyncio.run(client.held_experts(BACKEND)) == ((0, 2), (1,))
-    assert transport.asked[0][1].startswith("/picked?lists")
+    assert transport.requests[0][1].startswith("/picked?lists")
 
 
 MAP = experts.ExpertMap((((0, 1), (2,)), ((2,), (0, 1))))
@@ -215,24 +218,26 @@
     ],
     ids=["prepare", "arm", "disarm", "hold", "release"],
 )
-def test_order_names_its_epoch(order: experts.Order, body: dict[str, object]):
-    client, transport = engine_client({})
+def test_order_is_encoded_with_its_epoch(
+    order: experts.Order, body: dict[str, object]
+):
+    client, transport = _make_client({})
     asyncio.run(client.order(BACKEND, order, experts.Epoch(4), None))
-    method, target, sent = transport.asked[0]
+    method, target, sent = transport.requests[0]
     assert (method, target) == ("POST", "/order")
     assert json.loads(sent) == {**body, "epoch": 4}
 
 
-def test_order_carries_the_number_of_the_lease():
-    client, transport = engine_client({})
+def test_order_is_fenced_by_the_generation_of_the_lease():
+    client, transport = _make_client({})
     order = experts.Hold(experts.PassNumber(1))
-    number = experts.Generation(7)
-    asyncio.run(client.order(BACKEND, order, experts.Epoch(4), number))
-    assert json.loads(transport.asked[0][2])["fence"] == 7
+    generation = experts.Generation(7)
+    asyncio.run(client.order(BACKEND, order, experts.Epoch(4), generation))
+    assert json.loads(transport.requests[0][2])["fence"] == 7
 
 
 @pytest.mark.parametrize(
-    ("status", "answer", "verdict"),
+    ("status", "answer", "expected"),
     [
         (200, {}, experts.OrderResult.DONE),
         (202, {}, experts.OrderResult.DONE),
@@ -250,12 +255,13 @@
             experts.OrderResult.UNKNOWN,
         ),
     ],
-    ids=["holds", "begun", "conflict", "fenced", "away", "cut", "unreached"],
+    ids=["done", "accepted", "conflict", "fenced", "unavailable", "broken"]
+    + ["unreached"],
 )
-def test_answer_to_an_order_tells_what_became_of_it(
-    status: int, answer: object, verdict: experts.OrderResult
+def test_response_to_an_order_gives_its_result(
+    status: int, answer: object, expected: experts.OrderResult
 ):
-    client, _ = engine_client(answer, status)
+    client, _ = _make_client(answer, status)
     order = experts.Hold(experts.PassNumber(1))
-    found = asyncio.run(client.order(BACKEND, order, experts.Epoch(1), None))
-    assert found is verdict
+    result = asyncio.run(client.order(BACKEND, order, experts.Epoch(1), None))
+    assert result is expected
--- a/testing/platform/test_store_client.py
+++ b/testing/platform/test_store_client.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The store's client against our stand-in of the store."""
+"""The store client against the stand-in of the store."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -19,18 +19,20 @@
 
 TOPIC = "keyed.t"
 NO_WAIT = datetime.timedelta()
-LONG = datetime.timedelta(seconds=30)
-Act = Callable[[standin.StoreStandin, platform.StoreClient], Awaitable[object]]
+LONG_WAIT = datetime.timedelta(seconds=30)
+Action = Callable[
+    [standin.StoreStandin, platform.StoreClient], Awaitable[object]
+]
 
 
-def _run_with_store(act: Act) -> object:
+def _run_with_store(action: Action) -> object:
     async def main() -> object:
         store = standin.StoreStandin()
         client = platform.StoreClient(
-            await store.start("127.0.0.1"), timeout=LONG
+            await store.start("127.0.0.1"), timeout=LONG_WAIT
         )
         try:
-            return await act(store, client)
+            return await action(store, client)
         finally:
             client.close()
             store.close()
@@ -38,47 +40,47 @@
     return asyncio.run(main())
 
 
-def test_newest_records_come_from_all_pages_and_follow_the_first_end():
-    async def act(store, client):
+def test_newest_records_come_from_all_pages_with_the_end_of_the_first():
+    async def action(store, client):
         store.page_size = 2
         for key in ("a", "b", "c", "a"):
             store.append(TOPIC, key, key.encode())
-        tail = await client.read_newest(TOPIC)
-        return [(r.position, r.key) for r in tail.records], tail.end
+        result = await client.read_newest(TOPIC)
+        return [(r.position, r.key) for r in result.records], result.end
 
-    assert _run_with_store(act) == ([(3, "a"), (1, "b"), (2, "c")], 4)
+    assert _run_with_store(action) == ([(3, "a"), (1, "b"), (2, "c")], 4)
 
 
-def test_read_has_positions_keys_values_and_removals():
-    async def act(store, client):
+def test_read_returns_positions_keys_values_and_removals():
+    async def action(store, client):
         store.append(TOPIC, "a", b"1")
         store.append(TOPIC, "b", b"2")
         store.append(TOPIC, "a", b"")
         return await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
 
-    tail = _run_with_store(act)
-    assert tail.end == 3
-    assert tail.records == (
+    result = _run_with_store(action)
+    assert result.end == 3
+    assert result.records == (
         platform.KeyedRecord(ids.Offset(1), "b", b"2"),
         platform.KeyedRecord(ids.Offset(2), "a", b""),
     )
 
 
 def test_waiting_read_ends_with_the_next_record():
-    async def act(store, client):
+    async def action(store, client):
         read = asyncio.create_task(
-            client.read_from(TOPIC, ids.Offset(0), wait=LONG)
+            client.read_from(TOPIC, ids.Offset(0), wait=LONG_WAIT)
         )
         while not store.called_paths:
             await asyncio.sleep(0)
         store.append(TOPIC, "a", b"1")
         return len((await read).records)
 
-    assert _run_with_store(act) == 1
+    assert _run_with_store(action) == 1
 
 
-def test_compacted_history_is_told_apart_from_an_outage():
-    async def act(store, client):
+def test_compaction_and_outage_raise_different_errors():
+    async def action(store, client):
         store.append(TOPIC, "a", b"1")
         store.compact(TOPIC)
         with pytest.raises(errors.OffsetExpiredError):
@@ -88,63 +90,63 @@
             await client.read_from(TOPIC, ids.Offset(1), wait=NO_WAIT)
         return True
 
-    assert _run_with_store(act)
+    assert _run_with_store(action)
 
 
 def test_appended_record_is_read_back():
-    async def act(store, client):
+    async def action(store, client):
         await client.append(TOPIC, "k", b"value")
-        tail = await client.read_newest(TOPIC)
-        return [(r.key, r.value) for r in tail.records]
+        result = await client.read_newest(TOPIC)
+        return [(r.key, r.value) for r in result.records]
 
-    assert _run_with_store(act) == [("k", b"value")]
+    assert _run_with_store(action) == [("k", b"value")]
 
 
-def test_store_that_is_not_there_is_an_outage():
-    async def act(store, client):
+def test_store_that_refuses_connections_is_unavailable():
+    async def action(store, client):
         store.close()
         with pytest.raises(errors.LogUnavailableError):
             await client.read_newest(TOPIC)
         return True
 
-    assert _run_with_store(act)
+    assert _run_with_store(action)
 
 
-def test_connection_is_kept_between_calls():
-    async def act(store, client):
+def test_connection_is_reused_by_the_next_call():
+    async def action(store, client):
         await client.read_newest(TOPIC)
         first = list(client._idle)
         await client.read_newest(TOPIC)
         return first == client._idle
 
-    assert _run_with_store(act)
+    assert _run_with_store(action)
 
 
-def test_conditional_append_counts_only_at_the_end_that_it_names():
-    async def act(store, client):
+def test_conditional_append_succeeds_only_at_the_given_end():
+    async def action(store, client):
         end = await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
         with pytest.raises(errors.AppendConflictError):
             await client.append_if_end(TOPIC, "a", b"2", ids.Offset(0))
         return end, await client.read_newest(TOPIC)
 
-    end, tail = _run_with_store(act)
+    end, result = _run_with_store(action)
     assert end == 1
-    assert [record.value for record in tail.records] == [b"1"]
+    assert [record.value for record in result.records] == [b"1"]
 
 
-def test_conditional_append_to_an_unavailable_store_is_unclear():
-    async def act(store, client):
+def test_conditional_append_to_an_unavailable_store_is_unknown():
+    async def action(store, client):
         store.unavailable = True
         with pytest.raises(errors.AppendUnknownError):
             await client.append_if_end(TOPIC, "a", b"1", ids.Offset(0))
 
-    _run_with_store(act)
+    _run_with_store(action)
 
 
-def test_silence_on_one_connection_gives_up_all_kept_ones(monkeypatch):
-    # Symptom: after open connections had gone silent, changes were known up
-    # to 9.8 s later. Sequence: the read on a silent connection ended; the
-    # next call took another connection kept from before, and hung as well.
+def test_timeout_on_one_connection_closes_all_idle_ones(monkeypatch):
+    # Symptom: after open connections had gone silent, changes arrived up to
+    # 9.8 s late. Sequence: the read on one silent connection timed out; the
+    # next call took another idle connection, silent too, and also timed out.
     store = silent_store.SilentStore()
     monkeypatch.setattr(http1, "connect", store.connect)
 
@@ -152,7 +154,7 @@
         client = platform.StoreClient(
             "store:1", timeout=datetime.timedelta(seconds=1.5)
         )
-        # Two calls side by side, so that two connections are kept.
+        # Two concurrent calls leave two idle connections.
         await asyncio.gather(*(client.read_newest(TOPIC) for _ in range(2)))
         store.silence_connections()
         with pytest.raises(errors.LogUnavailableError, match="on a reused"):
@@ -164,8 +166,10 @@
     assert virtual_time.run(main()) < 0.1
 
 
-def _client_of(monkeypatch, answer: bytes) -> platform.StoreClient:
-    """Return a client of a store that answers all calls with some bytes."""
+def _client_with_fixed_response(
+    monkeypatch, answer: bytes
+) -> platform.StoreClient:
+    """Return a client of a store that gives all calls the same response."""
     store = silent_store.SilentStore()
     monkeypatch.setattr(http1, "connect", store.connect)
 
@@ -178,40 +182,40 @@
     )
 
 
-def _words(*numbers: int) -> bytes:
+def _pack_uint32(*numbers: int) -> bytes:
     return b"".join(one.to_bytes(4, "big") for one in numbers)
 
 
 @pytest.mark.parametrize(
     "bad",
     [b"", b"\x09key", b"\x02\xff\xfe{}"],
-    ids=["empty", "key-cut-short", "key-no-text"],
+    ids=["empty", "truncated-key", "key-not-utf8"],
 )
-def test_record_that_cannot_be_read_hides_no_other(monkeypatch, bad):
-    """Another writer's record must not keep the list from being read.
+def test_malformed_record_does_not_hide_others(monkeypatch, bad):
+    """A malformed record of one writer must not block reads of its topic.
 
-    Symptom: a read failed as "bad records" for as long as the record stood.
-    Cause: one record that could not be split failed the whole answer.
+    Symptom: reads of the topic failed as long as it had the record. Cause: one
+    record that could not be decoded failed the whole response.
     """
     good = b"\x01a{}"
     answer = (
         (2).to_bytes(8, "big")
         + bytes(8)
-        + b"".join(_words(len(one)) + one for one in (bad, good))
+        + b"".join(_pack_uint32(len(one)) + one for one in (bad, good))
     )
 
     async def main() -> platform.ReadResult:
-        client = _client_of(monkeypatch, answer)
+        client = _client_with_fixed_response(monkeypatch, answer)
         return await client.read_from(
             "t", ids.Offset(0), wait=datetime.timedelta()
         )
 
-    tail = virtual_time.run(main())
-    assert (tail.records[1].key, tail.records[1].position) == ("a", 1)
-    assert tail.records[0].value
+    result = virtual_time.run(main())
+    assert (result.records[1].key, result.records[1].position) == ("a", 1)
+    assert result.records[0].value
 
 
-def test_newest_record_whose_value_is_no_base64_hides_no_other(monkeypatch):
+def test_newest_record_with_invalid_base64_does_not_hide_others(monkeypatch):
     items = [
         {"private_key": "a", "value": "!", "offset": 0},
         {"private_key": "b", "value": "e30=", "offset": 1},
@@ -219,9 +223,9 @@
     page = json.dumps({"items": items, "has_more": False, "end": 2})
 
     async def main() -> platform.ReadResult:
-        client = _client_of(monkeypatch, page.encode())
+        client = _client_with_fixed_response(monkeypatch, page.encode())
         return await client.read_newest("t")
 
-    tail = virtual_time.run(main())
-    assert [one.key for one in tail.records] == ["a", "b"]
-    assert tail.records[1].value == b"{}"
+    result = virtual_time.run(main())
+    assert [one.key for one in result.records] == ["a", "b"]
+    assert result.records[1].value == b"{}"
--- a/testing/platform/test_store_records.py
+++ b/testing/platform/test_store_records.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Decoding what the operator and the backend servers write."""
+"""Decoding of stored records and of request and response headers."""
 
 import datetime
 import json
@@ -63,7 +63,7 @@
     return platform.decode_desired(json.dumps(STATE | changes).encode())
 
 
-def test_longest_prefix_wins():
+def test_route_with_the_longest_prefix_is_found():
     state = _decode_changed()
     found = state.find_route("h", "/a/b/c")
     assert found is not None and found.kind is desired.RouteKind.UNSAFE
@@ -73,7 +73,7 @@
     assert state.find_route("other", "/a/") is None
 
 
-def test_times_shares_keys_and_engine_are_decoded():
+def test_timeouts_weights_api_keys_and_engine_are_decoded():
     state = _decode_changed()
     stream = state.find_route("h", "/a/")
     split = state.find_route("h", "/a/b/")
@@ -90,13 +90,13 @@
     )
 
 
-def test_stream_that_may_not_resume_is_not_repeatable():
+def test_stream_that_is_not_resumable_is_not_repeatable():
     state = _decode_changed(routes=[ROUTE | {"resumable": False}])
     found = state.find_route("h", "/a/")
     assert found is not None and not found.repeatable
 
 
-def test_without_workspaces_no_key_is_asked_for():
+def test_without_workspaces_no_api_key_is_required():
     raw = {name: one for name, one in STATE.items() if name != "tenants"}
     state = platform.decode_desired(json.dumps(raw).encode())
     assert not state.keys_required
@@ -111,7 +111,7 @@
     ],
     ids=["no-json", "wrong-type", "unknown-kind"],
 )
-def test_what_is_no_desired_state_is_kept_out(data):
+def test_invalid_desired_state_is_refused(data):
     with pytest.raises(errors.ChangeError):
         platform.decode_desired(data)
 
@@ -137,21 +137,21 @@
     ],
     ids=["empty", "no-port", "wrong-type", "bytes", "nested", "nested-map"],
 )
-def test_what_is_no_backend_server_is_kept_out(value):
+def test_malformed_entry_is_refused(value):
     with pytest.raises(errors.ChangeError):
         platform.decode_backend("i-1", value)
 
 
 @pytest.mark.parametrize("born", [None, 0, 1_790_000_000_000])
-def test_instance_is_identified_by_its_start_time(born):
+def test_life_is_identified_by_its_start_time(born):
     value = edge_rig.backend_entry("s", "10.1.2.3:80", born=born)
     found = platform.decode_backend("i-1", value)
     assert (found.id, found.started_at_ms) == ("i-1", born)
     assert (found.key == "i-1") == (born is None)
 
 
-#: Values that a field of an entry must not have; none leaves it out.
-BAD_FIELDS = {
+#: Invalid values of each field of an entry; none leaves the field out.
+INVALID_FIELD_VALUES = {
     "service": (None, "", 1),
     "address": (None, "", 1, "10.0.0.1", ":80", "host:80", "10.0.0.1:0")
     + ("10.0.0.1:70000", "10.0.0.1:-1", "10.0.0.1:x"),
@@ -167,23 +167,27 @@
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [(name, one) for name, some in BAD_FIELDS.items() for one in some],
+    [
+        (name, one)
+        for name, some in INVALID_FIELD_VALUES.items()
+        for one in some
+    ],
 )
-def test_entry_with_a_bad_field_names_no_server(field, value):
+def test_entry_with_an_invalid_field_is_refused(field, value):
     entry = edge_rig.backend_entry("s", "10.1.2.3:80", **{field: value})
     with pytest.raises(errors.ChangeError):
         platform.decode_backend("i-1", entry)
 
 
 @pytest.mark.parametrize("key", ["", "a b", "a\r\nX: 1", "\u00e9", "\ufffd"])
-def test_key_that_no_header_can_carry_names_no_server(key):
+def test_id_that_cannot_be_sent_in_a_header_is_refused(key):
     with pytest.raises(errors.ChangeError):
         platform.decode_backend(
             key, edge_rig.backend_entry("s", "10.1.2.3:80")
         )
 
 
-JSON = strategies.recursive(
+JSON_VALUES = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers()
@@ -197,17 +201,17 @@
     ),
     max_leaves=5,
 )
-FIELDS = json.loads(edge_rig.backend_entry("s", "10.1.2.3:80", born=1000))
+ENTRY = json.loads(edge_rig.backend_entry("s", "10.1.2.3:80", born=1000))
 
 
 @given(
     changes=strategies.dictionaries(
-        strategies.sampled_from(sorted(FIELDS)), JSON, max_size=4
+        strategies.sampled_from(sorted(ENTRY)), JSON_VALUES, max_size=4
     )
 )
-def test_any_entry_is_a_sound_server_or_none(changes):
+def test_any_entry_is_decoded_to_valid_values_or_refused(changes):
     try:
-        found = platform.decode_backend("i-1", json.dumps(FIELDS | changes))
+        found = platform.decode_backend("i-1", json.dumps(ENTRY | changes))
     except errors.ChangeError:
         return
     assert found.slots >= 1 and 0 < found.port < 65_536
@@ -215,20 +219,20 @@
 
 
 @given(data=strategies.binary(max_size=60))
-def test_any_bytes_are_no_server(data):
+def test_random_bytes_are_refused(data):
     with pytest.raises(errors.ChangeError):
         platform.decode_backend("i-1", data)
 
 
 @given(
     changes=strategies.dictionaries(
-        strategies.sampled_from(sorted(STATE)), JSON, max_size=3
+        strategies.sampled_from(sorted(STATE)), JSON_VALUES, max_size=3
     ),
     route=strategies.dictionaries(
-        strategies.sampled_from(sorted(ROUTE)), JSON, max_size=3
+        strategies.sampled_from(sorted(ROUTE)), JSON_VALUES, max_size=3
     ),
 )
-def test_any_desired_state_is_read_or_kept_out(changes, route):
+def test_any_desired_state_is_decoded_or_refused(changes, route):
     state = STATE | {"routes": [ROUTE | route]} | changes
     try:
         found = platform.decode_desired(json.dumps(state).encode())
@@ -237,7 +241,7 @@
     assert isinstance(found, desired.DesiredState)
 
 
-def test_caller_request_head_takes_numbers_and_drops_what_is_none():
+def test_caller_request_head_is_decoded_and_drops_invalid_numbers():
     head = platform.parse_caller_request_head(
         [
             (b"attempt-identifier", b"a1"),
@@ -253,7 +257,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "not_run", "load"),
+    ("status", "headers", "not_executed", "load"),
     [
         (503, [(b"not-executed", b"1")], True, None),
         (503, [], False, None),
@@ -266,14 +270,14 @@
         ),
         (200, [(b"server-load", b"x,0")], False, None),
     ],
-    ids=["refused", "no-proof", "moved", "load", "bad-load"],
+    ids=["not-executed", "unavailable", "wrong-instance", "load", "bad-load"],
 )
-def test_backend_response_head_is_decoded(status, headers, not_run, load):
+def test_backend_response_head_is_decoded(status, headers, not_executed, load):
     head = platform.parse_backend_response_head(status, headers)
-    assert (head.not_executed, head.load) == (not_run, load)
+    assert (head.not_executed, head.load) == (not_executed, load)
 
 
-def test_headers_that_a_connection_names_stay_on_it():
+def test_headers_that_connection_names_are_not_forwarded():
     kept = platform.headers_to_caller(
         [(b"Connection", b"close, X-Hop"), (b"X-Hop", b"1"), (b"X-Y", b"2")]
     )
