--- a/src/lugcross/platform/engine_client.py
+++ b/src/lugcross/platform/engine_client.py
@@ -18,7 +18,7 @@
 from lugcross import http1
 
 _REPORT_PATH = "/report"
-#: Answers the expert counts; with ``lists`` in the query, the held experts.
+#: Returns the expert counts; with ``lists`` in the query, the held experts.
 _EXPERT_COUNTS_PATH = "/picked"
 _HELD_MAP_PATH = "/picked?lists=1"
 _ORDER_PATH = "/order"
@@ -35,6 +35,11 @@
 
 
 class _GroupState(msgspec.Struct):
+    """Group of a rank, and the rank's number in it.
+
+    :param epoch: life of the group.
+    """
+
     name: str
     epoch: int
     rank: int
@@ -55,8 +60,9 @@
     :param running: number of running requests.
     :param waiting: number of waiting requests.
     :param prepared: version of the prepared map.
-    :param armed: map that the rank will switch to, and the pass at which.
+    :param armed: map that the rank will switch to, and at which pass.
     :param held: number of the pass that the rank holds.
+    :param group: group of the rank; none if it belongs to no group.
     :param pace: how many times longer than usual a pass takes at the rank.
     :param born: start of the server, in milliseconds since 1970.
     """
@@ -90,6 +96,8 @@
 
 
 class _HeldMap(msgspec.Struct):
+    """Experts that one rank holds, by layer set."""
+
     version: int
     experts: list[list[int]]
 
--- a/src/lugcross/platform/store_client.py
+++ b/src/lugcross/platform/store_client.py
@@ -162,7 +162,7 @@
         return _decode_records(body, start)
 
     def _update_era(self, answer: http1.ResponseHead) -> None:
-        """Store the era of a response, and report a new one.
+        """Take over a later era from a response; call ``on_new_era``.
 
         :raises errors.LogUnavailableError: when the response is of an earlier
             era.
--- a/src/lugcross/platform/store_records.py
+++ b/src/lugcross/platform/store_records.py
@@ -79,6 +79,8 @@
 
 
 class _Engine(msgspec.Struct):
+    """Engine of a service; :func:`_to_engine_spec` maps its fields."""
+
     slots: int = 1
     kv_cache_tokens: int = 0
     stride: int = 1
@@ -111,6 +113,8 @@
 
 
 class _Workspace(msgspec.Struct):
+    """Workspace with its API keys; the platform calls it a tenant."""
+
     name: str
     api_keys: list[str] = []
     priority: int | None = None
--- a/src/lugcross/standin/engine.py
+++ b/src/lugcross/standin/engine.py
@@ -219,8 +219,8 @@
             with tracer.span("engine.complete", parent, request=name):
                 yield from self._stream_tokens(seq)
         finally:
-            # A client that disconnects ends the generator, too; this frees
-            # the slot of its sequence.
+            # Also runs when the client disconnects, to free the sequence's
+            # place in the batch.
             seq.cancelled = True
 
     def _stream_tokens(self, seq: _Sequence) -> Iterator[bytes]:
