--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -30,7 +30,8 @@
         b"expect",
     )
 )
-#: Headers that only lugcross sets; a caller's own are dropped.
+#: Headers of a caller that are not forwarded: its API key, and what only
+#: lugcross may set.
 _RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -52,7 +53,7 @@
     )
 )
 
-#: Value of a boolean header that is set.
+#: Value of ``Server-Leaving`` if the server is leaving.
 _HEADER_TRUE = "1"
 #: Upper limit of a ``Retry-After`` value, in seconds: a server that sends a
 #: larger one by mistake is still tried once an hour.
