--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -77,7 +77,7 @@
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
-    server.app.faults = standin.Faults(delay_s=_LOG_DELAY_S)
+    server.fault_injector.faults = standin.Faults(delay_s=_LOG_DELAY_S)
     running = [_Agent(server.url, f"a{num}") for num in range(agents)]
     rng = random.Random(1)
     began = time.perf_counter()
@@ -95,7 +95,7 @@
     return {
         "agents": agents,
         "keys_a_s": key_count / took_s,
-        "appends_a_s": log.appends / took_s,
+        "appends_a_s": log.append_count / took_s,
         "refused": sum(one.log_unavailable_count for one in running),
         "median_ms": bench_stats.percentile(decision_ms, 0.5),
         "p99_ms": bench_stats.percentile(decision_ms, 0.99),
@@ -107,7 +107,7 @@
     log = standin.LogStandin()
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
-    server.app.faults = standin.Faults(delay_s=_LOG_DELAY_S)
+    server.fault_injector.faults = standin.Faults(delay_s=_LOG_DELAY_S)
     client = logservice.HttpLog(server.url, timeout_s=5)
     decision_ms: list[float] = []
     refused = 0
@@ -133,7 +133,7 @@
     server.stop()
     return {
         "keys_a_s": len(futs) / took_s,
-        "appends_a_s": log.appends / took_s,
+        "appends_a_s": log.append_count / took_s,
         "refused": refused,
         "median_ms": bench_stats.percentile(decision_ms, 0.5),
         "p99_ms": bench_stats.percentile(decision_ms, 0.99),
--- a/bench/config_propagation.py
+++ b/bench/config_propagation.py
@@ -176,7 +176,7 @@
 
 
 def _log_reads(fleet: process_fleet.Fleet) -> int:
-    url = f"{fleet.standin_url('log')}{standin.log.COUNTS_PATH}"
+    url = f"{fleet.standin_url('log')}{standin.log.CALL_COUNTS_PATH}"
     counts: dict[str, int] = fleet.control_http.request("GET", url).json()
     return counts["reads"]
 
--- a/src/lugcross/platform/backend_headers.py
+++ b/src/lugcross/platform/backend_headers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Heads on the way to a backend server, and what its answers say."""
+"""Headers of requests to backend servers and of their responses."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -13,10 +13,10 @@
 from lugcross import ids
 from lugcross.platform import header_names
 
-_Headers = Iterable[tuple[bytes, bytes]]
+_RawHeaders = Iterable[tuple[bytes, bytes]]
 
-#: Headers that concern one connection only.
-_HOP_BY_HOP = frozenset(
+#: Headers that apply to one connection and are not forwarded.
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -30,8 +30,9 @@
         b"expect",
     )
 )
-#: Headers that only the system may set, whatever a caller sends.
-_SYSTEM_ONLY = frozenset(
+#: Headers of a caller that are not forwarded: its API key, and what only
+#: lugcross may set.
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         header_names.API_KEY,
@@ -42,7 +43,7 @@
         header_names.TIME_LEFT,
     )
 )
-#: Statuses by which a caller takes it that its request has not run.
+#: Statuses that tell a caller that its request was not executed.
 NOT_EXECUTED_STATUSES = frozenset(
     (
         http.HTTPStatus.REQUEST_TIMEOUT,
@@ -52,17 +53,22 @@
     )
 )
 
-#: Value of a header that only says yes.
-_TRUE = "1"
-#: Longest rest that is believed, in seconds: a server that asked for more by
-#: mistake is tried again by one request an hour.
+#: Value of ``Server-Leaving`` if the server is leaving.
+_HEADER_TRUE = "1"
+#: Upper limit of a ``Retry-After`` value, in seconds: a server that sends a
+#: larger one by mistake is still tried once an hour.
 _MAX_RETRY_AFTER_S = 3_600.0
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class ServerLoad:
-    """Requests at a backend server when it sent an answer."""
+    """Load of a backend server at the time of a response.
+
+    :param running: number of running requests.
+    :param waiting: number of requests that wait at the server.
+    :param slots: number of requests that the server runs at once.
+    """
 
     running: int
     waiting: int
@@ -72,18 +78,23 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BackendResponseHead:
-    """What the head of a backend server's answer says.
-
-    :param attempt_id: request that it answers.
-    :param signed: whether it is signed.
-    :param not_executed: whether it proves that the request has not run.
-    :param wrong_instance: whether another life has the address.
-    :param content_encoded: whether the body is not the backend server's own.
-    :param load: its load, if it tells it.
-    :param keep_alive: how long it keeps an idle connection, if it says so.
-    :param retry_after: for how long it wants nothing from this process, if it
-        could not serve the request and says so.
-    :param leaving: whether it says that it is leaving.
+    """Decoded status and headers of a backend server's response.
+
+    :param attempt_id: attempt that the response belongs to; empty if the
+        response names none.
+    :param signed: whether the response carries a signature.
+    :param not_executed: whether the server states that it did not run the
+        request.
+    :param wrong_instance: whether the address belongs to another server, or
+        to another life of the expected one.
+    :param content_encoded: whether the body has a content encoding, which
+        backend servers don't apply.
+    :param load: the server's load; none if not sent.
+    :param keep_alive: how long the server keeps an idle connection open;
+        none if not sent.
+    :param retry_after: how long this process must send the server nothing;
+        none unless the status is 429 or 5xx and the header is set.
+    :param leaving: whether the server announces that it is leaving.
     """
 
     status: int
@@ -112,16 +123,20 @@
     body_bytes: int | None,
     resume_after: str = "",
 ) -> list[tuple[bytes, bytes]]:
-    """Return the headers of a request on its way to ``backend``.
-
-    :param headers: as the caller sent them, names as spelled there.
-    :param body_bytes: none for a request without a body.
-    :param resume_after: event after which a broken stream goes on.
+    """Return the headers with which a request is forwarded to ``backend``.
+
+    :param headers: as the caller sent them, in its spelling.
+    :param workspace: workspace of the caller; none where the route needs no
+        API key.
+    :param time_left: how long this process will wait for the response.
+    :param body_bytes: length of the body; none for a request without one.
+    :param resume_after: id of the event after which a broken stream resumes;
+        empty to keep the caller's own, if any.
     """
     drop = (
-        _HOP_BY_HOP
-        | _SYSTEM_ONLY
-        | _named_by_connection(headers)
+        _HOP_BY_HOP_HEADERS
+        | _RESERVED_HEADERS
+        | _connection_options(headers)
         | {b"content-length"}
     )
     if resume_after:
@@ -142,44 +157,49 @@
 def headers_to_caller(
     headers: Sequence[tuple[bytes, bytes]],
 ) -> list[tuple[bytes, bytes]]:
-    """Return a backend server's headers without those of its hop."""
-    drop = _HOP_BY_HOP | _named_by_connection(headers) | {b"content-length"}
+    """Return a backend server's headers without the hop-by-hop ones."""
+    drop = (
+        _HOP_BY_HOP_HEADERS
+        | _connection_options(headers)
+        | {b"content-length"}
+    )
     return [(n, v) for n, v in headers if n.lower() not in drop]
 
 
 def parse_backend_response_head(
-    status: int, headers: _Headers
+    status: int, headers: _RawHeaders
 ) -> BackendResponseHead:
-    """Return what the head of a backend server's answer says.
+    """Decode the status and headers of a backend server's response.
 
     :param headers: names in lower case.
     """
     headers = list(headers)
-    found = {name: value for name, value in headers}
+    values = {name: value for name, value in headers}
     wrong_instance = status == http.HTTPStatus.MISDIRECTED_REQUEST
     return BackendResponseHead(
         status=status,
-        attempt_id=header_names.text_of(found, header_names.ATTEMPT_ID),
-        signed=bool(header_names.text_of(found, header_names.SIGNATURE)),
+        attempt_id=header_names.header_text(values, header_names.ATTEMPT_ID),
+        signed=bool(header_names.header_text(values, header_names.SIGNATURE)),
         not_executed=wrong_instance
-        or bool(header_names.text_of(found, header_names.NOT_EXECUTED)),
+        or bool(header_names.header_text(values, header_names.NOT_EXECUTED)),
         wrong_instance=wrong_instance,
-        content_encoded=b"content-encoding" in found,
+        content_encoded=b"content-encoding" in values,
         load=_parse_load(
-            header_names.text_of(found, header_names.SERVER_LOAD)
+            header_names.header_text(values, header_names.SERVER_LOAD)
         ),
         keep_alive=_parse_keep_alive(
-            header_names.text_of(found, b"Keep-Alive")
+            header_names.header_text(values, b"Keep-Alive")
         ),
         retry_after=_parse_retry_after(headers)
-        if _is_server_failure(status)
+        if _is_overload_or_server_error(status)
         else None,
-        leaving=header_names.text_of(found, header_names.SERVER_LEAVING)
-        == _TRUE,
+        leaving=header_names.header_text(values, header_names.SERVER_LEAVING)
+        == _HEADER_TRUE,
     )
 
 
-def _named_by_connection(headers: _Headers) -> frozenset[bytes]:
+def _connection_options(headers: _RawHeaders) -> frozenset[bytes]:
+    """Return the headers that ``Connection`` declares as hop-by-hop."""
     named: set[bytes] = set()
     for name, value in headers:
         if name.lower() == b"connection":
@@ -202,27 +222,30 @@
     return None
 
 
-def _is_server_failure(status: int) -> bool:
-    """Tell whether a status says that the server could not serve.
+def _is_overload_or_server_error(status: int) -> bool:
+    """Tell whether the status is 429 or 5xx.
 
-    With others the header is meant for whoever asked the service.
+    With any other status ``Retry-After`` is meant for the caller, not for
+    this process.
     """
     return status == http.HTTPStatus.TOO_MANY_REQUESTS or status >= 500
 
 
-def _parse_retry_after(headers: _Headers) -> datetime.timedelta | None:
-    """Return the longest rest that any field asks for, if one does."""
-    name = header_names.RETRY_AFTER.lower()
-    told = [_parse_seconds(value) for found, value in headers if found == name]
-    longest = max(told, default=0.0)
+def _parse_retry_after(headers: _RawHeaders) -> datetime.timedelta | None:
+    """Return the longest time of all ``Retry-After`` fields, if any."""
+    retry_after = header_names.RETRY_AFTER.lower()
+    seconds = [
+        _parse_seconds(value) for name, value in headers if name == retry_after
+    ]
+    longest = max(seconds, default=0.0)
     return datetime.timedelta(seconds=longest) if longest else None
 
 
 def _parse_seconds(value: bytes) -> float:
-    """Return a number of seconds; 0 where it is no time to wait.
+    """Return a number of seconds, at most an hour; 0 if it is invalid.
 
-    Dates count as none: clocks of two hosts may be seconds apart, which is as
-    long as rests are.
+    HTTP dates are ignored: the clocks of two hosts may differ by seconds,
+    which is as long as a usual backoff.
     """
     try:
         seconds = float(value)
--- a/src/lugcross/platform/caller_headers.py
+++ b/src/lugcross/platform/caller_headers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""What a caller's request head says, decoded once."""
+"""Decodes the headers of a caller's request."""
 
 from collections.abc import Iterable
 import dataclasses
@@ -10,20 +10,23 @@
 
 from lugcross.platform import header_names
 
-_Headers = Iterable[tuple[bytes, bytes]]
+_RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class CallerRequestHead:
-    """What the headers of a request ask for.
-
-    :param attempt_id: empty if the caller sent none.
-    :param time_left: how long the caller will wait, if it said so.
-    :param api_key: key of its workspace; empty if there is none.
-    :param prompt_tokens: tokens of the prompt; 0 if not told.
-    :param max_tokens: the most tokens to write; 0 if not told.
-    :param expected_tokens: estimate of the tokens written; 0 if none.
+    """Decoded headers of a caller's request.
+
+    :param attempt_id: the caller's id of this attempt; empty if not sent.
+    :param time_left: how long the caller will still wait; none if not sent.
+    :param api_key: API key of the caller's workspace; empty if not sent.
+    :param last_event_id: last event of a stream that the caller has
+        received; empty if not sent.
+    :param prompt_tokens: number of prompt tokens; 0 if not sent.
+    :param max_tokens: limit of generated tokens; 0 if not sent.
+    :param expected_tokens: the caller's estimate of the number of generated
+        tokens; 0 if not sent.
     """
 
     attempt_id: str = ""
@@ -35,45 +38,48 @@
     expected_tokens: int = 0
 
 
-def parse_caller_request_head(headers: _Headers) -> CallerRequestHead:
-    """Return what the request's headers say.
+def parse_caller_request_head(headers: _RawHeaders) -> CallerRequestHead:
+    """Decode the headers of a request.
+
+    A value that is not a valid number is logged and treated as not sent.
 
-    A number that is none is left out with a log line: the request is
-    served as if its caller had not sent it.
+    :param headers: names in lower case.
     """
-    found = {name: value for name, value in headers}
-    tokens = header_names.text_of(found, header_names.TOKEN_COUNTS).partition(
-        ","
-    )
-    left_ms = _parse_header_int(found, header_names.TIME_LEFT)
+    values = {name: value for name, value in headers}
+    tokens = header_names.header_text(
+        values, header_names.TOKEN_COUNTS
+    ).partition(",")
+    left_ms = _parse_header_int(values, header_names.TIME_LEFT)
     return CallerRequestHead(
-        attempt_id=header_names.text_of(found, header_names.ATTEMPT_ID),
+        attempt_id=header_names.header_text(values, header_names.ATTEMPT_ID),
         time_left=(
             None
             if left_ms is None
             else datetime.timedelta(milliseconds=left_ms)
         ),
-        api_key=header_names.text_of(found, header_names.API_KEY),
-        last_event_id=header_names.text_of(found, header_names.LAST_EVENT_ID),
+        api_key=header_names.header_text(values, header_names.API_KEY),
+        last_event_id=header_names.header_text(
+            values, header_names.LAST_EVENT_ID
+        ),
         prompt_tokens=_parse_int(tokens[0], header_names.TOKEN_COUNTS) or 0,
         max_tokens=_parse_int(tokens[2], header_names.TOKEN_COUNTS) or 0,
-        expected_tokens=_parse_header_int(found, header_names.LENGTH_HINT)
+        expected_tokens=_parse_header_int(values, header_names.LENGTH_HINT)
         or 0,
     )
 
 
-def _parse_header_int(found: dict[bytes, bytes], name: bytes) -> int | None:
-    return _parse_int(header_names.text_of(found, name), name)
+def _parse_header_int(values: dict[bytes, bytes], name: bytes) -> int | None:
+    return _parse_int(header_names.header_text(values, name), name)
 
 
 def _parse_int(text: str, name: bytes) -> int | None:
     if not text:
         return None
-    # Longer numbers are no times or sizes of anything that is served.
+    # The limit on digits rejects absurd values and bounds the conversion.
     if text.isascii() and text.isdigit() and len(text) < 12:
         return int(text)
     logging.warning(
-        "header is not a whole number",
+        "header value is not a whole number",
         extra={"header": name.decode(), "value": text[:40]},
     )
     return None
--- a/src/lugcross/standin/weights.py
+++ b/src/lugcross/standin/weights.py
@@ -17,21 +17,24 @@
 
 @final
 class WeightsStandin:
-    """``GET /weights/NAME?bytes=N`` answers N bytes, all readers metered.
+    """Store with a rate limit that all its readers share.
 
-    :param bytes_per_s: what all readers get together.
+    ``GET /weights/NAME?bytes=N`` returns N zero bytes.
+
+    :param bytes_per_s: rate limit, in bytes a second.
+    :ivar served_bytes: number of bytes sent or about to be sent.
     """
 
     def __init__(self, *, bytes_per_s: float = _DEFAULT_BYTES_PER_S) -> None:
         self._bytes_per_s = bytes_per_s
-        self._free_at = time.monotonic()
+        self._busy_until = time.monotonic()
         self._lock = threading.Lock()
-        self.served = 0
+        self.served_bytes = 0
 
     def __call__(
         self, environ: faults.Environ, start_response: faults.StartResponse
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         query = dict(urllib.parse.parse_qsl(environ["QUERY_STRING"]))
         size = int(query["bytes"])
         status = http.HTTPStatus.OK
@@ -47,9 +50,14 @@
             yield bytes(chunk)
 
     def _reserve(self, size: int) -> float:
-        """Reserve a part of the rate; return how long to wait for it."""
+        """Reserve transfer time for some bytes.
+
+        :returns: time until they may be sent, in seconds.
+        """
         with self._lock:
             now = time.monotonic()
-            self._free_at = max(self._free_at, now) + size / self._bytes_per_s
-            self.served += size
-            return self._free_at - now
+            self._busy_until = (
+                max(self._busy_until, now) + size / self._bytes_per_s
+            )
+            self.served_bytes += size
+            return self._busy_until - now
