--- a/bench/placement.py
+++ b/bench/placement.py
@@ -18,26 +18,28 @@
 import slopes
 
 _WINDOWS = 96
-_Planner = Callable[[list[placement.Loads], placement.Slots], placement.Slots]
+_Planner = Callable[
+    [list[placement.ExpertLoads], placement.Slots], placement.Slots
+]
 
 
 def drifts(
     layers: int, experts: int, seed: int
-) -> dict[str, list[placement.Loads]]:
+) -> dict[str, list[placement.ExpertLoads]]:
     """Return the windows of each kind of drift."""
     rng = np.random.default_rng(seed)
     base = rng.gamma(0.8, 1.0, (layers, experts)) + 0.05
     other = rng.gamma(0.8, 1.0, (layers, experts)) + 0.05
     phase = rng.uniform(0, 2 * math.pi, (layers, experts))
 
-    def noisy(loads: placement.Loads) -> placement.Loads:
+    def noisy(loads: placement.ExpertLoads) -> placement.ExpertLoads:
         tokens = loads / loads.sum(axis=1, keepdims=True) * 50_000
-        counts: placement.Loads = rng.poisson(
+        counts: placement.ExpertLoads = rng.poisson(
             tokens * rng.lognormal(0, 0.1, loads.shape)
         ).astype(np.float64)
         return counts
 
-    def daily(num: int) -> placement.Loads:
+    def daily(num: int) -> placement.ExpertLoads:
         turn = 2 * math.pi * num / _WINDOWS
         return base * (1 + 0.8 * np.sin(phase + turn))
 
@@ -55,7 +57,7 @@
 
 
 def _never(
-    seen: list[placement.Loads], slots: placement.Slots
+    seen: list[placement.ExpertLoads], slots: placement.Slots
 ) -> placement.Slots:
     del seen
     return slots
@@ -87,7 +89,7 @@
         return np.array(rows, dtype=np.int32).reshape(-1)
 
     def step(
-        seen: list[placement.Loads], slots: placement.Slots
+        seen: list[placement.ExpertLoads], slots: placement.Slots
     ) -> placement.Slots:
         del slots
         return np.stack([layer(row) for row in seen[-1]])
@@ -99,7 +101,7 @@
     """Put one more replica of each layer's hottest on its coolest rank."""
 
     def step(
-        seen: list[placement.Loads], slots: placement.Slots
+        seen: list[placement.ExpertLoads], slots: placement.Slots
     ) -> placement.Slots:
         after = slots.copy()
         of_ranks = placement.rank_loads(seen[-1], slots, cfg)
@@ -120,7 +122,7 @@
     forecaster = placement.Forecaster()
 
     def step(
-        seen: list[placement.Loads], slots: placement.Slots
+        seen: list[placement.ExpertLoads], slots: placement.Slots
     ) -> placement.Slots:
         forecast = forecaster.update(seen[-1])
         return placement.plan(forecast, seen[-1], slots, cfg).slots
@@ -129,13 +131,13 @@
 
 
 def judge(
-    windows: list[placement.Loads],
+    windows: list[placement.ExpertLoads],
     planner: _Planner,
     cfg: placement.PlannerCfg,
 ) -> dict[str, Any]:
     """Run a planner over the windows; judge each map on the next one."""
     layers, experts = windows[0].shape
-    slots = placement.first_map(layers, experts, cfg)
+    slots = placement.initial_map(layers, experts, cfg)
     skews = []
     moved = switches = 0
     for num in range(len(windows) - 1):
@@ -197,7 +199,7 @@
             transfer_bytes_s=5e9,
         )
         windows = drifts(layers, 128, seed)["stationary"]
-        slots = placement.first_map(layers, 128, cfg)
+        slots = placement.initial_map(layers, 128, cfg)
         began = time.process_time()
         made = placement.plan(windows[0], windows[0], slots, cfg)
         found.append(
@@ -206,7 +208,7 @@
                 "layers": layers,
                 "seconds": time.process_time() - began,
                 "moves": len(made.moves),
-                "skew": [made.forecast_before, made.forecast_after],
+                "skew": [made.forecast_skew_before, made.forecast_skew_after],
             }
         )
     return found
--- a/src/lugcross/cli/plan.py
+++ b/src/lugcross/cli/plan.py
@@ -10,7 +10,7 @@
 import rich.console
 import rich.table
 
-from lugcross.placement import trial
+from lugcross.placement import replay
 
 
 @click.command()
@@ -32,10 +32,10 @@
 ) -> None:
     """Show what the planner would have done, window by window."""
     text = pathlib.Path(cfg_file).read_text(encoding="utf-8")
-    cfg = trial.load_cfg(text, source=cfg_file)
-    windows = trial.read_windows(loads_file, source=loads_file.name)
+    cfg = replay.parse_planner_cfg(text, source=cfg_file)
+    windows = replay.read_windows(loads_file, source=loads_file.name)
     rows = []
-    for row in trial.run(windows, cfg):
+    for row in replay.run(windows, cfg):
         rows.append(row)
         if as_json:
             click.echo(json.dumps(_row_fields(row)))
@@ -45,7 +45,7 @@
         _plot(rows, plot)
 
 
-def _row_fields(row: trial.Row) -> dict[str, object]:
+def _row_fields(row: replay.WindowResult) -> dict[str, object]:
     moves = [dataclasses.asdict(move) for move in row.moves]
     return {
         **dataclasses.asdict(row),
@@ -54,7 +54,7 @@
     }
 
 
-def _print_table(rows: list[trial.Row]) -> None:
+def _print_table(rows: list[replay.WindowResult]) -> None:
     table = rich.table.Table()
     for name in ("window", "decision", "moves", "skew", "next", "why"):
         table.add_column(name)
@@ -71,7 +71,7 @@
     rich.console.Console().print(table)
 
 
-def _plot(rows: list[trial.Row], path: str) -> None:
+def _plot(rows: list[replay.WindowResult], path: str) -> None:
     # Imported here: it costs time and memory that only a plot needs.
     import matplotlib
 
--- a/src/lugcross/placement/model.py
+++ b/src/lugcross/placement/expert_map.py
@@ -9,7 +9,7 @@
 import numpy.typing as npt
 
 #: Load of each expert in each layer, in tokens; shape (layers, experts).
-Loads = npt.NDArray[np.float64]
+ExpertLoads = npt.NDArray[np.float64]
 #: Expert in each slot of each layer; shape (layers, ranks * slots). The
 #: slots of a rank lie side by side.
 Slots = npt.NDArray[np.int32]
@@ -50,7 +50,7 @@
             raise ValueError("skew_weight must be 0 to 1")
 
     @property
-    def moves_a_window(self) -> int:
+    def max_moves_per_window(self) -> int:
         """Expert replicas that can be loaded within one window."""
         whole = self.transfer_bytes_s * self.window_s
         return int(whole // self.expert_bytes)
@@ -66,24 +66,26 @@
     expert: int
 
 
-def first_map(layers: int, experts: int, cfg: PlannerCfg) -> Slots:
+def initial_map(layers: int, experts: int, cfg: PlannerCfg) -> Slots:
     """Return a map that spreads experts evenly, blind to load.
 
     :raises ValueError: when not every expert finds a slot.
     """
-    places = cfg.ranks * cfg.slots
-    if places < experts:
+    slot_count = cfg.ranks * cfg.slots
+    if slot_count < experts:
         raise ValueError(
-            f"{experts} experts do not fit into {places} slots; add ranks "
+            f"{experts} experts do not fit into {slot_count} slots; add ranks "
             "or slots"
         )
     # Dealt out rank by rank, so that replicas lie on different ranks.
-    order = np.arange(places).reshape(cfg.slots, cfg.ranks).T.reshape(-1)
+    order = np.arange(slot_count).reshape(cfg.slots, cfg.ranks).T.reshape(-1)
     row = (order % experts).astype(np.int32)
     return np.tile(row, (layers, 1))
 
 
-def rank_loads(loads: Loads, slots: Slots, cfg: PlannerCfg) -> Loads:
+def rank_loads(
+    loads: ExpertLoads, slots: Slots, cfg: PlannerCfg
+) -> ExpertLoads:
     """Return the load of each rank in each layer; (layers, ranks).
 
     An expert's load is split evenly over its replicas.
@@ -92,19 +94,23 @@
     base = np.arange(layers)[:, None] * experts
     counts = np.bincount((slots + base).ravel(), minlength=loads.size)
     share = loads / np.maximum(counts.reshape(loads.shape), 1)
-    of_slots = np.take_along_axis(share, slots.astype(np.int64), axis=1)
-    summed: Loads = of_slots.reshape(layers, cfg.ranks, cfg.slots).sum(axis=2)
-    return summed
+    loads_of_slots = np.take_along_axis(share, slots.astype(np.int64), axis=1)
+    rank_totals: ExpertLoads = loads_of_slots.reshape(
+        layers, cfg.ranks, cfg.slots
+    ).sum(axis=2)
+    return rank_totals
 
 
-def skew(loads: Loads, slots: Slots, cfg: PlannerCfg) -> float:
+def skew(loads: ExpertLoads, slots: Slots, cfg: PlannerCfg) -> float:
     """Return max over mean of rank load, averaged over the layers.
 
     A step waits in each layer for its slowest rank.
     """
-    of_ranks = rank_loads(loads, slots, cfg)
-    mean = of_ranks.mean(axis=1)
-    busy = mean > 0
-    if not busy.any():
+    loads_of_ranks = rank_loads(loads, slots, cfg)
+    mean = loads_of_ranks.mean(axis=1)
+    has_load = mean > 0
+    if not has_load.any():
         return 1.0
-    return float((of_ranks.max(axis=1)[busy] / mean[busy]).mean())
+    return float(
+        (loads_of_ranks.max(axis=1)[has_load] / mean[has_load]).mean()
+    )
--- a/src/lugcross/placement/forecast.py
+++ b/src/lugcross/placement/forecast.py
@@ -10,12 +10,12 @@
 
 import numpy as np
 
-from lugcross.placement import model
+from lugcross.placement import expert_map
 
 #: Weights of the newest window in each predictor; 1 is "as the last".
-GAINS = (1.0, 0.5, 0.2, 0.05)
+SMOOTHING_FACTORS = (1.0, 0.5, 0.2, 0.05)
 #: Weight of the newest error when predictors are compared.
-ERROR_GAIN = 0.25
+ERROR_SMOOTHING_FACTOR = 0.25
 
 
 @final
@@ -23,24 +23,30 @@
     """Forecasts the load of each expert of one model group."""
 
     def __init__(self) -> None:
-        self._means: list[model.Loads] = []
-        self._errors = np.zeros(len(GAINS))
+        self._forecasts: list[expert_map.ExpertLoads] = []
+        self._errors = np.zeros(len(SMOOTHING_FACTORS))
 
-    def update(self, loads: model.Loads) -> model.Loads:
+    def update(self, loads: expert_map.ExpertLoads) -> expert_map.ExpertLoads:
         """Take the newest window and return the forecast of the next.
 
         :param loads: shape (layers, experts), in tokens.
         """
-        if not self._means:
-            self._means = [loads.copy() for _ in GAINS]
+        if not self._forecasts:
+            self._forecasts = [loads.copy() for _ in SMOOTHING_FACTORS]
             return loads
-        errors = [float(np.abs(loads - mean).sum()) for mean in self._means]
-        self._errors += ERROR_GAIN * (np.array(errors) - self._errors)
-        self._means = [
+        errors = [
+            float(np.abs(loads - mean).sum()) for mean in self._forecasts
+        ]
+        self._errors += ERROR_SMOOTHING_FACTOR * (
+            np.array(errors) - self._errors
+        )
+        self._forecasts = [
             mean + gain * (loads - mean)
-            for mean, gain in zip(self._means, GAINS, strict=True)
+            for mean, gain in zip(
+                self._forecasts, SMOOTHING_FACTORS, strict=True
+            )
         ]
-        return self._means[int(np.argmin(self._errors))]
+        return self._forecasts[int(np.argmin(self._errors))]
 
     @property
     def error(self) -> float:
--- a/src/lugcross/placement/planner.py
+++ b/src/lugcross/placement/planner.py
@@ -8,23 +8,23 @@
 
 import numpy as np
 
-from lugcross.placement import model
-from lugcross.placement import search
+from lugcross.placement import expert_map
+from lugcross.placement import layer_search
 
 #: Skew that is as good as none; nothing is moved below it.
-GOOD_SKEW = 1.02
-#: Part of the gain that must be left on the newest window as well: a
+ACCEPTABLE_SKEW = 1.02
+#: Part of the gain that must be moves_left on the newest window as well: a
 #: forecast alone may be chasing noise.
-CONFIRMED_PART = 0.3
+MIN_CONFIRMED_GAIN_FRACTION = 0.3
 
 #: Gain that one load of an expert must bring at an even weight, where
 #: its transfer costs nothing.
-LOAD_COST = 0.01
+FIXED_LOAD_COST = 0.01
 
-_LEAST_GAIN = 0.0005
+_MIN_GAIN_PER_LOAD = 0.0005
 
 
-class Choice(enum.Enum):
+class Decision(enum.Enum):
     """What a plan decides."""
 
     STAY = "stay"
@@ -36,53 +36,55 @@
 class Plan:
     """The next map, what must be loaded for it, and why.
 
-    :param forecast_before: skew of the forecast on the current map.
-    :param forecast_after: skew of the forecast on the next map.
+    :param forecast_skew_before: skew of the forecast on the current map.
+    :param forecast_skew_after: skew of the forecast on the next map.
     """
 
-    choice: Choice
+    decision: Decision
     reasons: tuple[str, ...]
-    slots: model.Slots
-    moves: tuple[model.Move, ...]
-    forecast_before: float
-    forecast_after: float
+    slots: expert_map.Slots
+    moves: tuple[expert_map.Move, ...]
+    forecast_skew_before: float
+    forecast_skew_after: float
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class _Step:
+class _Improvement:
     """One change in one layer and what it brings for each transfer."""
 
     layer: int
-    gain: float
+    gain_per_load: float
     changes: list[tuple[int, int]]
 
 
 def plan(
-    forecast: model.Loads,
-    newest: model.Loads,
-    slots: model.Slots,
-    cfg: model.PlannerCfg,
+    forecast: expert_map.ExpertLoads,
+    newest: expert_map.ExpertLoads,
+    slots: expert_map.Slots,
+    cfg: expert_map.PlannerCfg,
 ) -> Plan:
     """Return the next map for a model group, or the same with reasons.
 
     :param forecast: load expected in the next window; (layers, experts).
     :param newest: load of the newest window, to confirm the gain.
     """
-    before = model.skew(forecast, slots, cfg)
+    before = expert_map.skew(forecast, slots, cfg)
     if cfg.surge:
         return _stay(slots, before, "a surge is declared; moves wait")
-    if before <= GOOD_SKEW:
+    if before <= ACCEPTABLE_SKEW:
         return _stay(slots, before, f"skew {before:.3f} is good already")
     if not cfg.skew_weight:
         return _stay(slots, before, "the weight of skew is 0")
-    after = _improve(forecast, slots, cfg)
+    after = _improved_map(forecast, slots, cfg)
     moves = moves_between(slots, after)
     if not moves:
         return _stay(slots, before, "no change is worth its transfer")
-    expected = before - model.skew(forecast, after, cfg)
-    seen = model.skew(newest, slots, cfg) - model.skew(newest, after, cfg)
-    if seen < CONFIRMED_PART * expected:
+    expected = before - expert_map.skew(forecast, after, cfg)
+    seen = expert_map.skew(newest, slots, cfg) - expert_map.skew(
+        newest, after, cfg
+    )
+    if seen < MIN_CONFIRMED_GAIN_FRACTION * expected:
         return _stay(
             slots,
             before,
@@ -94,16 +96,16 @@
         f"{len(moves)} loads of an expert"
     )
     return Plan(
-        choice=Choice.MOVE,
+        decision=Decision.MOVE,
         reasons=(reason,),
         slots=after,
         moves=moves,
-        forecast_before=before,
-        forecast_after=before - expected,
+        forecast_skew_before=before,
+        forecast_skew_after=before - expected,
     )
 
 
-def price(cfg: model.PlannerCfg) -> float:
+def min_gain_per_load(cfg: expert_map.PlannerCfg) -> float:
     """Return the gain that one load of an expert must bring.
 
     The gain is in the layer's max over mean. A load costs its part of
@@ -111,84 +113,96 @@
     disruption; the weight says what an operator gives for it.
     """
     part = cfg.expert_bytes / (cfg.transfer_bytes_s * cfg.window_s)
-    return (1 - cfg.skew_weight) / cfg.skew_weight * (LOAD_COST + part)
+    return (1 - cfg.skew_weight) / cfg.skew_weight * (FIXED_LOAD_COST + part)
 
 
 def moves_between(
-    before: model.Slots, after: model.Slots
-) -> tuple[model.Move, ...]:
+    before: expert_map.Slots, after: expert_map.Slots
+) -> tuple[expert_map.Move, ...]:
     """Return the replicas to load to get from one map to another."""
     layers, places = np.nonzero(before != after)
     return tuple(
-        model.Move(int(layer), int(slot), int(after[layer, slot]))
+        expert_map.Move(int(layer), int(slot), int(after[layer, slot]))
         for layer, slot in zip(layers, places, strict=True)
     )
 
 
-def _improve(
-    forecast: model.Loads, slots: model.Slots, cfg: model.PlannerCfg
-) -> model.Slots:
-    """Return a map with the steps that are worth their transfers."""
+def _improved_map(
+    forecast: expert_map.ExpertLoads,
+    slots: expert_map.Slots,
+    cfg: expert_map.PlannerCfg,
+) -> expert_map.Slots:
+    """Return a map with the improvements that are worth their transfers."""
     after = slots.copy()
-    steps = [
-        step
-        for num in range(len(slots))
-        for step in _steps_of(num, forecast[num], after[num].copy(), cfg)
+    improvements = [
+        improvement
+        for layer_num in range(len(slots))
+        for improvement in _layer_improvements(
+            layer_num, forecast[layer_num], after[layer_num].copy(), cfg
+        )
     ]
     # The best first, until the transfers of one window are used up. A
-    # layer's steps build on each other, so their order within it stays.
-    worth = _layers_by_worth(steps, len(slots))
-    left = cfg.moves_a_window
-    for num in worth:
-        for step in (one for one in steps if one.layer == num):
-            if len(step.changes) > left:
+    # layer's improvements build on each other, so their order within it stays.
+    gains = _layers_by_gain(improvements, len(slots))
+    moves_left = cfg.max_moves_per_window
+    for layer_num in gains:
+        for improvement in (
+            one for one in improvements if one.layer == layer_num
+        ):
+            if len(improvement.changes) > moves_left:
                 break
-            left -= len(step.changes)
-            for slot, expert in step.changes:
-                after[num, slot] = expert
+            moves_left -= len(improvement.changes)
+            for slot, expert in improvement.changes:
+                after[layer_num, slot] = expert
     return after
 
 
-def _layers_by_worth(steps: list[_Step], layers: int) -> list[int]:
-    worth = np.zeros(layers)
-    for step in steps:
-        worth[step.layer] = max(worth[step.layer], step.gain)
-    order = np.argsort(-worth, kind="stable")
-    return [int(num) for num in order if worth[num] > 0]
-
-
-def _steps_of(
-    num: int,
-    loads: model.Loads,
-    slots: model.Slots,
-    cfg: model.PlannerCfg,
-) -> Iterator[_Step]:
-    """Yield steps of one layer while they are worth their transfers."""
-    layer = search.Layer(loads, slots, cfg)
-    if not layer.mean:
+def _layers_by_gain(
+    improvements: list[_Improvement], layers: int
+) -> list[int]:
+    gains = np.zeros(layers)
+    for improvement in improvements:
+        gains[improvement.layer] = max(
+            gains[improvement.layer], improvement.gain_per_load
+        )
+    order = np.argsort(-gains, kind="stable")
+    return [int(layer_num) for layer_num in order if gains[layer_num] > 0]
+
+
+def _layer_improvements(
+    layer_num: int,
+    loads: expert_map.ExpertLoads,
+    slots: expert_map.Slots,
+    cfg: expert_map.PlannerCfg,
+) -> Iterator[_Improvement]:
+    """Yield improvements of one layer while they are worth their transfers."""
+    layer = layer_search.LayerSearch(loads, slots, cfg)
+    if not layer.mean_rank_load:
         return
-    least = max(_LEAST_GAIN, price(cfg))
-    # Each step lowers the slowest rank, but others may stand as high, so
-    # the way down can be very long; a step a slot is plenty.
+    min_gain = max(_MIN_GAIN_PER_LOAD, min_gain_per_load(cfg))
+    # Several ranks may share the highest load, so a layer could need very
+    # many improvements; one for each slot is the limit.
     for _ in range(len(slots)):
-        if layer.highest <= GOOD_SKEW * layer.mean:
+        if layer.max_rank_load <= ACCEPTABLE_SKEW * layer.mean_rank_load:
             return
-        value, changes = layer.step()
+        value, changes = layer.best_change()
         if not changes:
             return
-        gain = (layer.highest - value) / layer.mean / len(changes)
+        gain = (
+            (layer.max_rank_load - value) / layer.mean_rank_load / len(changes)
+        )
         layer.apply(changes)
-        if gain < least:
+        if gain < min_gain:
             return
-        yield _Step(num, gain, changes)
+        yield _Improvement(layer_num, gain, changes)
 
 
-def _stay(slots: model.Slots, skew: float, reason: str) -> Plan:
+def _stay(slots: expert_map.Slots, skew: float, reason: str) -> Plan:
     return Plan(
-        choice=Choice.STAY,
+        decision=Decision.STAY,
         reasons=(reason,),
         slots=slots,
         moves=(),
-        forecast_before=skew,
-        forecast_after=skew,
+        forecast_skew_before=skew,
+        forecast_skew_after=skew,
     )
--- a/src/lugcross/placement/trial.py
+++ b/src/lugcross/placement/replay.py
@@ -10,13 +10,13 @@
 import numpy as np
 
 from lugcross import errors
+from lugcross.placement import expert_map
 from lugcross.placement import forecast as forecast_lib
-from lugcross.placement import model
 from lugcross.placement import planner
 
 
 @final
-class Window(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class RecordedWindow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One line of recorded load.
 
     :param loads: tokens of each expert, for each layer.
@@ -28,7 +28,7 @@
 
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Row:
+class WindowResult:
     """What the planner decided at one window, and what came of it.
 
     :param skew_before: of this window's load on the map before.
@@ -37,21 +37,21 @@
     """
 
     window: int
-    decision: planner.Choice
+    decision: planner.Decision
     reasons: tuple[str, ...]
-    moves: tuple[model.Move, ...]
+    moves: tuple[expert_map.Move, ...]
     bytes_moved: int
     skew_before: float
     skew_next: float | None
 
 
-def load_cfg(text: str, *, source: str) -> model.PlannerCfg:
+def parse_planner_cfg(text: str, *, source: str) -> expert_map.PlannerCfg:
     """Return the planner's limits from YAML.
 
     :raises errors.SettingsError: naming file, field and remedy.
     """
     try:
-        return msgspec.yaml.decode(text, type=model.PlannerCfg)
+        return msgspec.yaml.decode(text, type=expert_map.PlannerCfg)
     except (msgspec.ValidationError, msgspec.DecodeError) as exc:
         raise errors.SettingsError(
             f"{source}: {exc}",
@@ -61,7 +61,7 @@
 
 def read_windows(
     lines: Iterable[str], *, source: str
-) -> Iterator[tuple[int, model.Loads]]:
+) -> Iterator[tuple[int, expert_map.ExpertLoads]]:
     """Yield number and loads of each window of a JSON-lines file.
 
     :raises errors.SettingsError: naming file, line and fault.
@@ -69,54 +69,57 @@
     shape: tuple[int, ...] = ()
     for num, line in enumerate(lines, start=1):
         try:
-            window = msgspec.json.decode(line, type=Window)
+            window = msgspec.json.decode(line, type=RecordedWindow)
             loads = np.array(window.loads, dtype=np.float64)
         except (msgspec.DecodeError, ValueError) as exc:
-            raise _bad_line(source, num, str(exc)) from exc
+            raise _invalid_line(source, num, str(exc)) from exc
         shape = shape or loads.shape
         if loads.ndim != 2 or loads.shape != shape:
-            raise _bad_line(source, num, "its shape differs from line 1")
+            raise _invalid_line(source, num, "its shape differs from line 1")
         if not np.isfinite(loads).all() or (loads < 0).any():
-            raise _bad_line(source, num, "a load is negative or no number")
+            raise _invalid_line(source, num, "a load is negative or no number")
         yield window.window, loads
 
 
 def run(
-    windows: Iterable[tuple[int, model.Loads]], cfg: model.PlannerCfg
-) -> Iterator[Row]:
+    windows: Iterable[tuple[int, expert_map.ExpertLoads]],
+    cfg: expert_map.PlannerCfg,
+) -> Iterator[WindowResult]:
     """Yield what the planner decides, from the windows up to each.
 
     :raises errors.SettingsError: when the experts find no room.
     """
     forecaster = forecast_lib.Forecaster()
-    slots: model.Slots | None = None
-    waiting: Row | None = None
+    slots: expert_map.Slots | None = None
+    pending: WindowResult | None = None
     for num, loads in windows:
         if slots is None:
-            slots = _first(loads, cfg)
-        if waiting is not None:
+            slots = _initial_map(loads, cfg)
+        if pending is not None:
             # Judged only now, by load that the decision had not seen.
-            judged = model.skew(loads, slots, cfg)
-            yield dataclasses.replace(waiting, skew_next=judged)
-        made = planner.plan(forecaster.update(loads), loads, slots, cfg)
-        waiting = Row(
+            skew_next = expert_map.skew(loads, slots, cfg)
+            yield dataclasses.replace(pending, skew_next=skew_next)
+        plan = planner.plan(forecaster.update(loads), loads, slots, cfg)
+        pending = WindowResult(
             window=num,
-            decision=made.choice,
-            reasons=made.reasons,
-            moves=made.moves,
-            bytes_moved=len(made.moves) * cfg.expert_bytes,
-            skew_before=model.skew(loads, slots, cfg),
+            decision=plan.decision,
+            reasons=plan.reasons,
+            moves=plan.moves,
+            bytes_moved=len(plan.moves) * cfg.expert_bytes,
+            skew_before=expert_map.skew(loads, slots, cfg),
             skew_next=None,
         )
-        slots = made.slots
-    if waiting is not None:
-        yield waiting
+        slots = plan.slots
+    if pending is not None:
+        yield pending
 
 
-def _first(loads: model.Loads, cfg: model.PlannerCfg) -> model.Slots:
+def _initial_map(
+    loads: expert_map.ExpertLoads, cfg: expert_map.PlannerCfg
+) -> expert_map.Slots:
     layers, experts = loads.shape
     try:
-        return model.first_map(layers, experts, cfg)
+        return expert_map.initial_map(layers, experts, cfg)
     except ValueError as exc:
         raise errors.SettingsError(
             f"the map cannot be made ({exc})",
@@ -124,7 +127,7 @@
         ) from exc
 
 
-def _bad_line(source: str, num: int, why: str) -> errors.SettingsError:
+def _invalid_line(source: str, num: int, why: str) -> errors.SettingsError:
     return errors.SettingsError(
         f"{source}: line {num}: {why}",
         remedy='a line is {"window": 0, "loads": [[tokens of each expert] '
--- a/testing/placement/test_planner.py
+++ b/testing/placement/test_planner.py
@@ -14,10 +14,10 @@
 from lugcross import errors
 from lugcross import placement
 from lugcross.placement import planner
-from lugcross.placement import trial
+from lugcross.placement import replay
 
 
-def cfg(**fields: object) -> placement.PlannerCfg:
+def make_cfg(**fields: object) -> placement.PlannerCfg:
     base: dict[str, object] = {
         "ranks": 8,
         "ranks_a_host": 4,
@@ -28,23 +28,27 @@
     return placement.PlannerCfg(**{**base, **fields})  # type: ignore
 
 
-def heavy(layers: int, experts: int, seed: int) -> placement.Loads:
+def skewed_loads(
+    layers: int, experts: int, seed: int
+) -> placement.ExpertLoads:
     rng = np.random.default_rng(seed)
-    loads: placement.Loads = rng.gamma(0.5, 100.0, (layers, experts)) + 1
+    loads: placement.ExpertLoads = rng.gamma(0.5, 100.0, (layers, experts)) + 1
     return loads
 
 
 def naive_skew(
-    loads: placement.Loads, slots: placement.Slots, one: placement.PlannerCfg
+    loads: placement.ExpertLoads,
+    slots: placement.Slots,
+    cfg: placement.PlannerCfg,
 ) -> float:
     """Return the skew by loops over every slot."""
     ratios = []
     for layer, row in zip(loads, slots, strict=True):
-        ranks = [0.0] * one.ranks
+        ranks = [0.0] * cfg.ranks
         for place, expert in enumerate(row):
             copies = list(row).count(expert)
-            ranks[place // one.slots] += layer[expert] / copies
-        ratios.append(max(ranks) / (sum(ranks) / one.ranks))
+            ranks[place // cfg.slots] += layer[expert] / copies
+        ratios.append(max(ranks) / (sum(ranks) / cfg.ranks))
     return float(np.mean(ratios))
 
 
@@ -57,31 +61,31 @@
 def test_plan_keeps_every_expert_and_never_makes_the_forecast_worse(
     seed: int, weight: float, experts: int
 ) -> None:
-    one = cfg(skew_weight=weight)
-    loads = heavy(2, experts, seed)
-    slots = placement.first_map(2, experts, one)
+    cfg = make_cfg(skew_weight=weight)
+    loads = skewed_loads(2, experts, seed)
+    slots = placement.initial_map(2, experts, cfg)
     before = slots.copy()
-    made = placement.plan(loads, loads, slots, one)
+    plan = placement.plan(loads, loads, slots, cfg)
     assert (slots == before).all(), "the input was changed"
-    for row in made.slots:
+    for row in plan.slots:
         assert set(row) == set(range(experts))
-    after = placement.skew(loads, made.slots, one)
-    assert after <= placement.skew(loads, slots, one) + 1e-9
-    assert after == pytest.approx(naive_skew(loads, made.slots, one))
-    assert len(made.moves) <= one.moves_a_window
-    assert (made.choice is placement.Choice.STAY) == (not made.moves)
+    after = placement.skew(loads, plan.slots, cfg)
+    assert after <= placement.skew(loads, slots, cfg) + 1e-9
+    assert after == pytest.approx(naive_skew(loads, plan.slots, cfg))
+    assert len(plan.moves) <= cfg.max_moves_per_window
+    assert (plan.decision is placement.Decision.STAY) == (not plan.moves)
     rebuilt = slots.copy()
-    for move in made.moves:
+    for move in plan.moves:
         rebuilt[move.layer, move.slot] = move.expert
-    assert (rebuilt == made.slots).all()
+    assert (rebuilt == plan.slots).all()
 
 
 def test_plan_comes_near_to_an_even_load() -> None:
-    one = cfg(skew_weight=1.0)
-    loads = heavy(4, 24, 7)
-    made = placement.plan(loads, loads, placement.first_map(4, 24, one), one)
-    assert made.forecast_before > 1.5
-    assert made.forecast_after < 1.15
+    cfg = make_cfg(skew_weight=1.0)
+    loads = skewed_loads(4, 24, 7)
+    plan = placement.plan(loads, loads, placement.initial_map(4, 24, cfg), cfg)
+    assert plan.forecast_skew_before > 1.5
+    assert plan.forecast_skew_after < 1.15
 
 
 @pytest.mark.parametrize(
@@ -94,57 +98,59 @@
     ids=["surge", "no-weight", "dear"],
 )
 def test_plan_stays_and_says_why(fields: dict[str, object], word: str) -> None:
-    one = cfg(**fields)
-    loads = heavy(1, 24, 7)
-    made = placement.plan(loads, loads, placement.first_map(1, 24, one), one)
-    assert made.choice is placement.Choice.STAY
-    assert word in made.reasons[0]
+    cfg = make_cfg(**fields)
+    loads = skewed_loads(1, 24, 7)
+    plan = placement.plan(loads, loads, placement.initial_map(1, 24, cfg), cfg)
+    assert plan.decision is placement.Decision.STAY
+    assert word in plan.reasons[0]
 
 
 def test_even_load_is_left_alone() -> None:
     loads = np.ones((1, 20))
-    made = placement.plan(
-        loads, loads, placement.first_map(1, 20, cfg()), cfg()
+    plan = placement.plan(
+        loads, loads, placement.initial_map(1, 20, make_cfg()), make_cfg()
     )
-    assert "good already" in made.reasons[0]
+    assert "good already" in plan.reasons[0]
 
 
 def test_gain_that_the_newest_window_denies_is_taken_for_noise() -> None:
-    one = cfg()
-    made = placement.plan(
-        heavy(1, 24, 1),
-        heavy(1, 24, 2),
-        placement.first_map(1, 24, one),
-        one,
+    cfg = make_cfg()
+    plan = placement.plan(
+        skewed_loads(1, 24, 1),
+        skewed_loads(1, 24, 2),
+        placement.initial_map(1, 24, cfg),
+        cfg,
     )
-    assert made.choice is placement.Choice.STAY
-    assert "noise" in made.reasons[0]
+    assert plan.decision is placement.Decision.STAY
+    assert "noise" in plan.reasons[0]
 
 
 def test_transfers_of_one_window_bound_the_moves() -> None:
-    one = cfg(skew_weight=1.0, transfer_bytes_s=100.0, window_s=60.0)
-    loads = heavy(4, 24, 7)
-    made = placement.plan(loads, loads, placement.first_map(4, 24, one), one)
-    assert 0 < len(made.moves) <= 6
+    cfg = make_cfg(skew_weight=1.0, transfer_bytes_s=100.0, window_s=60.0)
+    loads = skewed_loads(4, 24, 7)
+    plan = placement.plan(loads, loads, placement.initial_map(4, 24, cfg), cfg)
+    assert 0 < len(plan.moves) <= 6
 
 
 def test_more_weight_on_cost_moves_less() -> None:
-    loads = heavy(4, 24, 7)
+    loads = skewed_loads(4, 24, 7)
     counts = []
     for weight in (0.1, 0.5, 1.0):
-        one = cfg(skew_weight=weight)
-        slots = placement.first_map(4, 24, one)
-        counts.append(len(placement.plan(loads, loads, slots, one).moves))
+        cfg = make_cfg(skew_weight=weight)
+        slots = placement.initial_map(4, 24, cfg)
+        counts.append(len(placement.plan(loads, loads, slots, cfg).moves))
     assert counts == sorted(counts)
     assert counts[0] < counts[-1]
 
 
 def test_too_few_slots_are_refused_with_the_remedy() -> None:
     with pytest.raises(ValueError, match="add ranks"):
-        placement.first_map(1, 41, cfg())
+        placement.initial_map(1, 41, make_cfg())
 
 
-def forecast_error(windows: list[placement.Loads]) -> tuple[float, float]:
+def forecast_error(
+    windows: list[placement.ExpertLoads],
+) -> tuple[float, float]:
     """Return the error of the forecaster and of "as the last"."""
     forecaster = placement.Forecaster()
     ours = last = 0.0
@@ -155,20 +161,22 @@
 
 
 def test_forecast_takes_the_mean_of_alternating_loads() -> None:
-    pair = [heavy(1, 8, 1), heavy(1, 8, 2)]
+    pair = [skewed_loads(1, 8, 1), skewed_loads(1, 8, 2)]
     ours, last = forecast_error(pair * 20)
     assert ours < 0.7 * last
 
 
 def test_forecast_follows_a_sudden_switch() -> None:
-    first, second = heavy(1, 8, 1), heavy(1, 8, 2)
+    first, second = skewed_loads(1, 8, 1), skewed_loads(1, 8, 2)
     forecaster = placement.Forecaster()
     for loads in [first] * 10 + [second] * 3:
         forecast = forecaster.update(loads)
     assert np.abs(forecast - second).sum() < 0.1 * second.sum()
 
 
-def write(path: pathlib.Path, windows: list[placement.Loads]) -> None:
+def write_windows(
+    path: pathlib.Path, windows: list[placement.ExpertLoads]
+) -> None:
     path.write_text(
         "".join(
             json.dumps({"window": num, "loads": loads.tolist()}) + "\n"
@@ -180,11 +188,11 @@
 def test_command_decides_each_window_from_those_up_to_it(
     tmp_path: pathlib.Path,
 ) -> None:
-    windows = [heavy(2, 128, num // 3) for num in range(6)]
+    windows = [skewed_loads(2, 128, num // 3) for num in range(6)]
     rows = []
     for count in (4, 6):
         path = tmp_path / f"{count}.jsonl"
-        write(path, windows[:count])
+        write_windows(path, windows[:count])
         result = click_testing.CliRunner().invoke(
             plan_cli.plan,
             ["--cfg", "examples/planner.yaml", "--json"]
@@ -204,7 +212,7 @@
 
 
 def test_command_draws_a_picture(tmp_path: pathlib.Path) -> None:
-    write(tmp_path / "l.jsonl", [heavy(2, 128, 1)] * 3)
+    write_windows(tmp_path / "l.jsonl", [skewed_loads(2, 128, 1)] * 3)
     picture = tmp_path / "p.png"
     result = click_testing.CliRunner().invoke(
         plan_cli.plan,
@@ -227,9 +235,12 @@
 )
 def test_bad_line_is_named(line: str, word: str) -> None:
     with pytest.raises(errors.SettingsError, match=word):
-        list(trial.read_windows([line], source="l.jsonl"))
+        list(replay.read_windows([line], source="l.jsonl"))
 
 
-def test_price_falls_with_the_weight_of_skew() -> None:
-    prices = [planner.price(cfg(skew_weight=w)) for w in (0.2, 0.5, 1.0)]
-    assert prices == sorted(prices, reverse=True)
+def test_min_gain_per_load_falls_with_the_weight_of_skew() -> None:
+    min_gains = [
+        planner.min_gain_per_load(make_cfg(skew_weight=w))
+        for w in (0.2, 0.5, 1.0)
+    ]
+    assert min_gains == sorted(min_gains, reverse=True)
