--- a/src/lugcross/placement/__init__.py
+++ b/src/lugcross/placement/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Expert placement: when to move which experts between ranks."""
+"""Plans which expert replicas the ranks of a model group hold."""
 
 from lugcross.placement.expert_map import ExpertLoads
 from lugcross.placement.expert_map import initial_map
--- a/src/lugcross/placement/expert_map.py
+++ b/src/lugcross/placement/expert_map.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Expert maps of a group of ranks, and how evenly they share load."""
+"""Expert maps of a model group, and the rank loads that they cause."""
 
 import dataclasses
 from typing import final
@@ -10,8 +10,8 @@
 
 #: Load of each expert in each layer, in tokens; shape (layers, experts).
 ExpertLoads = npt.NDArray[np.float64]
-#: Expert in each slot of each layer; shape (layers, ranks * slots). The
-#: slots of a rank lie side by side.
+#: An expert map: the expert in each slot of each layer. The shape is
+#: (layers, ranks * slots); slots of one rank are adjacent.
 Slots = npt.NDArray[np.int32]
 
 
@@ -19,14 +19,18 @@
 class PlannerCfg(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Limits of one model group, and what its operator cares for.
+    """Size and limits of a model group, and its planning preferences.
 
+    :param ranks_a_host: ranks on each host.
     :param slots: expert replicas that a rank holds in each layer.
-    :param expert_bytes: weights of one expert in one layer.
-    :param transfer_bytes_s: what all ranks may load together.
-    :param skew_weight: 0 for the fewest moves, 1 for the least skew.
+    :param expert_bytes: size of the weights of one expert in one layer.
+    :param transfer_bytes_s: limit for the weights that all ranks
+        together may load, in bytes per second.
+    :param skew_weight: from 0, which never moves experts, to 1, which
+        reduces skew regardless of the transfer cost.
     :param window_s: time between two plans, in seconds.
-    :param surge: moves are held back while it is declared.
+    :param surge: set by the operator during a surge of load; no experts
+        are moved while it is set.
     """
 
     ranks: int
@@ -41,25 +45,30 @@
     def __post_init__(self) -> None:
         counts = (self.ranks, self.ranks_a_host, self.slots)
         if min(counts) < 1:
-            raise ValueError("ranks, ranks_a_host and slots must be over 0")
+            raise ValueError(
+                "ranks, ranks_a_host and slots must be at least 1"
+            )
         if self.expert_bytes < 1 or self.transfer_bytes_s <= 0:
             raise ValueError(
-                "expert_bytes and transfer_bytes_s must be over 0"
+                "expert_bytes and transfer_bytes_s must be greater than 0"
             )
         if not 0 <= self.skew_weight <= 1:
-            raise ValueError("skew_weight must be 0 to 1")
+            raise ValueError("skew_weight must be between 0 and 1")
 
     @property
     def max_moves_per_window(self) -> int:
-        """Expert replicas that can be loaded within one window."""
-        whole = self.transfer_bytes_s * self.window_s
-        return int(whole // self.expert_bytes)
+        """Number of expert replicas that can be loaded in one window."""
+        window_bytes = self.transfer_bytes_s * self.window_s
+        return int(window_bytes // self.expert_bytes)
 
 
 @final
 @dataclasses.dataclass(frozen=True)
 class Move:
-    """One replica to load: into which slot of which layer."""
+    """A load of one expert replica into a slot of a layer.
+
+    :param slot: index in the layer's row of the expert map.
+    """
 
     layer: int
     slot: int
@@ -67,9 +76,11 @@
 
 
 def initial_map(layers: int, experts: int, cfg: PlannerCfg) -> Slots:
-    """Return a map that spreads experts evenly, blind to load.
+    """Return a map with equally many replicas of each expert, plus or minus 1.
+
+    It does not depend on the load of the experts.
 
-    :raises ValueError: when not every expert finds a slot.
+    :raises ValueError: if there are fewer slots than experts.
     """
     slot_count = cfg.ranks * cfg.slots
     if slot_count < experts:
@@ -77,7 +88,8 @@
             f"{experts} experts do not fit into {slot_count} slots; add ranks "
             "or slots"
         )
-    # Dealt out rank by rank, so that replicas lie on different ranks.
+    # Experts are assigned round-robin over the ranks, so that replicas of
+    # one expert are on different ranks where possible.
     order = np.arange(slot_count).reshape(cfg.slots, cfg.ranks).T.reshape(-1)
     row = (order % experts).astype(np.int32)
     return np.tile(row, (layers, 1))
@@ -88,7 +100,7 @@
 ) -> ExpertLoads:
     """Return the load of each rank in each layer; (layers, ranks).
 
-    An expert's load is split evenly over its replicas.
+    The load of an expert is split evenly over its replicas.
     """
     layers, experts = loads.shape
     base = np.arange(layers)[:, None] * experts
@@ -102,9 +114,10 @@
 
 
 def skew(loads: ExpertLoads, slots: Slots, cfg: PlannerCfg) -> float:
-    """Return max over mean of rank load, averaged over the layers.
+    """Return maximum over mean rank load, averaged over loaded layers.
 
-    A step waits in each layer for its slowest rank.
+    In each layer an engine step waits for the most loaded rank. The
+    result is 1 if the load is even, or if there is none.
     """
     loads_of_ranks = rank_loads(loads, slots, cfg)
     mean = loads_of_ranks.mean(axis=1)
--- a/src/lugcross/placement/forecast.py
+++ b/src/lugcross/placement/forecast.py
@@ -1,9 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Load of the next window from the windows so far.
+"""Forecasts the expert loads of the next window.
 
-No one predictor suits every kind of drift: after a sudden switch only
-the last window counts, between alternating loads only their mean. So
-several run side by side, and the one that was nearest lately is used.
+No single predictor suits every change of load: after a sudden change
+the newest window predicts best, while alternating loads are predicted
+best by their mean. Several exponential moving averages are therefore
+kept, and the one with the smallest recent error is used.
 """
 
 from typing import final
@@ -12,9 +13,10 @@
 
 from lugcross.placement import expert_map
 
-#: Weights of the newest window in each predictor; 1 is "as the last".
+#: Weight of the newest window in each moving average; with 1 the
+#: forecast equals the newest window.
 SMOOTHING_FACTORS = (1.0, 0.5, 0.2, 0.05)
-#: Weight of the newest error when predictors are compared.
+#: Weight of the newest error in the recent error of each predictor.
 ERROR_SMOOTHING_FACTOR = 0.25
 
 
@@ -27,9 +29,9 @@
         self._errors = np.zeros(len(SMOOTHING_FACTORS))
 
     def update(self, loads: expert_map.ExpertLoads) -> expert_map.ExpertLoads:
-        """Take the newest window and return the forecast of the next.
+        """Add the newest window and return the forecast of the next.
 
-        :param loads: shape (layers, experts), in tokens.
+        :param loads: tokens in the newest window; (layers, experts).
         """
         if not self._forecasts:
             self._forecasts = [loads.copy() for _ in SMOOTHING_FACTORS]
@@ -50,5 +52,8 @@
 
     @property
     def error(self) -> float:
-        """Smallest error of late, in tokens over all experts."""
+        """Recent absolute error of the best predictor.
+
+        In tokens, summed over all layers and experts.
+        """
         return float(self._errors.min())
--- a/src/lugcross/placement/layer_search.py
+++ b/src/lugcross/placement/layer_search.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Greedy search for moves in one layer: each lowers the highest rank."""
+"""Greedy search for changes that lower the maximum rank load of a layer."""
 
 from typing import final
 
@@ -8,18 +8,21 @@
 
 from lugcross.placement import expert_map
 
-#: What a replica beside another on one host is taken to cost, as a part
-#: of the mean rank load: hosts fail whole.
+#: Penalty for a second replica of an expert on one host, as a fraction of
+#: the mean rank load: all replicas on a host fail together with it.
 SAME_HOST_PENALTY = 0.02
 
+#: Slots of the most loaded rank for which changes are tried.
+_SLOTS_TO_TRY = 3
+
 _Vector = npt.NDArray[np.float64]
 
 
 @final
 class LayerSearch:
-    """One layer's slots with the loads that follow from them.
+    """The slots of one layer, with the slot and rank loads they cause.
 
-    :param loads: forecast load of each expert.
+    :param loads: forecast load of each expert, in tokens.
     :param slots: expert in each slot; changed in place.
     """
 
@@ -39,19 +42,21 @@
 
     @property
     def max_rank_load(self) -> float:
-        """Load of the slowest rank."""
+        """Load of the most loaded rank, in tokens."""
         return float(self._rank_loads.max())
 
     def best_change(self) -> tuple[float, list[tuple[int, int]]]:
-        """Find the best change for the slowest rank.
+        """Find the change that best relieves the most loaded rank.
 
-        :returns: the load that its ranks would have at most, and the
-            changes as pairs of slot and expert; none if nothing helps.
+        :returns: the resulting load of the most loaded rank among those
+            that take part, including penalties, and the slots to
+            change as pairs of slot and expert; no pairs if no change
+            lowers the maximum rank load.
         """
         hottest_rank = int(self._rank_loads.argmax())
         best = self.max_rank_load
         changes: list[tuple[int, int]] = []
-        for slot in self._slots_by_load(hottest_rank):
+        for slot in self._most_loaded_slots(hottest_rank):
             for peak_load, found in (
                 self._best_replication(slot),
                 self._best_swap(slot),
@@ -63,7 +68,7 @@
         return best, changes
 
     def apply(self, changes: list[tuple[int, int]]) -> None:
-        """Carry out changes that :meth:`best_change` found."""
+        """Apply changes that :meth:`best_change` returned."""
         for slot, expert in changes:
             self.slots[slot] = expert
         self._update_loads()
@@ -82,56 +87,63 @@
             minlength=self._rank_count,
         )
 
-    def _slots_by_load(self, rank: int) -> list[int]:
-        mine = np.flatnonzero(self._slot_ranks == rank)
-        order = np.argsort(-self._slot_loads[mine])
-        # The heaviest few: the rest cannot be what makes it slow.
-        return [int(slot) for slot in mine[order][:3]]
+    def _most_loaded_slots(self, rank: int) -> list[int]:
+        rank_slots = np.flatnonzero(self._slot_ranks == rank)
+        order = np.argsort(-self._slot_loads[rank_slots])
+        return [int(slot) for slot in rank_slots[order][:_SLOTS_TO_TRY]]
 
     def _ranks_holding(self, expert: int) -> npt.NDArray[np.bool_]:
-        """Return which ranks hold ``expert`` already."""
-        taken = np.zeros(self._rank_count, dtype=bool)
-        taken[self._slot_ranks[self.slots == expert]] = True
-        return taken
+        """Return a mask of the ranks that hold ``expert``."""
+        holding = np.zeros(self._rank_count, dtype=bool)
+        holding[self._slot_ranks[self.slots == expert]] = True
+        return holding
 
     def _same_host_penalty(self, expert: int) -> _Vector:
-        there = np.zeros(self._slot_hosts[-1] + 1)
-        there[self._slot_hosts[self.slots == expert]] = 1.0
-        cost: _Vector = there[self._slot_hosts]
+        """Return for each slot the penalty of placing ``expert`` there."""
+        on_host = np.zeros(self._slot_hosts[-1] + 1)
+        on_host[self._slot_hosts[self.slots == expert]] = 1.0
+        cost: _Vector = on_host[self._slot_hosts]
         cost *= SAME_HOST_PENALTY * self.mean_rank_load
         return cost
 
     def _best_replication(
         self, slot: int
     ) -> tuple[float, list[tuple[int, int]]]:
-        """Try one more replica of a slot's expert in another's place."""
+        """Find the best slot for another replica of the expert in ``slot``.
+
+        The replica replaces one of an expert that has other replicas.
+        """
         expert = int(self.slots[slot])
         count = self._replica_counts
-        new_share = self._expert_loads[expert] / (count[expert] + 1)
-        # What the others that hold the replaced expert would get more.
-        more = (
+        new_replica_load = self._expert_loads[expert] / (count[expert] + 1)
+        # Load that each remaining replica of a replaced expert takes over.
+        added_load = (
             self._expert_loads / np.maximum(count - 1, 1) - self._replica_loads
         )
-        peak = np.zeros(len(self._expert_loads))
-        np.maximum.at(peak, self.slots, self._rank_loads[self._slot_ranks])
+        max_holder_load = np.zeros(len(self._expert_loads))
+        np.maximum.at(
+            max_holder_load, self.slots, self._rank_loads[self._slot_ranks]
+        )
         peak_load = np.maximum(
-            self._rank_loads[self._slot_ranks] - self._slot_loads + new_share,
-            (peak + more)[self.slots],
+            self._rank_loads[self._slot_ranks]
+            - self._slot_loads
+            + new_replica_load,
+            (max_holder_load + added_load)[self.slots],
         )
         peak_load += self._same_host_penalty(expert)
         excluded = self._ranks_holding(expert)[self._slot_ranks]
         excluded |= count[self.slots] < 2
         peak_load[excluded] = np.inf
         target = int(peak_load.argmin())
-        relieved = self._rank_loads[self._slot_ranks[slot]] - (
-            self._slot_loads[slot] - new_share
+        relieved_load = self._rank_loads[self._slot_ranks[slot]] - (
+            self._slot_loads[slot] - new_replica_load
         )
-        return max(float(peak_load[target]), float(relieved)), [
+        return max(float(peak_load[target]), float(relieved_load)), [
             (target, expert)
         ]
 
     def _best_swap(self, slot: int) -> tuple[float, list[tuple[int, int]]]:
-        """Try to trade a slot's expert for a lighter one elsewhere."""
+        """Find the best slot to swap experts with ``slot``."""
         expert = int(self.slots[slot])
         rank = int(self._slot_ranks[slot])
         gain = self._slot_loads[slot] - self._slot_loads
--- a/src/lugcross/placement/planner.py
+++ b/src/lugcross/placement/planner.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""When to move experts, and which: a pure function of what is known."""
+"""Decides from forecast and recent load which experts to move.
+
+Planning has no side effects; the result depends on its arguments only.
+"""
 
 from collections.abc import Iterator
 import dataclasses
@@ -11,21 +14,21 @@
 from lugcross.placement import expert_map
 from lugcross.placement import layer_search
 
-#: Skew that is as good as none; nothing is moved below it.
+#: No experts are moved while the forecast skew is at or below this.
 ACCEPTABLE_SKEW = 1.02
-#: Part of the gain that must be moves_left on the newest window as well: a
-#: forecast alone may be chasing noise.
+#: Fraction of the gain expected from the forecast that a plan must also
+#: reach on the newest window, so that it does not follow noise.
 MIN_CONFIRMED_GAIN_FRACTION = 0.3
 
-#: Gain that one load of an expert must bring at an even weight, where
-#: its transfer costs nothing.
+#: Gain in skew required for each expert replica loaded at a skew_weight of
+#: 0.5, apart from the share of the transfer limit that the load takes.
 FIXED_LOAD_COST = 0.01
 
 _MIN_GAIN_PER_LOAD = 0.0005
 
 
 class Decision(enum.Enum):
-    """What a plan decides."""
+    """Whether a plan keeps the current map or moves experts."""
 
     STAY = "stay"
     MOVE = "move"
@@ -34,10 +37,12 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Plan:
-    """The next map, what must be loaded for it, and why.
+    """The next expert map, with the moves that lead to it and reasons.
 
-    :param forecast_skew_before: skew of the forecast on the current map.
-    :param forecast_skew_after: skew of the forecast on the next map.
+    :param slots: the next map.
+    :param moves: replicas to load for the next map.
+    :param forecast_skew_before: forecast skew with the current map.
+    :param forecast_skew_after: forecast skew with the next map.
     """
 
     decision: Decision
@@ -51,7 +56,12 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class _Improvement:
-    """One change in one layer and what it brings for each transfer."""
+    """A change to one layer that lowers its maximum rank load.
+
+    :param gain_per_load: reduction of the layer's maximum over mean rank
+        load, divided by the number of changes.
+    :param changes: pairs of slot and expert to load into it.
+    """
 
     layer: int
     gain_per_load: float
@@ -64,36 +74,37 @@
     slots: expert_map.Slots,
     cfg: expert_map.PlannerCfg,
 ) -> Plan:
-    """Return the next map for a model group, or the same with reasons.
+    """Plan the next expert map of a model group.
 
-    :param forecast: load expected in the next window; (layers, experts).
+    :param forecast: load expected in the next window.
     :param newest: load of the newest window, to confirm the gain.
+    :param slots: the current map; not changed.
     """
     before = expert_map.skew(forecast, slots, cfg)
     if cfg.surge:
-        return _stay(slots, before, "a surge is declared; moves wait")
+        return _stay(slots, before, "surge is set; moves are held back")
     if before <= ACCEPTABLE_SKEW:
-        return _stay(slots, before, f"skew {before:.3f} is good already")
+        return _stay(slots, before, f"skew {before:.3f} is acceptable")
     if not cfg.skew_weight:
-        return _stay(slots, before, "the weight of skew is 0")
+        return _stay(slots, before, "skew_weight is 0")
     after = _improved_map(forecast, slots, cfg)
     moves = moves_between(slots, after)
     if not moves:
-        return _stay(slots, before, "no change is worth its transfer")
+        return _stay(slots, before, "no change is worth its transfers")
     expected = before - expert_map.skew(forecast, after, cfg)
-    seen = expert_map.skew(newest, slots, cfg) - expert_map.skew(
+    confirmed = expert_map.skew(newest, slots, cfg) - expert_map.skew(
         newest, after, cfg
     )
-    if seen < MIN_CONFIRMED_GAIN_FRACTION * expected:
+    if confirmed < MIN_CONFIRMED_GAIN_FRACTION * expected:
         return _stay(
             slots,
             before,
-            f"the forecast gains {expected:.3f}, the newest window only "
-            f"{seen:.3f}: this may be noise",
+            f"gain in skew is {expected:.3f} on the forecast but "
+            f"{confirmed:.3f} on the newest window: probably noise",
         )
     reason = (
-        f"skew {before:.3f} -> {before - expected:.3f} for "
-        f"{len(moves)} loads of an expert"
+        f"skew {before:.3f} -> {before - expected:.3f} with "
+        f"{len(moves)} expert replicas loaded"
     )
     return Plan(
         decision=Decision.MOVE,
@@ -106,24 +117,26 @@
 
 
 def min_gain_per_load(cfg: expert_map.PlannerCfg) -> float:
-    """Return the gain that one load of an expert must bring.
+    """Return the gain that each load of an expert replica must bring.
 
-    The gain is in the layer's max over mean. A load costs its part of
-    the window's transfers and, even where these are cheap, some
-    disruption; the weight says what an operator gives for it.
+    The gain is the reduction of the layer's maximum over mean rank load.
+    A load is charged its share of the transfer limit in one window plus
+    a fixed cost, as even a fast transfer disturbs the ranks. A higher
+    ``skew_weight`` lowers the result; it must not be 0.
     """
-    part = cfg.expert_bytes / (cfg.transfer_bytes_s * cfg.window_s)
-    return (1 - cfg.skew_weight) / cfg.skew_weight * (FIXED_LOAD_COST + part)
+    transfer_cost = cfg.expert_bytes / (cfg.transfer_bytes_s * cfg.window_s)
+    cost = FIXED_LOAD_COST + transfer_cost
+    return (1 - cfg.skew_weight) / cfg.skew_weight * cost
 
 
 def moves_between(
     before: expert_map.Slots, after: expert_map.Slots
 ) -> tuple[expert_map.Move, ...]:
-    """Return the replicas to load to get from one map to another."""
-    layers, places = np.nonzero(before != after)
+    """Return the replicas to load to change ``before`` into ``after``."""
+    layers, changed_slots = np.nonzero(before != after)
     return tuple(
         expert_map.Move(int(layer), int(slot), int(after[layer, slot]))
-        for layer, slot in zip(layers, places, strict=True)
+        for layer, slot in zip(layers, changed_slots, strict=True)
     )
 
 
@@ -132,7 +145,7 @@
     slots: expert_map.Slots,
     cfg: expert_map.PlannerCfg,
 ) -> expert_map.Slots:
-    """Return a map with the improvements that are worth their transfers."""
+    """Return a copy of the map with all improvements worth their loads."""
     after = slots.copy()
     improvements = [
         improvement
@@ -141,13 +154,14 @@
             layer_num, forecast[layer_num], after[layer_num].copy(), cfg
         )
     ]
-    # The best first, until the transfers of one window are used up. A
-    # layer's improvements build on each other, so their order within it stays.
-    gains = _layers_by_gain(improvements, len(slots))
+    # Layers with the largest gain come first, until the moves of one window
+    # are used up. Improvements within a layer build on each other and keep
+    # their order.
+    layer_order = _layers_by_gain(improvements, len(slots))
     moves_left = cfg.max_moves_per_window
-    for layer_num in gains:
+    for layer_num in layer_order:
         for improvement in (
-            one for one in improvements if one.layer == layer_num
+            found for found in improvements if found.layer == layer_num
         ):
             if len(improvement.changes) > moves_left:
                 break
@@ -175,7 +189,7 @@
     slots: expert_map.Slots,
     cfg: expert_map.PlannerCfg,
 ) -> Iterator[_Improvement]:
-    """Yield improvements of one layer while they are worth their transfers."""
+    """Yield improvements of one layer while they are worth their loads."""
     layer = layer_search.LayerSearch(loads, slots, cfg)
     if not layer.mean_rank_load:
         return
@@ -185,11 +199,13 @@
     for _ in range(len(slots)):
         if layer.max_rank_load <= ACCEPTABLE_SKEW * layer.mean_rank_load:
             return
-        value, changes = layer.best_change()
+        max_load, changes = layer.best_change()
         if not changes:
             return
         gain = (
-            (layer.max_rank_load - value) / layer.mean_rank_load / len(changes)
+            (layer.max_rank_load - max_load)
+            / layer.mean_rank_load
+            / len(changes)
         )
         layer.apply(changes)
         if gain < min_gain:
--- a/src/lugcross/placement/replay.py
+++ b/src/lugcross/placement/replay.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Tries the planner on recorded load, window by window."""
+"""Replays recorded load through the planner, window by window."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -17,8 +17,9 @@
 
 @final
 class RecordedWindow(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One line of recorded load.
+    """One line of a file of recorded load.
 
+    :param window: number of the window.
     :param loads: tokens of each expert, for each layer.
     """
 
@@ -29,11 +30,12 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class WindowResult:
-    """What the planner decided at one window, and what came of it.
+    """Decision of the planner after one window, and its effect.
 
-    :param skew_before: of this window's load on the map before.
-    :param skew_next: of the next window's load on the map after; none
-        for the last window.
+    :param skew_before: skew of this window's load with the map in use
+        before the decision.
+    :param skew_next: skew of the next window's load with the map that
+        was decided; none for the last window.
     """
 
     window: int
@@ -46,25 +48,27 @@
 
 
 def parse_planner_cfg(text: str, *, source: str) -> expert_map.PlannerCfg:
-    """Return the planner's limits from YAML.
+    """Return the planner configuration from YAML text.
 
-    :raises errors.SettingsError: naming file, field and remedy.
+    :param source: file name for error messages.
+    :raises errors.SettingsError: if the text or a field is invalid.
     """
     try:
         return msgspec.yaml.decode(text, type=expert_map.PlannerCfg)
     except (msgspec.ValidationError, msgspec.DecodeError) as exc:
         raise errors.SettingsError(
             f"{source}: {exc}",
-            remedy="examples/planner.yaml shows all fields",
+            remedy="see examples/planner.yaml for all fields",
         ) from exc
 
 
 def read_windows(
     lines: Iterable[str], *, source: str
 ) -> Iterator[tuple[int, expert_map.ExpertLoads]]:
-    """Yield number and loads of each window of a JSON-lines file.
+    """Yield the number and loads of each window of a JSON Lines file.
 
-    :raises errors.SettingsError: naming file, line and fault.
+    :param source: file name for error messages.
+    :raises errors.SettingsError: if a line is invalid.
     """
     shape: tuple[int, ...] = ()
     for num, line in enumerate(lines, start=1):
@@ -75,9 +79,13 @@
             raise _invalid_line(source, num, str(exc)) from exc
         shape = shape or loads.shape
         if loads.ndim != 2 or loads.shape != shape:
-            raise _invalid_line(source, num, "its shape differs from line 1")
+            raise _invalid_line(
+                source, num, "shape of loads differs from line 1"
+            )
         if not np.isfinite(loads).all() or (loads < 0).any():
-            raise _invalid_line(source, num, "a load is negative or no number")
+            raise _invalid_line(
+                source, num, "a load is negative or not finite"
+            )
         yield window.window, loads
 
 
@@ -85,9 +93,11 @@
     windows: Iterable[tuple[int, expert_map.ExpertLoads]],
     cfg: expert_map.PlannerCfg,
 ) -> Iterator[WindowResult]:
-    """Yield what the planner decides, from the windows up to each.
+    """Plan after each window, from the windows up to it.
 
-    :raises errors.SettingsError: when the experts find no room.
+    A result is yielded once the next window is known.
+
+    :raises errors.SettingsError: if there are fewer slots than experts.
     """
     forecaster = forecast_lib.Forecaster()
     slots: expert_map.Slots | None = None
@@ -96,7 +106,7 @@
         if slots is None:
             slots = _initial_map(loads, cfg)
         if pending is not None:
-            # Judged only now, by load that the decision had not seen.
+            # The decision is measured on load that it did not depend on.
             skew_next = expert_map.skew(loads, slots, cfg)
             yield dataclasses.replace(pending, skew_next=skew_next)
         plan = planner.plan(forecaster.update(loads), loads, slots, cfg)
@@ -122,14 +132,14 @@
         return expert_map.initial_map(layers, experts, cfg)
     except ValueError as exc:
         raise errors.SettingsError(
-            f"the map cannot be made ({exc})",
-            remedy="raise ranks or slots in the cfg",
+            f"cannot create the initial map ({exc})",
+            remedy="increase ranks or slots in the configuration",
         ) from exc
 
 
 def _invalid_line(source: str, num: int, why: str) -> errors.SettingsError:
     return errors.SettingsError(
         f"{source}: line {num}: {why}",
-        remedy='a line is {"window": 0, "loads": [[tokens of each expert] '
-        "for each layer]}",
+        remedy='each line must be {"window": 0, "loads": [[tokens of each '
+        "expert] for each layer]}",
     )
--- a/testing/placement/test_planner.py
+++ b/testing/placement/test_planner.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Planner: maps stay whole, moves are few and worth their transfer."""
+"""Planner: every expert keeps a slot, and moves are worth their loads."""
 
 import json
 import pathlib
@@ -41,13 +41,13 @@
     slots: placement.Slots,
     cfg: placement.PlannerCfg,
 ) -> float:
-    """Return the skew by loops over every slot."""
+    """Return the skew computed by a loop over all slots, as a reference."""
     ratios = []
     for layer, row in zip(loads, slots, strict=True):
         ranks = [0.0] * cfg.ranks
-        for place, expert in enumerate(row):
+        for slot, expert in enumerate(row):
             copies = list(row).count(expert)
-            ranks[place // cfg.slots] += layer[expert] / copies
+            ranks[slot // cfg.slots] += layer[expert] / copies
         ratios.append(max(ranks) / (sum(ranks) / cfg.ranks))
     return float(np.mean(ratios))
 
@@ -80,7 +80,7 @@
     assert (rebuilt == plan.slots).all()
 
 
-def test_plan_comes_near_to_an_even_load() -> None:
+def test_plan_nearly_evens_out_the_load() -> None:
     cfg = make_cfg(skew_weight=1.0)
     loads = skewed_loads(4, 24, 7)
     plan = placement.plan(loads, loads, placement.initial_map(4, 24, cfg), cfg)
@@ -89,31 +89,35 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "word"),
+    ("fields", "message"),
     [
         ({"surge": True}, "surge"),
         ({"skew_weight": 0.0}, "weight"),
         ({"skew_weight": 0.001}, "worth"),
     ],
-    ids=["surge", "no-weight", "dear"],
+    ids=["surge", "zero-weight", "costly-moves"],
 )
-def test_plan_stays_and_says_why(fields: dict[str, object], word: str) -> None:
+def test_plan_that_stays_gives_the_reason(
+    fields: dict[str, object], message: str
+) -> None:
     cfg = make_cfg(**fields)
     loads = skewed_loads(1, 24, 7)
     plan = placement.plan(loads, loads, placement.initial_map(1, 24, cfg), cfg)
     assert plan.decision is placement.Decision.STAY
-    assert word in plan.reasons[0]
+    assert message in plan.reasons[0]
 
 
-def test_even_load_is_left_alone() -> None:
+def test_even_load_causes_no_moves() -> None:
     loads = np.ones((1, 20))
     plan = placement.plan(
         loads, loads, placement.initial_map(1, 20, make_cfg()), make_cfg()
     )
-    assert "good already" in plan.reasons[0]
+    assert "acceptable" in plan.reasons[0]
 
 
-def test_gain_that_the_newest_window_denies_is_taken_for_noise() -> None:
+def test_gain_not_confirmed_by_the_newest_window_is_rejected_as_noise() -> (
+    None
+):
     cfg = make_cfg()
     plan = placement.plan(
         skewed_loads(1, 24, 1),
@@ -125,14 +129,14 @@
     assert "noise" in plan.reasons[0]
 
 
-def test_transfers_of_one_window_bound_the_moves() -> None:
+def test_transfer_limit_of_a_window_bounds_the_moves() -> None:
     cfg = make_cfg(skew_weight=1.0, transfer_bytes_s=100.0, window_s=60.0)
     loads = skewed_loads(4, 24, 7)
     plan = placement.plan(loads, loads, placement.initial_map(4, 24, cfg), cfg)
     assert 0 < len(plan.moves) <= 6
 
 
-def test_more_weight_on_cost_moves_less() -> None:
+def test_lower_skew_weight_moves_fewer_experts() -> None:
     loads = skewed_loads(4, 24, 7)
     counts = []
     for weight in (0.1, 0.5, 1.0):
@@ -143,7 +147,7 @@
     assert counts[0] < counts[-1]
 
 
-def test_too_few_slots_are_refused_with_the_remedy() -> None:
+def test_too_few_slots_raise_an_error_with_a_remedy() -> None:
     with pytest.raises(ValueError, match="add ranks"):
         placement.initial_map(1, 41, make_cfg())
 
@@ -151,22 +155,25 @@
 def forecast_error(
     windows: list[placement.ExpertLoads],
 ) -> tuple[float, float]:
-    """Return the error of the forecaster and of "as the last"."""
+    """Return the errors of the forecaster and of a naive forecast.
+
+    The naive forecast repeats the newest window.
+    """
     forecaster = placement.Forecaster()
-    ours = last = 0.0
+    forecaster_error = naive_error = 0.0
     for now, later in zip(windows, windows[1:], strict=False):
-        ours += float(np.abs(forecaster.update(now) - later).sum())
-        last += float(np.abs(now - later).sum())
-    return ours, last
+        forecaster_error += float(np.abs(forecaster.update(now) - later).sum())
+        naive_error += float(np.abs(now - later).sum())
+    return forecaster_error, naive_error
 
 
-def test_forecast_takes_the_mean_of_alternating_loads() -> None:
+def test_forecast_uses_the_mean_of_alternating_loads() -> None:
     pair = [skewed_loads(1, 8, 1), skewed_loads(1, 8, 2)]
-    ours, last = forecast_error(pair * 20)
-    assert ours < 0.7 * last
+    forecaster_error, naive_error = forecast_error(pair * 20)
+    assert forecaster_error < 0.7 * naive_error
 
 
-def test_forecast_follows_a_sudden_switch() -> None:
+def test_forecast_adapts_to_a_sudden_change() -> None:
     first, second = skewed_loads(1, 8, 1), skewed_loads(1, 8, 2)
     forecaster = placement.Forecaster()
     for loads in [first] * 10 + [second] * 3:
@@ -185,7 +192,7 @@
     )
 
 
-def test_command_decides_each_window_from_those_up_to_it(
+def test_command_uses_no_later_window_for_a_decision(
     tmp_path: pathlib.Path,
 ) -> None:
     windows = [skewed_loads(2, 128, num // 3) for num in range(6)]
@@ -211,20 +218,20 @@
     assert bytes_moved == moves * 20_000_000
 
 
-def test_command_draws_a_picture(tmp_path: pathlib.Path) -> None:
+def test_command_writes_a_plot(tmp_path: pathlib.Path) -> None:
     write_windows(tmp_path / "l.jsonl", [skewed_loads(2, 128, 1)] * 3)
-    picture = tmp_path / "p.png"
+    plot = tmp_path / "p.png"
     result = click_testing.CliRunner().invoke(
         plan_cli.plan,
-        ["--cfg", "examples/planner.yaml", "--plot", str(picture)]
+        ["--cfg", "examples/planner.yaml", "--plot", str(plot)]
         + ["--loads", str(tmp_path / "l.jsonl")],
     )
     assert result.exit_code == 0, result.output
-    assert picture.read_bytes().startswith(b"\x89PNG")
+    assert plot.read_bytes().startswith(b"\x89PNG")
 
 
 @pytest.mark.parametrize(
-    ("line", "word"),
+    ("line", "message"),
     [
         ("{", "line 1"),
         ('{"window": 0, "loads": [[1], [1, 2]]}', "line 1"),
@@ -233,8 +240,8 @@
     ],
     ids=["broken", "ragged", "negative", "unknown-field"],
 )
-def test_bad_line_is_named(line: str, word: str) -> None:
-    with pytest.raises(errors.SettingsError, match=word):
+def test_invalid_line_is_reported(line: str, message: str) -> None:
+    with pytest.raises(errors.SettingsError, match=message):
         list(replay.read_windows([line], source="l.jsonl"))
 
 
