--- a/bench/once.py
+++ b/bench/once.py
@@ -41,7 +41,7 @@
         backend = ids.BackendName(name)
         incarnation = ids.Incarnation(name)
         self._claimer = claimer_lib.Claimer(
-            logservice.HttpLog(url, timeout_s=5),
+            logservice.HttpLogClient(url, timeout_s=5),
             claims.ClaimIndex(backend, incarnation),
             self._decide,
             backend=backend,
@@ -101,7 +101,7 @@
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
     server.app.faults = standin.Faults(delay_s=_LOG_S)
-    client = logservice.HttpLog(server.url, timeout_s=5)
+    client = logservice.HttpLogClient(server.url, timeout_s=5)
     took: list[float] = []
     refused = 0
 
--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -93,7 +93,7 @@
         where = self._settings.platform
         backend = ids.BackendName(self._settings.backend)
         return claimer_lib.Claimer(
-            logservice.HttpLog(where.log, timeout_s=where.timeout_s),
+            logservice.HttpLogClient(where.log, timeout_s=where.timeout_s),
             claims.ClaimIndex(backend, self.incarnation),
             self._decide,
             backend=backend,
@@ -143,7 +143,7 @@
 
     def _add_platform(self, app: app_lib.Application) -> None:
         where = self._settings.platform
-        log = logservice.HttpLog(where.log, timeout_s=where.timeout_s)
+        log = logservice.HttpLogClient(where.log, timeout_s=where.timeout_s)
         follower = cfg.Follower(
             log, self.store, clock=self._clock, poll_s=where.poll_s
         )
@@ -158,7 +158,9 @@
             )
         )
         if where.hosts:
-            hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
+            hosts = logservice.HostListClient(
+                where.hosts, timeout_s=where.timeout_s
+            )
             watch = membership.HostListWatcher(
                 hosts, self._on_hosts, interval_s=_HOSTS_EVERY_S
             )
--- a/src/lugcross/entry/app.py
+++ b/src/lugcross/entry/app.py
@@ -72,7 +72,9 @@
         self._server = self._make_server(clock)
         self._served: threading.Thread | None = None
         where = settings.platform
-        self.log = logservice.HttpLog(where.log, timeout_s=where.timeout_s)
+        self.log = logservice.HttpLogClient(
+            where.log, timeout_s=where.timeout_s
+        )
         self.follower = cfg.Follower(
             self.log,
             self.store,
@@ -223,7 +225,9 @@
         )
         if not where.hosts:
             return
-        hosts = logservice.HostList(where.hosts, timeout_s=where.timeout_s)
+        hosts = logservice.HostListClient(
+            where.hosts, timeout_s=where.timeout_s
+        )
         watch = membership.HostListWatcher(
             hosts, self._on_hosts, interval_s=_HOSTS_EVERY_S
         )
--- a/src/lugcross/logservice/__init__.py
+++ b/src/lugcross/logservice/__init__.py
@@ -1,22 +1,22 @@
 # SPDX-License-Identifier: Apache-2.0
 """Clients of the log service and host list that the demo fleet runs on."""
 
-from lugcross.logservice.hosts import Host
-from lugcross.logservice.hosts import HostList
-from lugcross.logservice.hosts import HostState
-from lugcross.logservice.log import Batch
-from lugcross.logservice.log import HttpLog
+from lugcross.logservice.host_list import Host
+from lugcross.logservice.host_list import HostListClient
+from lugcross.logservice.host_list import HostState
+from lugcross.logservice.log import HttpLogClient
 from lugcross.logservice.log import Log
-from lugcross.logservice.log import READ_MAX
+from lugcross.logservice.log import MAX_RECORDS_PER_READ
+from lugcross.logservice.log import ReadResult
 from lugcross.logservice.log import Record
 
 __all__ = [
-    "READ_MAX",
-    "Batch",
+    "MAX_RECORDS_PER_READ",
     "Host",
-    "HostList",
+    "HostListClient",
     "HostState",
-    "HttpLog",
+    "HttpLogClient",
     "Log",
+    "ReadResult",
     "Record",
 ]
--- a/src/lugcross/logservice/hosts.py
+++ b/src/lugcross/logservice/host_list.py
@@ -32,7 +32,7 @@
 
 
 @final
-class HostList:
+class HostListClient:
     """The list over HTTP: ``GET /hosts`` answers all hosts.
 
     :param url: base URL, with an IP number.
--- a/src/lugcross/logservice/log.py
+++ b/src/lugcross/logservice/log.py
@@ -16,9 +16,9 @@
 from lugcross import ids
 
 #: Records asked for in one read.
-READ_MAX = 500
+MAX_RECORDS_PER_READ = 500
 
-_CONNECTIONS = 4
+_MAX_CONNECTIONS = 4
 
 
 @final
@@ -30,7 +30,7 @@
 
 
 @final
-class Batch(msgspec.Struct, frozen=True, kw_only=True):
+class ReadResult(msgspec.Struct, frozen=True, kw_only=True):
     """Answer to one read.
 
     :param first: oldest offset that the stream still has.
@@ -43,7 +43,7 @@
 
 
 @final
-class _Appended(msgspec.Struct, frozen=True):
+class _AppendResult(msgspec.Struct, frozen=True):
     offset: ids.Offset
 
 
@@ -55,12 +55,12 @@
 
     def read(
         self, stream: str, start: ids.Offset, *, wait_s: float = 0.0
-    ) -> Batch:
+    ) -> ReadResult:
         """Return records from ``start`` on, waiting for the first."""
 
 
 @final
-class HttpLog:
+class HttpLogClient:
     """The log over HTTP.
 
     :param url: base URL, with an IP number.
@@ -70,7 +70,9 @@
     def __init__(self, url: str, *, timeout_s: float) -> None:
         self._url = url.rstrip("/")
         self._timeout_s = timeout_s
-        self._pool = urllib3.PoolManager(retries=False, maxsize=_CONNECTIONS)
+        self._pool = urllib3.PoolManager(
+            retries=False, maxsize=_MAX_CONNECTIONS
+        )
 
     def append(self, stream: str, data: bytes) -> ids.Offset:
         """Append one record and return its offset.
@@ -100,19 +102,23 @@
         if resp.status != http.HTTPStatus.OK:
             # A 5xx may come from a hop after the record was kept.
             raise _append_unknown(f"status {resp.status}")
-        return msgspec.json.decode(resp.data, type=_Appended).offset
+        return msgspec.json.decode(resp.data, type=_AppendResult).offset
 
     def read(
         self, stream: str, start: ids.Offset, *, wait_s: float = 0.0
-    ) -> Batch:
-        """Return records from ``start`` on, at most :data:`READ_MAX`.
+    ) -> ReadResult:
+        """Return records from ``start`` on.
 
-        :raises errors.LogUnavailableError: when it cannot be read.
-        :raises errors.OffsetExpiredError: when ``start`` is too old.
+        At most :data:`MAX_RECORDS_PER_READ` records are returned.
+
+        :param wait_s: longest wait of the service for a first record.
+        :raises errors.LogUnavailableError: if the log cannot be read.
+        :raises errors.OffsetExpiredError: if the stream no longer has
+            ``start``.
         """
         fields = {
             "from": str(start),
-            "max": str(READ_MAX),
+            "max": str(MAX_RECORDS_PER_READ),
             "wait": f"{wait_s:.3f}",
         }
         try:
@@ -132,7 +138,7 @@
         if resp.status != http.HTTPStatus.OK:
             raise _unavailable(f"status {resp.status}")
         try:
-            return msgspec.json.decode(resp.data, type=Batch)
+            return msgspec.json.decode(resp.data, type=ReadResult)
         except msgspec.DecodeError as exc:
             raise _unavailable(f"bad answer: {exc}") from exc
 
--- a/src/lugcross/membership/host_list_watcher.py
+++ b/src/lugcross/membership/host_list_watcher.py
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        hosts: logservice.HostList,
+        hosts: logservice.HostListClient,
         listener: LeavingNodesListener,
         *,
         interval_s: float,
--- a/src/lugcross/standin/log.py
+++ b/src/lugcross/standin/log.py
@@ -122,7 +122,7 @@
     ) -> Iterable[bytes]:
         query = dict(urllib.parse.parse_qsl(environ["QUERY_STRING"]))
         start = int(query["from"])
-        max_records = int(query.get("max", logservice.READ_MAX))
+        max_records = int(query.get("max", logservice.MAX_RECORDS_PER_READ))
         with self._changed:
             self.reads += 1
             stream = self._streams.setdefault(name, _Stream())
--- a/src/lugcross/standin/memory_log.py
+++ b/src/lugcross/standin/memory_log.py
@@ -45,7 +45,7 @@
 
     def read(
         self, stream: str, start: ids.Offset, *, wait_s: float = 0.0
-    ) -> logservice.Batch:
+    ) -> logservice.ReadResult:
         """Return the records from ``start`` on.
 
         :raises errors.LogUnavailableError: while the log is down.
@@ -62,8 +62,8 @@
                 f"offset {start} has expired", remedy="use a snapshot"
             )
         records = self._streams.get(stream, [])
-        last = min(len(records), start - 1 + logservice.READ_MAX)
-        return logservice.Batch(
+        last = min(len(records), start - 1 + logservice.MAX_RECORDS_PER_READ)
+        return logservice.ReadResult(
             first=ids.Offset(first),
             end=ids.Offset(len(records) + 1),
             records=[
