--- a/src/lugcross/logservice/__init__.py
+++ b/src/lugcross/logservice/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Clients of the log service and host list that the demo fleet runs on."""
+"""HTTP clients of the platform's log service and host list."""
 
 from lugcross.logservice.host_list import Host
 from lugcross.logservice.host_list import HostListClient
--- a/src/lugcross/logservice/host_list.py
+++ b/src/lugcross/logservice/host_list.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Typed client of the platform's list of live and leaving hosts.
+"""Client of the platform's list of live and leaving hosts.
 
-The list lags behind reality, so it is one piece of evidence among
-others and never the only one.
+The list may be out of date. Its users combine it with other evidence,
+such as open links, and do not rely on it alone.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class HostState(enum.Enum):
-    """State of a host as the platform last saw it."""
+    """State of a host as last recorded by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -24,7 +24,11 @@
 
 @final
 class Host(msgspec.Struct, frozen=True, kw_only=True):
-    """One host of the list, by the name of its node."""
+    """One host of the list.
+
+    :param name: name of the host's node.
+    :param domain: its failure domain.
+    """
 
     name: str
     domain: str
@@ -33,10 +37,10 @@
 
 @final
 class HostListClient:
-    """The list over HTTP: ``GET /hosts`` answers all hosts.
+    """Reads the host list over HTTP by ``GET /hosts``.
 
-    :param url: base URL, with an IP number.
-    :param timeout_s: longest wait for an answer, in seconds.
+    :param url: base URL of the platform, with an IP address as its host.
+    :param timeout_s: timeout of a request, in seconds.
     """
 
     def __init__(self, url: str, *, timeout_s: float) -> None:
@@ -45,9 +49,9 @@
         self._pool = urllib3.PoolManager(retries=False)
 
     def read(self) -> tuple[Host, ...]:
-        """Return the list.
+        """Return all hosts of the list.
 
-        :raises errors.PlatformError: when it cannot be had.
+        :raises errors.PlatformError: if the list cannot be read.
         """
         try:
             resp = self._pool.request(
@@ -62,6 +66,6 @@
 
 def _unavailable(why: str) -> errors.PlatformError:
     return errors.PlatformError(
-        f"the host list cannot be read ({why})",
-        remedy="nothing to do: links and refusals still tell who is there",
+        f"cannot read the host list ({why})",
+        remedy="none needed: links and refusals still show which hosts are up",
     )
--- a/src/lugcross/logservice/log.py
+++ b/src/lugcross/logservice/log.py
@@ -1,8 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Typed client of the platform's append-only log service.
+"""Client of the platform's append-only log service.
 
-The service speaks HTTP with JSON: ``POST /streams/NAME/records`` appends
-one record and answers its offset; ``GET`` on the same path reads.
+The service uses HTTP and JSON: ``POST /streams/NAME/records`` appends
+one record and returns its offset; ``GET`` on the same path reads records.
 """
 
 import http
@@ -15,7 +15,7 @@
 from lugcross import errors
 from lugcross import ids
 
-#: Records asked for in one read.
+#: Largest number of records that one read returns.
 MAX_RECORDS_PER_READ = 500
 
 _MAX_CONNECTIONS = 4
@@ -23,7 +23,7 @@
 
 @final
 class Record(msgspec.Struct, frozen=True):
-    """One record of a stream, its bytes in base64."""
+    """One record of a stream; in JSON its data is base64."""
 
     offset: ids.Offset
     data: bytes
@@ -31,10 +31,10 @@
 
 @final
 class ReadResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to one read.
+    """Records returned by one read, with the offsets of the stream.
 
     :param first: oldest offset that the stream still has.
-    :param end: offset that the next record will get.
+    :param end: offset that the next appended record will get.
     """
 
     first: ids.Offset
@@ -48,7 +48,10 @@
 
 
 class Log(Protocol):
-    """What the system needs of the platform's log."""
+    """Interface of the platform's log.
+
+    Implemented by :class:`HttpLogClient`, and in memory for tests.
+    """
 
     def append(self, stream: str, data: bytes) -> ids.Offset:
         """Append one record and return its offset."""
@@ -56,15 +59,19 @@
     def read(
         self, stream: str, start: ids.Offset, *, wait_s: float = 0.0
     ) -> ReadResult:
-        """Return records from ``start`` on, waiting for the first."""
+        """Return records from ``start`` on.
+
+        If there are none, wait up to ``wait_s`` for the first.
+        """
 
 
 @final
 class HttpLogClient:
-    """The log over HTTP.
+    """Implements :class:`Log` over HTTP.
 
-    :param url: base URL, with an IP number.
-    :param timeout_s: longest wait for an answer, in seconds.
+    :param url: base URL of the service, with an IP address as its host.
+    :param timeout_s: timeout of a request, in seconds; a read adds its
+        ``wait_s``.
     """
 
     def __init__(self, url: str, *, timeout_s: float) -> None:
@@ -77,8 +84,9 @@
     def append(self, stream: str, data: bytes) -> ids.Offset:
         """Append one record and return its offset.
 
-        :raises errors.LogThrottledError: nothing was appended.
-        :raises errors.AppendUnknownError: it may have been.
+        :raises errors.LogThrottledError: if nothing was appended.
+        :raises errors.AppendUnknownError: if the record may have been
+            appended.
         """
         try:
             resp = self._pool.request(
@@ -89,18 +97,18 @@
             )
         except urllib3.exceptions.NewConnectionError as exc:
             raise errors.LogThrottledError(
-                "the log cannot be reached; nothing was appended",
-                remedy="repeat the change when the log is back",
+                "cannot connect to the log service; nothing was appended",
+                remedy="repeat the change once the log service is reachable",
             ) from exc
         except urllib3.exceptions.HTTPError as exc:
             raise _append_unknown(str(exc)) from exc
         if resp.status == http.HTTPStatus.TOO_MANY_REQUESTS:
             raise errors.LogThrottledError(
-                "the log refused an append for its rate",
+                "the log service rejected an append: rate limit exceeded",
                 remedy="repeat the change after a second",
             )
         if resp.status != http.HTTPStatus.OK:
-            # A 5xx may come from a hop after the record was kept.
+            # A proxy may answer 5xx after the service stored the record.
             raise _append_unknown(f"status {resp.status}")
         return msgspec.json.decode(resp.data, type=_AppendResult).offset
 
@@ -133,17 +141,17 @@
         if resp.status == http.HTTPStatus.GONE:
             raise errors.OffsetExpiredError(
                 f"stream {stream} no longer has offset {start}",
-                remedy="start again from a snapshot",
+                remedy="restart from a snapshot",
             )
         if resp.status != http.HTTPStatus.OK:
             raise _unavailable(f"status {resp.status}")
         try:
             return msgspec.json.decode(resp.data, type=ReadResult)
         except msgspec.DecodeError as exc:
-            raise _unavailable(f"bad answer: {exc}") from exc
+            raise _unavailable(f"invalid response: {exc}") from exc
 
     def close(self) -> None:
-        """Close the connections."""
+        """Close all connections to the service."""
         self._pool.clear()
 
     def _path(self, stream: str) -> str:
@@ -152,13 +160,13 @@
 
 def _append_unknown(why: str) -> errors.AppendUnknownError:
     return errors.AppendUnknownError(
-        f"the append got no clear answer ({why})",
-        remedy="read on for its change id to learn the outcome",
+        f"outcome of the append is unknown ({why})",
+        remedy="read the stream for the change id to learn the outcome",
     )
 
 
 def _unavailable(why: str) -> errors.LogUnavailableError:
     return errors.LogUnavailableError(
-        f"the log cannot be read ({why})",
-        remedy="nothing to do: reading goes on when it is back",
+        f"cannot read the log ({why})",
+        remedy="none needed: reading resumes once the service is reachable",
     )
