--- a/bench/control.py
+++ b/bench/control.py
@@ -88,8 +88,10 @@
         }
     ).encode()
     samples: dict[str, wire.Message] = {
-        "load": wire.Load(queued=9, running=8, capacity=8, waiting=4000),
-        "token": wire.Chunk(id=ids.StreamId(1000), seq=77, events=(token,)),
+        "load": wire.AgentLoad(queued=9, running=8, capacity=8, waiting=4000),
+        "token": wire.ResponseChunk(
+            id=ids.StreamId(1000), seq=77, events=(token,)
+        ),
         "credit": wire.Credit(id=ids.StreamId(1000), events=32, have=64),
         "dispatch": wire.Dispatch(
             id=ids.StreamId(1000),
@@ -265,7 +267,9 @@
             finally:
                 fleet.stop()
     load = len(
-        wire.encode([wire.Load(queued=9, running=8, capacity=8, waiting=9)])
+        wire.encode(
+            [wire.AgentLoad(queued=9, running=8, capacity=8, waiting=9)]
+        )
     )
     rate, base = slopes.slope(cpu)
     rss_rate, rss_base = slopes.slope(rss)
--- a/src/lugcross/agent/app.py
+++ b/src/lugcross/agent/app.py
@@ -78,8 +78,8 @@
         self._entries: dict[exchange_lib.LinkId, wire.Hello] = {}
         self._idle = threading.Event()
         self._work_came = asyncio.Event()
-        self._told: wire.Load | None = None
-        self._told_seen: tuple[wire.Seen, ...] = ()
+        self._told: wire.AgentLoad | None = None
+        self._told_seen: tuple[wire.LinkedEntry, ...] = ()
         self._told_at: clock_lib.Instant | None = None
         self._claimer = self._make_claimer()
         self._listener = wire.Listener(
@@ -305,19 +305,24 @@
     def _tell_entries(self) -> None:
         """Tell the entry hosts of each other, if anything changed."""
         seen = tuple(
-            wire.Seen(hello.node, hello.domain, self._feed.offset_of(link_id))
+            wire.LinkedEntry(
+                hello.node, hello.domain, self._feed.offset_of(link_id)
+            )
             for link_id, hello in self._entries.items()
         )
         if seen == self._told_seen:
             return
         self._told_seen = seen
         for link in self._links.values():
-            self._send(link, wire.Entries(seen=seen))
+            self._send(link, wire.LinkedEntries(seen=seen))
 
     def _on_message(
         self, link_id: exchange_lib.LinkId, msg: wire.Message
     ) -> None:
-        if isinstance(msg, wire.Have | wire.Records | wire.Snapshot):
+        if isinstance(
+            msg,
+            wire.ConfigStatus | wire.ConfigRecords | wire.ConfigSnapshotPart,
+        ):
             self._post_all(self._feed.on_message(link_id, msg))
             return
         now = self._clock.monotonic()
--- a/src/lugcross/agent/delivery.py
+++ b/src/lugcross/agent/delivery.py
@@ -22,7 +22,7 @@
     def __init__(
         self,
         emit: Callable[[events.Action], None],
-        load: Callable[[], wire.Load],
+        load: Callable[[], wire.AgentLoad],
     ) -> None:
         self._emit = emit
         self._load = load
@@ -102,7 +102,7 @@
         failure: exchange_lib.Failure,
     ) -> None:
         """Tell one request that there will be no whole answer."""
-        msg = wire.Fail(
+        msg = wire.Failure(
             id=id,
             kind=failure.kind,
             outcome=failure.outcome,
@@ -120,7 +120,7 @@
         seq = sub.cursor
         taken = exchange.take(sub)
         if taken:
-            chunk = wire.Chunk(id=sub.id, seq=seq, events=taken)
+            chunk = wire.ResponseChunk(id=sub.id, seq=seq, events=taken)
             self._emit(events.Send(sub.link, chunk))
         ended = exchange.state is exchange_lib.State.ENDED
         if ended and sub.cursor >= exchange.total:
@@ -135,14 +135,14 @@
         if exchange.head is not None and not sub.head_sent:
             sub.head_sent = True
             status, headers = exchange.head
-            head = wire.Head(id=sub.id, status=status, headers=headers)
+            head = wire.ResponseHead(id=sub.id, status=status, headers=headers)
             self._emit(events.Send(sub.link, head))
 
     def _send_last(
         self, exchange: exchange_lib.Exchange, sub: exchange_lib.Subscriber
     ) -> None:
         if exchange.failure is None:
-            end = wire.End(id=sub.id, events=exchange.total)
+            end = wire.ResponseEnd(id=sub.id, events=exchange.total)
             self._emit(events.Send(sub.link, end))
         else:
             self.fail(sub.link, sub.id, exchange.failure)
--- a/src/lugcross/agent/dispatcher.py
+++ b/src/lugcross/agent/dispatcher.py
@@ -154,9 +154,9 @@
         exchange = self._find(uid)
         return exchange.dispatch if exchange else None
 
-    def load(self) -> wire.Load:
+    def load(self) -> wire.AgentLoad:
         """Return how busy this agent is."""
-        return wire.Load(
+        return wire.AgentLoad(
             queued=len(self._queue),
             running=len(self._running),
             capacity=self.capacity,
@@ -196,8 +196,8 @@
         """Go on with a dispatch whose link was lost."""
         exchange = self._find(msg.uid)
         if exchange is None:
-            was_link = exchange_lib.LinkId(msg.was_link)
-            lost = self._arrivals.certainly_not(was_link, msg.was_id)
+            was_link = exchange_lib.LinkId(msg.previous_link)
+            lost = self._arrivals.certainly_not(was_link, msg.previous_id)
             failure = failures.NEVER_ARRIVED if lost else failures.FORGOTTEN
             self._delivery.fail(link, msg.id, failure)
             return
--- a/src/lugcross/cfg/feed.py
+++ b/src/lugcross/cfg/feed.py
@@ -82,19 +82,19 @@
 
     def on_message(self, link: Hashable, msg: wire.Message) -> list[Post]:
         """Take a message of the feed; others change nothing."""
-        if isinstance(msg, wire.Have):
+        if isinstance(msg, wire.ConfigStatus):
             return self._on_have(link, msg)
-        if isinstance(msg, wire.Records):
+        if isinstance(msg, wire.ConfigRecords):
             return self._on_records(link, msg)
-        if isinstance(msg, wire.Snapshot):
+        if isinstance(msg, wire.ConfigSnapshotPart):
             self._on_snapshot(link, msg)
         return []
 
-    def _have(self) -> wire.Have:
+    def _have(self) -> wire.ConfigStatus:
         config = self._store.config
-        return wire.Have(offset=config.offset, chain=config.chain)
+        return wire.ConfigStatus(offset=config.offset, chain=config.chain)
 
-    def _on_have(self, link: Hashable, msg: wire.Have) -> list[Post]:
+    def _on_have(self, link: Hashable, msg: wire.ConfigStatus) -> list[Post]:
         config = self._store.config
         self._has[link] = msg.offset
         if msg.offset == config.offset and msg.chain != config.chain:
@@ -106,7 +106,9 @@
             return self._send_missing(link)
         return []
 
-    def _on_records(self, link: Hashable, msg: wire.Records) -> list[Post]:
+    def _on_records(
+        self, link: Hashable, msg: wire.ConfigRecords
+    ) -> list[Post]:
         records = [
             logservice.Record(ids.Offset(msg.first + num), data)
             for num, data in enumerate(msg.records)
@@ -121,7 +123,9 @@
         self._store.heard_from_peer()
         return []
 
-    def _on_snapshot(self, link: Hashable, msg: wire.Snapshot) -> None:
+    def _on_snapshot(
+        self, link: Hashable, msg: wire.ConfigSnapshotPart
+    ) -> None:
         collector = self._parts.setdefault(link, snapshot.Collector())
         try:
             collector.add(snapshot.decode(msg.part))
@@ -149,13 +153,13 @@
                 for start in range(0, len(missing), BATCH)
             ]
         return [
-            Post(link, wire.Snapshot(part=snapshot.encode(part)))
+            Post(link, wire.ConfigSnapshotPart(part=snapshot.encode(part)))
             for part in snapshot.split(config)
         ]
 
 
-def _records(records: Sequence[logservice.Record]) -> wire.Records:
-    return wire.Records(
+def _records(records: Sequence[logservice.Record]) -> wire.ConfigRecords:
+    return wire.ConfigRecords(
         first=records[0].offset,
         records=tuple(record.data for record in records),
     )
--- a/src/lugcross/entry/caller.py
+++ b/src/lugcross/entry/caller.py
@@ -66,7 +66,7 @@
 
 
 #: What a caller gets, in order: one head, then events.
-Part = wire.Head | tuple[bytes, ...]
+Part = wire.ResponseHead | tuple[bytes, ...]
 
 
 @final
@@ -305,9 +305,9 @@
             return
         if isinstance(event, lifecycle.AgentGone | lifecycle.AgentSilent):
             self._caller.upstream.fault(self._call.peer)
-        elif isinstance(event, wire.End):
+        elif isinstance(event, wire.ResponseEnd):
             self._call.peer.health.record_success()
-        elif isinstance(event, wire.Fail):
+        elif isinstance(event, wire.Failure):
             if event.kind in _BACKEND_FAULTS:
                 self._caller.upstream.fault(self._call.peer)
             else:
--- a/src/lugcross/entry/http.py
+++ b/src/lugcross/entry/http.py
@@ -309,25 +309,27 @@
         return _passed_on(_head(parts), parts)
 
 
-def _head(parts: Iterator[caller_lib.Part]) -> wire.Head:
+def _head(parts: Iterator[caller_lib.Part]) -> wire.ResponseHead:
     head = next(parts)
-    assert isinstance(head, wire.Head)
+    assert isinstance(head, wire.ResponseHead)
     return head
 
 
 def _events(parts: Iterator[caller_lib.Part]) -> Iterator[bytes]:
     for part in parts:
-        if not isinstance(part, wire.Head):
+        if not isinstance(part, wire.ResponseHead):
             yield from part
 
 
-def _passed_on(head: wire.Head, parts: Iterator[caller_lib.Part]) -> Response:
+def _passed_on(
+    head: wire.ResponseHead, parts: Iterator[caller_lib.Part]
+) -> Response:
     return Response(head.status, list(head.headers), _events(parts))
 
 
 def _as_events(parts: Iterator[caller_lib.Part]) -> Iterator[bytes]:
     for part in parts:
-        if not isinstance(part, wire.Head):
+        if not isinstance(part, wire.ResponseHead):
             # One write for all that came at once.
             yield b"".join(b"data: " + event + b"\n\n" for event in part)
     yield _END_MARK
--- a/src/lugcross/entry/lifecycle.py
+++ b/src/lugcross/entry/lifecycle.py
@@ -102,10 +102,10 @@
     | AgentSilent
     | TimedOut
     | wire.Started
-    | wire.Head
-    | wire.Chunk
-    | wire.End
-    | wire.Fail
+    | wire.ResponseHead
+    | wire.ResponseChunk
+    | wire.ResponseEnd
+    | wire.Failure
 )
 
 
@@ -146,7 +146,7 @@
 class GiveHead:
     """Give the caller status and headers."""
 
-    head: wire.Head
+    head: wire.ResponseHead
 
 
 @final
@@ -245,13 +245,13 @@
 
 
 @step.register
-def _(event: wire.Head, state: State) -> Step:
+def _(event: wire.ResponseHead, state: State) -> Step:
     state = dataclasses.replace(state, phase=Phase.STARTED)
     return state, GiveHead(event)
 
 
 @step.register
-def _(event: wire.Chunk, state: State) -> Step:
+def _(event: wire.ResponseChunk, state: State) -> Step:
     seq = state.base + event.seq
     if seq > state.taken:
         return _give_up(state, _broken("a part of it is missing"))
@@ -262,14 +262,14 @@
 
 
 @step.register
-def _(event: wire.End, state: State) -> Step:
+def _(event: wire.ResponseEnd, state: State) -> Step:
     if state.base + event.events != state.taken:
         return _give_up(state, _broken("its end came too early"))
     return dataclasses.replace(state, phase=Phase.ENDED), Finish()
 
 
 @step.register
-def _(event: wire.Fail, state: State) -> Step:
+def _(event: wire.Failure, state: State) -> Step:
     retry_after = datetime.timedelta(milliseconds=event.retry_after_ms)
     error = _error(
         event.kind,
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -68,7 +68,7 @@
         self.backend = backend
         self.link: wire.Link | None = None
         self.incarnation = ids.Incarnation("")
-        self.load = wire.Load(
+        self.load = wire.AgentLoad(
             queued=0, running=0, capacity=backend.capacity, waiting=0
         )
         self.leaving = ""
@@ -114,13 +114,13 @@
     def receive(self, msg: wire.Message, now: clock_lib.Instant) -> None:
         """Take a message from the agent."""
         self.heard_at = now
-        if isinstance(msg, wire.Load):
+        if isinstance(msg, wire.AgentLoad):
             self.load = msg
             self.sent_since_load = 0
         elif isinstance(msg, wire.Leaving):
             self.leaving = msg.reason
         elif isinstance(msg, _FOR_CALLS):
-            last = isinstance(msg, wire.End | wire.Fail)
+            last = isinstance(msg, wire.ResponseEnd | wire.Failure)
             call = self.calls.get(msg.id)
             if last:
                 self.calls.pop(msg.id, None)
@@ -130,7 +130,13 @@
                 call.inbox.put(msg)
 
 
-_FOR_CALLS = wire.Started | wire.Head | wire.Chunk | wire.End | wire.Fail
+_FOR_CALLS = (
+    wire.Started
+    | wire.ResponseHead
+    | wire.ResponseChunk
+    | wire.ResponseEnd
+    | wire.Failure
+)
 
 
 @final
@@ -183,7 +189,7 @@
         """Tell ``listener`` whether this entry host is a relay."""
         self._tell_relay = listener
 
-    def entries(self) -> list[wire.Seen]:
+    def entries(self) -> list[wire.LinkedEntry]:
         """Return the entry hosts that agents see."""
         return self._neighbours.all()
 
@@ -336,7 +342,7 @@
             self._lose_calls(peer)
 
     def _receive(self, peer: Peer, link: wire.Link, msg: wire.Message) -> None:
-        if isinstance(msg, wire.Entries):
+        if isinstance(msg, wire.LinkedEntries):
             self._neighbours.update_seen(link, msg.seen)
             self._tell_relay(self._neighbours.is_log_relay())
             return
@@ -379,8 +385,8 @@
             uid=call.uid,
             after=after,
             credit=credit,
-            was_link=call.link.num if call.link else 0,
-            was_id=call.sent_id,
+            previous_link=call.link.num if call.link else 0,
+            previous_id=call.sent_id,
         )
         try:
             peer.link.post(msg)
--- a/src/lugcross/membership/log_relays.py
+++ b/src/lugcross/membership/log_relays.py
@@ -27,9 +27,11 @@
     def __init__(self, node: ids.NodeName, domain: ids.DomainName) -> None:
         self._node = node
         self._domain = domain
-        self._seen: dict[Hashable, tuple[wire.Seen, ...]] = {}
+        self._seen: dict[Hashable, tuple[wire.LinkedEntry, ...]] = {}
 
-    def update_seen(self, link: Hashable, seen: Iterable[wire.Seen]) -> None:
+    def update_seen(
+        self, link: Hashable, seen: Iterable[wire.LinkedEntry]
+    ) -> None:
         """Replace what the agent at the other end of ``link`` sees."""
         self._seen[link] = tuple(seen)
 
@@ -42,13 +44,13 @@
         near = (host for host in self.all() if host.domain == self._domain)
         return frozenset((self._node, *(host.node for host in near)))
 
-    def all(self) -> list[wire.Seen]:
+    def all(self) -> list[wire.LinkedEntry]:
         """Return all live entry hosts, by name.
 
         Of several reports of a host, the one with the newest configuration
         offset is returned.
         """
-        newest: dict[ids.NodeName, wire.Seen] = {}
+        newest: dict[ids.NodeName, wire.LinkedEntry] = {}
         for seen in self._seen.values():
             for host in seen:
                 known = newest.get(host.node)
--- a/src/lugcross/wire/__init__.py
+++ b/src/lugcross/wire/__init__.py
@@ -3,65 +3,65 @@
 
 from lugcross.wire.codec import decode
 from lugcross.wire.codec import encode
-from lugcross.wire.codec import MAX_FRAME
-from lugcross.wire.codec import MAX_MESSAGES
+from lugcross.wire.codec import MAX_FRAME_BYTES
+from lugcross.wire.codec import MAX_MESSAGES_PER_FRAME
+from lugcross.wire.endpoints import connect
+from lugcross.wire.endpoints import Listener
 from lugcross.wire.handshake import Handshake
 from lugcross.wire.link import Link
-from lugcross.wire.link import Receiver
-from lugcross.wire.loop import LoopThread
-from lugcross.wire.loop import Mailbox
+from lugcross.wire.link import MessageHandler
+from lugcross.wire.loop_thread import LoopThread
+from lugcross.wire.loop_thread import Mailbox
+from lugcross.wire.messages import AgentLoad
 from lugcross.wire.messages import Cancel
 from lugcross.wire.messages import Challenge
-from lugcross.wire.messages import Chunk
+from lugcross.wire.messages import ConfigRecords
+from lugcross.wire.messages import ConfigSnapshotPart
+from lugcross.wire.messages import ConfigStatus
 from lugcross.wire.messages import Credit
 from lugcross.wire.messages import Dispatch
-from lugcross.wire.messages import End
-from lugcross.wire.messages import Entries
-from lugcross.wire.messages import Fail
-from lugcross.wire.messages import Have
-from lugcross.wire.messages import Head
+from lugcross.wire.messages import Failure
 from lugcross.wire.messages import Hello
 from lugcross.wire.messages import Leaving
-from lugcross.wire.messages import Load
+from lugcross.wire.messages import LinkedEntries
+from lugcross.wire.messages import LinkedEntry
 from lugcross.wire.messages import Message
+from lugcross.wire.messages import PROTOCOL_VERSION
 from lugcross.wire.messages import Reattach
-from lugcross.wire.messages import Records
-from lugcross.wire.messages import Seen
-from lugcross.wire.messages import Snapshot
+from lugcross.wire.messages import ResponseChunk
+from lugcross.wire.messages import ResponseEnd
+from lugcross.wire.messages import ResponseHead
 from lugcross.wire.messages import Started
-from lugcross.wire.messages import VERSION
 from lugcross.wire.messages import Welcome
-from lugcross.wire.open import connect
-from lugcross.wire.open import Listener
 
 __all__ = [
-    "MAX_FRAME",
-    "MAX_MESSAGES",
-    "VERSION",
+    "MAX_FRAME_BYTES",
+    "MAX_MESSAGES_PER_FRAME",
+    "PROTOCOL_VERSION",
+    "AgentLoad",
     "Cancel",
     "Challenge",
-    "Chunk",
+    "ConfigRecords",
+    "ConfigSnapshotPart",
+    "ConfigStatus",
     "Credit",
     "Dispatch",
-    "End",
-    "Entries",
-    "Fail",
-    "Have",
+    "Failure",
     "Handshake",
-    "Head",
     "Hello",
     "Leaving",
     "Link",
+    "LinkedEntries",
+    "LinkedEntry",
     "Listener",
-    "Load",
     "LoopThread",
     "Mailbox",
     "Message",
+    "MessageHandler",
     "Reattach",
-    "Receiver",
-    "Records",
-    "Seen",
-    "Snapshot",
+    "ResponseChunk",
+    "ResponseEnd",
+    "ResponseHead",
     "Started",
     "Welcome",
     "connect",
--- a/src/lugcross/wire/open.py
+++ b/src/lugcross/wire/endpoints.py
@@ -20,13 +20,13 @@
 from lugcross.wire import link as link_lib
 from lugcross.wire import messages
 
-_HANDSHAKE_S = 3.0
-_PING_S = 10.0
-_CLOSE_S = 1.0
-_CLOSE_REFUSED = 1008
+_HANDSHAKE_TIMEOUT_S = 3.0
+_KEEPALIVE_S = 10.0
+_CLOSE_TIMEOUT_S = 1.0
+_POLICY_VIOLATION_CODE = 1008
 
 #: Owns one accepted link until it is lost.
-Accept = Callable[[link_lib.Link, messages.Hello], Awaitable[None]]
+LinkHandler = Callable[[link_lib.Link, messages.Hello], Awaitable[None]]
 
 
 async def connect(
@@ -43,20 +43,24 @@
     :raises errors.HandshakeError: when it does not hold the secret.
     """
     try:
-        async with asyncio.timeout(_HANDSHAKE_S):
+        async with asyncio.timeout(_HANDSHAKE_TIMEOUT_S):
             ws = await ws_client.connect(
-                f"ws://{_bracketed(host)}:{port}",
-                max_size=codec.MAX_FRAME,
+                f"ws://{_url_host(host)}:{port}",
+                max_size=codec.MAX_FRAME_BYTES,
                 compression=None,
                 proxy=None,
-                ping_interval=_PING_S,
-                ping_timeout=_PING_S,
-                close_timeout=_CLOSE_S,
+                ping_interval=_KEEPALIVE_S,
+                ping_timeout=_KEEPALIVE_S,
+                close_timeout=_CLOSE_TIMEOUT_S,
             )
             shake = handshake.Handshake(secret)
-            hello = shake.hello(await _receive_one(ws), node, domain)
+            hello = shake.hello(
+                await _receive_handshake_message(ws), node, domain
+            )
             await ws.send(codec.encode([hello]))
-            welcome = shake.check(await _receive_one(ws))
+            welcome = shake.verify_welcome(
+                await _receive_handshake_message(ws)
+            )
     except (OSError, TimeoutError, ws_exceptions.WebSocketException) as exc:
         raise errors.LinkDownError(
             f"no link to {host}:{port} ({exc or type(exc).__name__})",
@@ -74,18 +78,18 @@
 
     def __init__(
         self,
-        accept: Accept,
+        accept: LinkHandler,
         *,
         secret: str,
         backend: ids.BackendName,
         incarnation: ids.Incarnation,
     ) -> None:
-        self._accept = accept
+        self._handle_link = accept
         self._secret = secret
         self._backend = backend
         self._incarnation = incarnation
         self._server: ws_server.Server | None = None
-        self._numbers = itertools.count(1)
+        self._link_numbers = itertools.count(1)
 
     async def start(self, host: str, port: int) -> int:
         """Listen, and return the port in use."""
@@ -93,11 +97,11 @@
             self._handle,
             host,
             port,
-            max_size=codec.MAX_FRAME,
+            max_size=codec.MAX_FRAME_BYTES,
             compression=None,
-            ping_interval=_PING_S,
-            ping_timeout=_PING_S,
-            close_timeout=_CLOSE_S,
+            ping_interval=_KEEPALIVE_S,
+            ping_timeout=_KEEPALIVE_S,
+            close_timeout=_CLOSE_TIMEOUT_S,
         )
         bound: int = next(iter(self._server.sockets)).getsockname()[1]
         return bound
@@ -109,24 +113,24 @@
             await self._server.wait_closed()
 
     async def _handle(self, ws: ws_server.ServerConnection) -> None:
-        num = next(self._numbers)
+        num = next(self._link_numbers)
         try:
-            async with asyncio.timeout(_HANDSHAKE_S):
-                hello = await self._shake(ws, num)
+            async with asyncio.timeout(_HANDSHAKE_TIMEOUT_S):
+                hello = await self._run_handshake(ws, num)
         except (TimeoutError, errors.WireError) as exc:
             logging.warning("link refused", extra={"why": str(exc)})
-            await ws.close(_CLOSE_REFUSED, "refused")
+            await ws.close(_POLICY_VIOLATION_CODE, "refused")
             return
         except ws_exceptions.ConnectionClosed:
             return
-        await self._accept(link_lib.Link(ws, num=num), hello)
+        await self._handle_link(link_lib.Link(ws, num=num), hello)
 
-    async def _shake(
+    async def _run_handshake(
         self, ws: ws_server.ServerConnection, num: int
     ) -> messages.Hello:
         shake = handshake.Handshake(self._secret)
         await ws.send(codec.encode([shake.challenge()]))
-        hello = await _receive_one(ws)
+        hello = await _receive_handshake_message(ws)
         welcome = shake.welcome(
             hello, self._backend, self._incarnation, link=num
         )
@@ -135,7 +139,9 @@
         return hello
 
 
-async def _receive_one(ws: ws_connection.Connection) -> messages.Message:
+async def _receive_handshake_message(
+    ws: ws_connection.Connection,
+) -> messages.Message:
     frame = await ws.recv(decode=False)
     batch = codec.decode(frame)
     if len(batch) != 1:
@@ -146,5 +152,5 @@
     return batch[0]
 
 
-def _bracketed(host: str) -> str:
+def _url_host(host: str) -> str:
     return f"[{host}]" if ":" in host else host
--- a/src/lugcross/wire/handshake.py
+++ b/src/lugcross/wire/handshake.py
@@ -11,8 +11,8 @@
 from lugcross.wire import messages
 
 _NONCE_BYTES = 16
-_AS_ENTRY = b"entry"
-_AS_AGENT = b"agent"
+_ENTRY_SIDE = b"entry"
+_AGENT_SIDE = b"agent"
 
 
 def new_nonce() -> bytes:
@@ -43,13 +43,13 @@
     ) -> messages.Hello:
         """Entry host: answer the agent's challenge."""
         if not isinstance(challenge, messages.Challenge):
-            raise _refused("the peer did not open with a challenge")
+            raise _handshake_error("the peer did not open with a challenge")
         _check_version(challenge.version)
         return messages.Hello(
             node=node,
             domain=domain,
             nonce=self._nonce,
-            proof=self._proof(_AS_ENTRY, challenge.nonce, node),
+            proof=self._proof(_ENTRY_SIDE, challenge.nonce, node),
         )
 
     def welcome(
@@ -62,25 +62,27 @@
     ) -> messages.Welcome:
         """Agent: check the entry host's proof and give its own."""
         if not isinstance(hello, messages.Hello):
-            raise _refused("the peer did not say who it is")
+            raise _handshake_error("the peer did not say who it is")
         _check_version(hello.version)
-        proof = self._proof(_AS_ENTRY, self._nonce, hello.node)
+        proof = self._proof(_ENTRY_SIDE, self._nonce, hello.node)
         if not hmac.compare_digest(proof, hello.proof):
-            raise _refused(f"{hello.node} does not hold the fleet's secret")
+            raise _handshake_error(
+                f"{hello.node} does not hold the fleet's secret"
+            )
         return messages.Welcome(
             backend=backend,
             incarnation=incarnation,
-            proof=self._proof(_AS_AGENT, hello.nonce, backend),
+            proof=self._proof(_AGENT_SIDE, hello.nonce, backend),
             link=link,
         )
 
-    def check(self, welcome: messages.Message) -> messages.Welcome:
+    def verify_welcome(self, welcome: messages.Message) -> messages.Welcome:
         """Entry host: check the agent's proof."""
         if not isinstance(welcome, messages.Welcome):
-            raise _refused("the peer did not prove who it is")
-        proof = self._proof(_AS_AGENT, self._nonce, welcome.backend)
+            raise _handshake_error("the peer did not prove who it is")
+        proof = self._proof(_AGENT_SIDE, self._nonce, welcome.backend)
         if not hmac.compare_digest(proof, welcome.proof):
-            raise _refused(
+            raise _handshake_error(
                 f"{welcome.backend} does not hold the fleet's secret"
             )
         return welcome
@@ -92,11 +94,11 @@
 
 
 def _check_version(version: int) -> None:
-    if version != messages.VERSION:
-        raise _refused(f"the peer speaks version {version}")
+    if version != messages.PROTOCOL_VERSION:
+        raise _handshake_error(f"the peer speaks version {version}")
 
 
-def _refused(what: str) -> errors.HandshakeError:
+def _handshake_error(what: str) -> errors.HandshakeError:
     return errors.HandshakeError(
         what, remedy="check fleet.secret and the versions on both hosts"
     )
--- a/src/lugcross/wire/link.py
+++ b/src/lugcross/wire/link.py
@@ -16,9 +16,9 @@
 from lugcross.wire import messages
 
 #: Takes each message as it arrives, in the loop's thread.
-Receiver = Callable[[messages.Message], None]
+MessageHandler = Callable[[messages.Message], None]
 
-_CLOSE_BAD_FRAME = 1008
+_POLICY_VIOLATION_CODE = 1008
 
 
 @final
@@ -33,9 +33,9 @@
         self.num = num
         self._ws = ws
         self._loop = asyncio.get_running_loop()
-        self._out: collections.deque[messages.Message] = collections.deque()
+        self._outbox: collections.deque[messages.Message] = collections.deque()
         self._wake = asyncio.Event()
-        self._woken = False
+        self._wake_scheduled = False
         self.closed = False
 
     def post(self, msg: messages.Message) -> None:
@@ -45,17 +45,17 @@
             message was certainly not sent.
         """
         if self.closed:
-            raise _down()
-        self._out.append(msg)
-        if self._woken:
+            raise _link_down_error()
+        self._outbox.append(msg)
+        if self._wake_scheduled:
             return
-        self._woken = True
+        self._wake_scheduled = True
         try:
             self._loop.call_soon_threadsafe(self._wake.set)
         except RuntimeError as exc:  # The loop was closed at shutdown.
-            raise _down() from exc
+            raise _link_down_error() from exc
 
-    async def run(self, receive: Receiver) -> None:
+    async def run(self, receive: MessageHandler) -> None:
         """Carry messages until the link is lost or closed."""
         sender = asyncio.create_task(self._send_all())
         try:
@@ -72,7 +72,7 @@
         await self._flush()
         await self._ws.close()
 
-    async def _receive_all(self, receive: Receiver) -> None:
+    async def _receive_all(self, receive: MessageHandler) -> None:
         try:
             async for frame in self._ws:
                 for msg in codec.decode(_as_bytes(frame)):
@@ -82,41 +82,41 @@
         except errors.FrameError as exc:
             # A bad frame costs its own link and nothing else.
             logging.warning("bad frame", extra={"why": str(exc)})
-            await self._ws.close(_CLOSE_BAD_FRAME, "bad frame")
+            await self._ws.close(_POLICY_VIOLATION_CODE, "bad frame")
 
     async def _send_all(self) -> None:
         while True:
             await self._wake.wait()
             self._wake.clear()
-            self._woken = False
+            self._wake_scheduled = False
             await self._flush()
 
     async def _flush(self) -> None:
-        while self._out:
+        while self._outbox:
             try:
-                await self._ws.send(codec.encode(self._take()))
+                await self._ws.send(codec.encode(self._next_batch()))
             except ws_exceptions.ConnectionClosed:
                 return
 
-    def _take(self) -> Sequence[messages.Message]:
+    def _next_batch(self) -> Sequence[messages.Message]:
         batch: list[messages.Message] = []
         size = 0
-        while self._out and len(batch) < codec.MAX_MESSAGES:
-            size += _size(self._out[0])
-            if batch and size > codec.MAX_FRAME // 2:
+        while self._outbox and len(batch) < codec.MAX_MESSAGES_PER_FRAME:
+            size += _payload_bytes(self._outbox[0])
+            if batch and size > codec.MAX_FRAME_BYTES // 2:
                 break
-            batch.append(self._out.popleft())
+            batch.append(self._outbox.popleft())
         return batch
 
 
-def _size(msg: messages.Message) -> int:
-    if isinstance(msg, messages.Chunk):
+def _payload_bytes(msg: messages.Message) -> int:
+    if isinstance(msg, messages.ResponseChunk):
         return sum(map(len, msg.events))
     if isinstance(msg, messages.Dispatch):
         return len(msg.body)
-    if isinstance(msg, messages.Records):
+    if isinstance(msg, messages.ConfigRecords):
         return sum(map(len, msg.records))
-    if isinstance(msg, messages.Snapshot):
+    if isinstance(msg, messages.ConfigSnapshotPart):
         return len(msg.part)
     return 0
 
@@ -129,7 +129,7 @@
     return frame
 
 
-def _down() -> errors.LinkDownError:
+def _link_down_error() -> errors.LinkDownError:
     return errors.LinkDownError(
         "the link is down; nothing was sent",
         remedy="send to another backend server",
--- a/src/lugcross/wire/loop.py
+++ b/src/lugcross/wire/loop_thread.py
@@ -75,14 +75,14 @@
         self._loop = loop
         self._handle = handle
         self._items: collections.deque[_T] = collections.deque()
-        self._woken = False
+        self._drain_scheduled = False
 
     def post(self, item: _T) -> None:
         """Hand over ``item``; never blocks."""
         self._items.append(item)
-        if self._woken:
+        if self._drain_scheduled:
             return
-        self._woken = True
+        self._drain_scheduled = True
         try:
             self._loop.call_soon_threadsafe(self._drain)
         except RuntimeError:
@@ -91,6 +91,6 @@
 
     def _drain(self) -> None:
         # Cleared first: an item posted from now on wakes the loop again.
-        self._woken = False
+        self._drain_scheduled = False
         while self._items:
             self._handle(self._items.popleft())
--- a/src/lugcross/wire/messages.py
+++ b/src/lugcross/wire/messages.py
@@ -13,7 +13,7 @@
 from lugcross import ids
 
 #: Version of the protocol; peers with another one are refused.
-VERSION = 1
+PROTOCOL_VERSION = 1
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
@@ -25,7 +25,7 @@
     """Agent to entry host: first message on a link."""
 
     nonce: bytes
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
 
 
 @final
@@ -36,7 +36,7 @@
     domain: ids.DomainName
     nonce: bytes
     proof: bytes
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
 
 
 @final
@@ -92,16 +92,16 @@
     """Entry host to agent: go on with a dispatch after a lost link.
 
     :param after: events that the entry host already has.
-    :param was_link: link that carried the dispatch.
-    :param was_id: stream id of the dispatch on that link.
+    :param previous_link: link that carried the dispatch.
+    :param previous_id: stream id of the dispatch on that link.
     """
 
     id: ids.StreamId
     uid: str
     after: int
     credit: int
-    was_link: int
-    was_id: ids.StreamId
+    previous_link: int
+    previous_id: ids.StreamId
 
 
 @final
@@ -131,7 +131,7 @@
 
 
 @final
-class Head(_Message, frozen=True, tag=9):
+class ResponseHead(_Message, frozen=True, tag=9):
     """Agent to entry host: status and headers of the answer."""
 
     id: ids.StreamId
@@ -140,7 +140,7 @@
 
 
 @final
-class Chunk(_Message, frozen=True, tag=10):
+class ResponseChunk(_Message, frozen=True, tag=10):
     """Agent to entry host: part of the answer.
 
     :param seq: number of the first event, from 0.
@@ -152,7 +152,7 @@
 
 
 @final
-class End(_Message, frozen=True, tag=11):
+class ResponseEnd(_Message, frozen=True, tag=11):
     """Agent to entry host: the answer is whole.
 
     :param events: number of events in the whole answer.
@@ -163,7 +163,7 @@
 
 
 @final
-class Fail(_Message, frozen=True, tag=12):
+class Failure(_Message, frozen=True, tag=12):
     """Agent to entry host: there will be no whole answer.
 
     :param holder: backend server that has claimed the request's key.
@@ -179,7 +179,7 @@
 
 
 @final
-class Load(_Message, frozen=True, tag=13):
+class AgentLoad(_Message, frozen=True, tag=13):
     """Agent to entry host: how busy it is.
 
     :param waiting: estimated work in the queue, in tokens.
@@ -201,7 +201,7 @@
 
 
 @final
-class Have(_Message, frozen=True, tag=15):
+class ConfigStatus(_Message, frozen=True, tag=15):
     """Either side: how much of the configuration it has.
 
     :param chain: digest of the records up to ``offset``.
@@ -212,7 +212,7 @@
 
 
 @final
-class Records(_Message, frozen=True, tag=16):
+class ConfigRecords(_Message, frozen=True, tag=16):
     """Either side: records of the configuration that the peer lacks.
 
     :param first: offset of the first; the others follow it.
@@ -223,13 +223,13 @@
 
 
 @final
-class Snapshot(_Message, frozen=True, tag=17):
+class ConfigSnapshotPart(_Message, frozen=True, tag=17):
     """Either side: one part of a snapshot, for a peer far behind."""
 
     part: bytes
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
+class LinkedEntry(msgspec.Struct, frozen=True, array_like=True):
     """One entry host as an agent sees it by its link.
 
     :param offset: of the configuration that it said it has.
@@ -241,13 +241,13 @@
 
 
 @final
-class Entries(_Message, frozen=True, tag=18):
+class LinkedEntries(_Message, frozen=True, tag=18):
     """Agent to entry host: the entry hosts that have links to it.
 
     What an agent sees of them is newer than the platform's host list.
     """
 
-    seen: tuple[Seen, ...]
+    seen: tuple[LinkedEntry, ...]
 
 
 #: Any message of the protocol.
@@ -260,14 +260,14 @@
     | Cancel
     | Credit
     | Started
-    | Head
-    | Chunk
-    | End
-    | Fail
-    | Load
+    | ResponseHead
+    | ResponseChunk
+    | ResponseEnd
+    | Failure
+    | AgentLoad
     | Leaving
-    | Have
-    | Records
-    | Snapshot
-    | Entries
+    | ConfigStatus
+    | ConfigRecords
+    | ConfigSnapshotPart
+    | LinkedEntries
 )
--- a/testing/agent/test_dispatcher.py
+++ b/testing/agent/test_dispatcher.py
@@ -64,8 +64,8 @@
         uid=f"u{num}",
         after=after,
         credit=9,
-        was_link=link,
-        was_id=ids.StreamId(num),
+        previous_link=link,
+        previous_id=ids.StreamId(num),
     )
 
 
@@ -86,7 +86,7 @@
         for a in actions
         if isinstance(a, events.Send)
         and a.link == link
-        and not isinstance(a.msg, wire.Load)
+        and not isinstance(a.msg, wire.AgentLoad)
     ]
 
 
@@ -94,8 +94,8 @@
     return [a.dispatch.uid for a in actions if isinstance(a, events.Run)]
 
 
-def failure(actions: list[events.Action], link: agent.LinkId) -> wire.Fail:
-    (fail,) = [m for m in sent(actions, link) if isinstance(m, wire.Fail)]
+def failure(actions: list[events.Action], link: agent.LinkId) -> wire.Failure:
+    (fail,) = [m for m in sent(actions, link) if isinstance(m, wire.Failure)]
     return fail
 
 
@@ -106,7 +106,7 @@
     disp.on_runner("u1", events.GotHead(200, ()), NOW)
     disp.on_runner("u1", events.GotEvents((b"a", b"b")), NOW)
     last = sent(disp.on_runner("u1", events.GotEnd(), NOW), L1)
-    assert last == [wire.End(id=ids.StreamId(1), events=2)]
+    assert last == [wire.ResponseEnd(id=ids.StreamId(1), events=2)]
 
 
 def test_dispatch_for_another_incarnation_is_refused_as_not_run(
@@ -175,7 +175,9 @@
 ) -> None:
     disp.on_message(L1, dispatch(credit=2), NOW)
     actions = disp.on_runner("u1", events.GotEvents((b"a",) * 5), NOW)
-    (chunk,) = [m for m in sent(actions, L1) if isinstance(m, wire.Chunk)]
+    (chunk,) = [
+        m for m in sent(actions, L1) if isinstance(m, wire.ResponseChunk)
+    ]
     assert len(chunk.events) == 2
     assert [a for a in actions if isinstance(a, events.Resume)] == [
         events.Resume("u1", 2)
@@ -193,7 +195,7 @@
     disp.on_link_lost(L1, NOW)
     back = reattach(1, after=1)
     messages = sent(disp.on_message(L2, back, NOW), L2)
-    assert messages[-1] == wire.Chunk(
+    assert messages[-1] == wire.ResponseChunk(
         id=ids.StreamId(7), seq=1, events=(b"b", b"c")
     )
 
@@ -241,9 +243,9 @@
     actions = disp.on_message(L2, dispatch(2, once_key="k"), NOW)
     assert not runs(actions)
     last = sent(disp.on_runner("u1", events.GotEnd(), NOW), L2)
-    assert last == [wire.End(id=ids.StreamId(2), events=1)]
+    assert last == [wire.ResponseEnd(id=ids.StreamId(2), events=1)]
     again = sent(disp.on_message(L1, dispatch(3, once_key="k"), NOW), L1)
-    assert wire.End(id=ids.StreamId(3), events=1) in again
+    assert wire.ResponseEnd(id=ids.StreamId(3), events=1) in again
 
 
 def test_key_with_another_body_is_refused(disp: agent.Dispatcher) -> None:
@@ -314,7 +316,7 @@
     disp.on_message(L1, dispatch(1), NOW)
     disp.on_message(L1, dispatch(2), NOW)
     actions = disp.hand_over(NOW)
-    fails = [m for m in sent(actions, L1) if isinstance(m, wire.Fail)]
+    fails = [m for m in sent(actions, L1) if isinstance(m, wire.Failure)]
     assert [(f.id, f.outcome.value) for f in fails] == [
         (1, "ran"),
         (2, "not-run"),
@@ -399,23 +401,23 @@
                 self.check(action.link.num, action.msg)
 
     def check(self, link: int, msg: wire.Message) -> None:
-        if isinstance(msg, wire.Load):
+        if isinstance(msg, wire.AgentLoad):
             return
         assert not isinstance(msg, wire.Leaving)
         place = (link, msg.id)
         assert place not in self.done, "something after the end"
         uid = self.uid_of[place]
-        if isinstance(msg, wire.Chunk):
+        if isinstance(msg, wire.ResponseChunk):
             have = self.skipped[place] + len(self.got[place])
             assert msg.seq == have, "a gap or an overlap"
             self.got[place] += msg.events
             known = self.made[uid][self.skipped[place] :]
             assert self.got[place] == known[: len(self.got[place])]
-        elif isinstance(msg, wire.End):
+        elif isinstance(msg, wire.ResponseEnd):
             self.done.add(place)
             assert msg.events == len(self.made[uid])
             assert self.got[place] == self.made[uid][self.skipped[place] :]
-        elif isinstance(msg, wire.Fail):
+        elif isinstance(msg, wire.Failure):
             self.done.add(place)
             if msg.outcome is errors.Outcome.NOT_RUN:
                 assert uid not in self.ran, "false not-run"
--- a/testing/cfg/test_spread.py
+++ b/testing/cfg/test_spread.py
@@ -264,8 +264,8 @@
     names = [ids.NodeName(f"e{num}") for num in range(8)]
     domain = ids.DomainName("a")
 
-    def seen(name: ids.NodeName) -> wire.Seen:
-        return wire.Seen(name, domain, ids.Offset(0))
+    def seen(name: ids.NodeName) -> wire.LinkedEntry:
+        return wire.LinkedEntry(name, domain, ids.Offset(0))
 
     def relays_among(live: list[ids.NodeName]) -> list[str]:
         found = []
--- a/testing/entry/test_lifecycle.py
+++ b/testing/entry/test_lifecycle.py
@@ -14,13 +14,15 @@
 ANSWER = [b"a", b"b", b"c", b"d"]
 
 
-def fail(kind: errors.FailureKind, outcome: errors.Outcome) -> wire.Fail:
-    return wire.Fail(id=ID, kind=kind, outcome=outcome, what="w", remedy="r")
+def fail(kind: errors.FailureKind, outcome: errors.Outcome) -> wire.Failure:
+    return wire.Failure(
+        id=ID, kind=kind, outcome=outcome, what="w", remedy="r"
+    )
 
 
-def chunk(seq: int, count: int) -> wire.Chunk:
+def chunk(seq: int, count: int) -> wire.ResponseChunk:
     events = tuple(ANSWER[seq : seq + count])
-    return wire.Chunk(id=ID, seq=seq, events=events)
+    return wire.ResponseChunk(id=ID, seq=seq, events=events)
 
 
 def after(
@@ -109,17 +111,17 @@
     assert isinstance(action, lifecycle.TryAgain)
     assert state.base == 2
     state, _ = lifecycle.step(lifecycle.Sent(), state)
-    rest = wire.Chunk(id=ID, seq=0, events=(b"c", b"d"))
+    rest = wire.ResponseChunk(id=ID, seq=0, events=(b"c", b"d"))
     state, action = lifecycle.step(rest, state)
     assert action == lifecycle.Deliver((b"c", b"d"))
-    _, action = lifecycle.step(wire.End(id=ID, events=2), state)
+    _, action = lifecycle.step(wire.ResponseEnd(id=ID, events=2), state)
     assert action == lifecycle.Finish()
 
 
 def test_keyed_request_goes_to_the_holder_of_its_key() -> None:
     state = lifecycle.State(repeatable=False, keyed=True)
     state, _ = lifecycle.step(lifecycle.Sent(), state)
-    refusal = wire.Fail(
+    refusal = wire.Failure(
         id=ID,
         kind=errors.FailureKind.IDEMPOTENCY_KEY_ELSEWHERE,
         outcome=errors.Outcome.UNKNOWN,
@@ -150,7 +152,7 @@
 
 @pytest.mark.parametrize(
     "event",
-    [chunk(2, 1), wire.End(id=ID, events=3)],
+    [chunk(2, 1), wire.ResponseEnd(id=ID, events=3)],
     ids=["gap", "early-end"],
 )
 def test_partial_answer_never_looks_whole(event: lifecycle.Event) -> None:
@@ -203,14 +205,14 @@
     attempt.ran = True
     left = len(ANSWER) - attempt.start - attempt.sent
     if kind == "end" and not left:
-        return wire.End(id=ID, events=attempt.sent)
+        return wire.ResponseEnd(id=ID, events=attempt.sent)
     back = data.draw(st.integers(0, attempt.sent))
     count = data.draw(st.integers(0, left))
     first = attempt.start + attempt.sent - back
     events = tuple(ANSWER[first : first + back + count])
     seq = attempt.sent - back
     attempt.sent += count
-    return wire.Chunk(id=ID, seq=seq, events=events)
+    return wire.ResponseChunk(id=ID, seq=seq, events=events)
 
 
 @hypothesis.settings(max_examples=2000)
--- a/testing/test_bad_input.py
+++ b/testing/test_bad_input.py
@@ -152,7 +152,7 @@
 
 @pytest.mark.parametrize(
     "frame",
-    [b"\x82\x01", b"\x00" * (wire.MAX_FRAME + 1)],
+    [b"\x82\x01", b"\x00" * (wire.MAX_FRAME_BYTES + 1)],
     ids=["malformed", "oversized"],
 )
 def test_bad_frame_costs_its_own_link_and_no_other(
@@ -167,7 +167,7 @@
         )
         await ws.send(wire.encode([hello]))
         (welcome,) = wire.decode(await ws.recv())
-        shake.check(welcome)
+        shake.verify_welcome(welcome)
         with pytest.raises(ws_exceptions.ConnectionClosed):
             await ws.send(frame)
             while True:
--- a/testing/wire/test_codec.py
+++ b/testing/wire/test_codec.py
@@ -14,14 +14,14 @@
     st.lists(
         st.one_of(
             st.builds(
-                wire.Chunk,
+                wire.ResponseChunk,
                 id=st.integers(0, 2**40),
                 seq=st.integers(0, 2**40),
                 events=st.lists(st.binary(max_size=20)).map(tuple),
             ),
             st.builds(wire.Leaving, reason=st.text(max_size=20)),
             st.builds(
-                wire.Fail,
+                wire.Failure,
                 id=st.integers(0, 9),
                 kind=st.sampled_from(errors.FailureKind),
                 outcome=st.sampled_from(errors.Outcome),
@@ -49,7 +49,7 @@
 
 
 def test_frame_of_too_many_messages_is_refused() -> None:
-    batch = [wire.Leaving(reason="")] * (wire.MAX_MESSAGES + 1)
+    batch = [wire.Leaving(reason="")] * (wire.MAX_MESSAGES_PER_FRAME + 1)
     with pytest.raises(errors.FrameError):
         wire.decode(wire.encode(batch))
 
--- a/testing/wire/test_handshake.py
+++ b/testing/wire/test_handshake.py
@@ -17,7 +17,9 @@
     entry = wire.Handshake(entry_secret)
     agent = wire.Handshake(agent_secret)
     hello = entry.hello(agent.challenge(), NODE, DOMAIN)
-    return entry.check(agent.welcome(hello, BACKEND, INCARNATION, link=1))
+    return entry.verify_welcome(
+        agent.welcome(hello, BACKEND, INCARNATION, link=1)
+    )
 
 
 def test_same_secret_opens_the_link() -> None:
@@ -35,7 +37,7 @@
         backend=BACKEND, incarnation=INCARNATION, proof=b"x" * 32
     )
     with pytest.raises(errors.HandshakeError, match="b1"):
-        entry.check(forged)
+        entry.verify_welcome(forged)
 
 
 def test_proof_of_one_handshake_is_of_no_use_in_another() -> None:
@@ -46,6 +48,6 @@
 
 
 def test_peer_of_another_version_is_refused() -> None:
-    challenge = wire.Challenge(nonce=b"n", version=wire.VERSION + 1)
+    challenge = wire.Challenge(nonce=b"n", version=wire.PROTOCOL_VERSION + 1)
     with pytest.raises(errors.HandshakeError, match="version"):
         wire.Handshake("secret").hello(challenge, NODE, DOMAIN)
