--- a/src/lugcross/wire/__init__.py
+++ b/src/lugcross/wire/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""The inner protocol: typed messages over WebSocket and CBOR."""
+"""Protocol of entry hosts and agents: CBOR messages over WebSocket."""
 
 from lugcross.wire.codec import decode
 from lugcross.wire.codec import encode
--- a/src/lugcross/wire/codec.py
+++ b/src/lugcross/wire/codec.py
@@ -1,5 +1,8 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Frames: CBOR arrays of messages, checked by type when they arrive."""
+"""Encodes messages into frames and decodes and type-checks frames.
+
+A frame is the CBOR encoding of an array of messages.
+"""
 
 from collections.abc import Sequence
 
@@ -9,29 +12,33 @@
 from lugcross import errors
 from lugcross.wire import messages
 
-#: Largest frame that a link takes, in bytes.
+#: Largest frame that a link accepts.
 MAX_FRAME_BYTES = 4 * 1_048_576
-#: Most messages in one frame; bounds what one frame can cost.
+#: Most messages in one frame; bounds the time to process it.
 MAX_MESSAGES_PER_FRAME = 1024
 
 _NATIVE_TYPES = (bytes,)
 
 
 class _Frame(msgspec.Struct, frozen=True, array_like=True):
-    """Holds the type of a frame: msgspec then prepares it only once."""
+    """Wraps the list of messages in a struct.
+
+    msgspec analyzes the type of a struct once, not with each conversion.
+    """
 
     batch: list[messages.Message]
 
 
 def encode(batch: Sequence[messages.Message]) -> bytes:
-    """Return one frame that carries ``batch`` in order."""
+    """Return a frame with the messages of ``batch`` in order."""
     return cbor2.dumps(msgspec.to_builtins(batch, builtin_types=_NATIVE_TYPES))
 
 
 def decode(frame: bytes) -> list[messages.Message]:
-    """Return the messages of a frame.
+    """Return the messages of a frame in order.
 
-    :raises errors.FrameError: when it is not an array of messages.
+    :raises errors.FrameError: if the frame is not an array of messages,
+        or has too many.
     """
     try:
         batch = msgspec.convert(
@@ -44,7 +51,7 @@
         ) from exc
     if len(batch) > MAX_MESSAGES_PER_FRAME:
         raise errors.FrameError(
-            f"frame of {len(batch)} messages, over {MAX_MESSAGES_PER_FRAME}",
+            f"frame has {len(batch)} messages, limit {MAX_MESSAGES_PER_FRAME}",
             remedy="check that both processes run compatible versions",
         )
     return batch
--- a/src/lugcross/wire/endpoints.py
+++ b/src/lugcross/wire/endpoints.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Opening links: the entry host connects, the agent listens."""
+"""Opens links: an entry host connects, and an agent listens."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -25,7 +25,7 @@
 _CLOSE_TIMEOUT_S = 1.0
 _POLICY_VIOLATION_CODE = 1008
 
-#: Owns one accepted link until it is lost.
+#: Called with each link that passed the handshake; returns once it is lost.
 LinkHandler = Callable[[link_lib.Link, messages.Hello], Awaitable[None]]
 
 
@@ -37,10 +37,11 @@
     node: ids.NodeName,
     domain: ids.DomainName,
 ) -> tuple[link_lib.Link, messages.Welcome]:
-    """Open a link to the agent at ``host`` and ``port``.
+    """Connect to the agent at ``host`` and ``port`` and open a link.
 
-    :raises errors.LinkDownError: when the agent cannot be reached.
-    :raises errors.HandshakeError: when it does not hold the secret.
+    :raises errors.LinkDownError: if the agent cannot be reached.
+    :raises errors.HandshakeError: if the handshake fails.
+    :raises errors.FrameError: if the agent sends a malformed frame.
     """
     try:
         async with asyncio.timeout(_HANDSHAKE_TIMEOUT_S):
@@ -63,17 +64,18 @@
             )
     except (OSError, TimeoutError, ws_exceptions.WebSocketException) as exc:
         raise errors.LinkDownError(
-            f"no link to {host}:{port} ({exc or type(exc).__name__})",
-            remedy="check that the agent runs there",
+            f"cannot open a link to {host}:{port} "
+            f"({exc or type(exc).__name__})",
+            remedy="check that the agent is running at this address",
         ) from exc
     return link_lib.Link(ws, num=welcome.link), welcome
 
 
 @final
 class Listener:
-    """Accepts links for one agent.
+    """Accepts links from entry hosts for one agent.
 
-    :param accept: owns each link whose peer holds the secret.
+    :param accept: called with each link that passed the handshake.
     """
 
     def __init__(
@@ -92,7 +94,11 @@
         self._link_numbers = itertools.count(1)
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and return the port in use."""
+        """Start listening.
+
+        :param port: port to listen on; 0 lets the system choose one.
+        :returns: the port in use.
+        """
         self._server = await ws_server.serve(
             self._handle,
             host,
@@ -107,7 +113,7 @@
         return bound
 
     async def stop(self) -> None:
-        """Stop listening and close the links."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
@@ -146,7 +152,7 @@
     batch = codec.decode(frame)
     if len(batch) != 1:
         raise errors.HandshakeError(
-            "the peer sent more than its part of the handshake",
+            f"handshake frame has {len(batch)} messages, expected 1",
             remedy="check the versions on both hosts",
         )
     return batch[0]
--- a/src/lugcross/wire/handshake.py
+++ b/src/lugcross/wire/handshake.py
@@ -1,5 +1,9 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Mutual proof that both ends of a link hold the fleet's secret."""
+"""Mutual authentication of both ends of a link by the fleet's secret.
+
+It is a challenge-response exchange with HMAC: neither end sends the
+secret itself.
+"""
 
 import hashlib
 import hmac
@@ -16,13 +20,16 @@
 
 
 def new_nonce() -> bytes:
-    """Return a nonce for one handshake."""
+    """Return a random nonce for one handshake."""
     return secrets.token_bytes(_NONCE_BYTES)
 
 
 @final
 class Handshake:
-    """One end's part of the handshake; neither end sends the secret.
+    """State of one end in one handshake.
+
+    An entry host calls :meth:`hello` and :meth:`verify_welcome`, an agent
+    calls :meth:`challenge` and :meth:`welcome`.
 
     :param secret: the fleet's secret, from the settings.
     """
@@ -32,7 +39,7 @@
         self._nonce = new_nonce()
 
     def challenge(self) -> messages.Challenge:
-        """Agent: return the first message."""
+        """Return the agent's first message."""
         return messages.Challenge(nonce=self._nonce)
 
     def hello(
@@ -41,9 +48,15 @@
         node: ids.NodeName,
         domain: ids.DomainName,
     ) -> messages.Hello:
-        """Entry host: answer the agent's challenge."""
+        """Return the entry host's reply to the agent's challenge.
+
+        :raises errors.HandshakeError: if the message is no challenge or
+            the agent has another protocol version.
+        """
         if not isinstance(challenge, messages.Challenge):
-            raise _handshake_error("the peer did not open with a challenge")
+            raise _handshake_error(
+                "the peer's first message is not a challenge"
+            )
         _check_version(challenge.version)
         return messages.Hello(
             node=node,
@@ -60,9 +73,17 @@
         *,
         link: int,
     ) -> messages.Welcome:
-        """Agent: check the entry host's proof and give its own."""
+        """Verify the entry host's proof and return the agent's.
+
+        :param link: number of the link.
+        :raises errors.HandshakeError: if the message is no hello, the
+            proof is wrong or the entry host has another protocol
+            version.
+        """
         if not isinstance(hello, messages.Hello):
-            raise _handshake_error("the peer did not say who it is")
+            raise _handshake_error(
+                "the peer's reply to the challenge is not a hello"
+            )
         _check_version(hello.version)
         proof = self._proof(_ENTRY_SIDE, self._nonce, hello.node)
         if not hmac.compare_digest(proof, hello.proof):
@@ -77,9 +98,15 @@
         )
 
     def verify_welcome(self, welcome: messages.Message) -> messages.Welcome:
-        """Entry host: check the agent's proof."""
+        """Verify the agent's proof for the entry host; return the message.
+
+        :raises errors.HandshakeError: if the message is no welcome or the
+            proof is wrong.
+        """
         if not isinstance(welcome, messages.Welcome):
-            raise _handshake_error("the peer did not prove who it is")
+            raise _handshake_error(
+                "the peer's reply to the hello is not a welcome"
+            )
         proof = self._proof(_AGENT_SIDE, self._nonce, welcome.backend)
         if not hmac.compare_digest(proof, welcome.proof):
             raise _handshake_error(
@@ -88,14 +115,18 @@
         return welcome
 
     def _proof(self, side: bytes, nonce: bytes, name: str) -> bytes:
-        # The side is part of it, so that a proof cannot be sent back.
+        # Including the side prevents an attacker from reflecting a proof to
+        # its sender.
         text = side + nonce + name.encode()
         return hmac.digest(self._secret, text, hashlib.sha256)
 
 
 def _check_version(version: int) -> None:
     if version != messages.PROTOCOL_VERSION:
-        raise _handshake_error(f"the peer speaks version {version}")
+        raise _handshake_error(
+            f"the peer has protocol version {version}, "
+            f"this process has version {messages.PROTOCOL_VERSION}"
+        )
 
 
 def _handshake_error(what: str) -> errors.HandshakeError:
--- a/src/lugcross/wire/link.py
+++ b/src/lugcross/wire/link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A link: one WebSocket that carries many requests at once."""
+"""A link: a WebSocket connection shared by many requests."""
 
 import asyncio
 import collections
@@ -15,7 +15,7 @@
 from lugcross.wire import codec
 from lugcross.wire import messages
 
-#: Takes each message as it arrives, in the loop's thread.
+#: Called with each received message in the event loop's thread.
 MessageHandler = Callable[[messages.Message], None]
 
 _POLICY_VIOLATION_CODE = 1008
@@ -23,10 +23,14 @@
 
 @final
 class Link:
-    """Sends from any thread; messages that wait share one frame.
+    """A link between an entry host and an agent.
 
-    :param ws: an open connection on which the handshake is done.
-    :param num: given by the agent, never twice by one incarnation.
+    Any thread may post messages. Queued messages are sent together in
+    one frame.
+
+    :param ws: an open connection that has completed the handshake.
+    :param num: number that the agent gave the link; one incarnation of an
+        agent never reuses it.
     """
 
     def __init__(self, ws: ws_connection.Connection, *, num: int) -> None:
@@ -39,10 +43,10 @@
         self.closed = False
 
     def post(self, msg: messages.Message) -> None:
-        """Send ``msg`` after those before it; never blocks.
+        """Queue ``msg`` for sending, without blocking.
 
-        :raises errors.LinkDownError: when the link is closed and the
-            message was certainly not sent.
+        :raises errors.LinkDownError: if the link is closed; the message
+            is not sent.
         """
         if self.closed:
             raise _link_down_error()
@@ -52,11 +56,11 @@
         self._wake_scheduled = True
         try:
             self._loop.call_soon_threadsafe(self._wake.set)
-        except RuntimeError as exc:  # The loop was closed at shutdown.
+        except RuntimeError as exc:  # The event loop has been closed.
             raise _link_down_error() from exc
 
     async def run(self, receive: MessageHandler) -> None:
-        """Carry messages until the link is lost or closed."""
+        """Send and receive messages until the link is lost or closed."""
         sender = asyncio.create_task(self._send_all())
         try:
             await self._receive_all(receive)
@@ -64,11 +68,11 @@
             self.closed = True
             sender.cancel()
             await asyncio.gather(sender, return_exceptions=True)
-            # The peer hears of it now and need not time out.
+            # The peer learns of the closed link at once, without a timeout.
             await self._ws.close()
 
     async def close(self) -> None:
-        """Send what waits and close."""
+        """Send queued messages and close the connection."""
         await self._flush()
         await self._ws.close()
 
@@ -80,7 +84,7 @@
         except ws_exceptions.ConnectionClosed:
             return
         except errors.FrameError as exc:
-            # A bad frame costs its own link and nothing else.
+            # A bad frame closes only the link that it arrived on.
             logging.warning("bad frame", extra={"why": str(exc)})
             await self._ws.close(_POLICY_VIOLATION_CODE, "bad frame")
 
@@ -103,6 +107,7 @@
         size = 0
         while self._outbox and len(batch) < codec.MAX_MESSAGES_PER_FRAME:
             size += _payload_bytes(self._outbox[0])
+            # Half the limit, as the size counts payloads only.
             if batch and size > codec.MAX_FRAME_BYTES // 2:
                 break
             batch.append(self._outbox.popleft())
@@ -124,13 +129,14 @@
 def _as_bytes(frame: str | bytes) -> bytes:
     if isinstance(frame, str):
         raise errors.FrameError(
-            "text frame", remedy="connect a process of lugcross"
+            "text frame received, expected binary",
+            remedy="check that the peer is a lugcross process",
         )
     return frame
 
 
 def _link_down_error() -> errors.LinkDownError:
     return errors.LinkDownError(
-        "the link is down; nothing was sent",
-        remedy="send to another backend server",
+        "the link is down; the message was not sent",
+        remedy="use another backend server",
     )
--- a/src/lugcross/wire/loop_thread.py
+++ b/src/lugcross/wire/loop_thread.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""An event loop in a thread of its own, which carries all links."""
+"""An event loop in its own thread, on which all links run."""
 
 import asyncio
 import collections
@@ -17,7 +17,7 @@
 
 @final
 class LoopThread:
-    """Runs coroutines for threads that must not block a loop."""
+    """Runs an event loop in a thread and coroutines on it."""
 
     def __init__(self, *, name: str) -> None:
         self.loop = asyncio.new_event_loop()
@@ -26,21 +26,24 @@
         )
 
     def start(self) -> None:
-        """Start the thread."""
+        """Start the thread and its event loop."""
         self._thread.start()
 
     def submit(
         self, coro: Coroutine[Any, Any, _T]
     ) -> concurrent.futures.Future[_T]:
-        """Run ``coro`` in the loop."""
+        """Run ``coro`` in the event loop; return a future of its result."""
         return asyncio.run_coroutine_threadsafe(coro, self.loop)
 
     def call(self, coro: Coroutine[Any, Any, _T], *, timeout_s: float) -> _T:
-        """Run ``coro`` in the loop and wait for its result."""
+        """Run ``coro`` in the event loop and return its result.
+
+        :raises TimeoutError: after ``timeout_s`` seconds.
+        """
         return self.submit(coro).result(timeout_s)
 
     def stop(self) -> None:
-        """Cancel what still runs and end the thread."""
+        """Cancel all running tasks and end the thread."""
         if not self._thread.is_alive():
             return
         self.loop.call_soon_threadsafe(self.loop.stop)
@@ -62,9 +65,12 @@
 
 @final
 class Mailbox(Generic[_T]):
-    """Hands items from any thread to a loop, many at one wake-up.
+    """A queue of items from any thread for a handler on an event loop.
+
+    All items queued since the last wake-up are handled at one wake-up of
+    the event loop.
 
-    :param handle: takes each item, in order, in the loop's thread.
+    :param handle: called with each item, in order, in the loop's thread.
     """
 
     def __init__(
@@ -78,7 +84,7 @@
         self._drain_scheduled = False
 
     def post(self, item: _T) -> None:
-        """Hand over ``item``; never blocks."""
+        """Queue ``item``, without blocking."""
         self._items.append(item)
         if self._drain_scheduled:
             return
@@ -86,11 +92,12 @@
         try:
             self._loop.call_soon_threadsafe(self._drain)
         except RuntimeError:
-            # The loop was closed at shutdown: nobody waits any more.
+            # The event loop has been closed: no handler will run.
             self._items.clear()
 
     def _drain(self) -> None:
-        # Cleared first: an item posted from now on wakes the loop again.
+        # Reset before draining, so that an item posted meanwhile schedules
+        # another drain.
         self._drain_scheduled = False
         while self._items:
             self._handle(self._items.popleft())
--- a/testing/wire/test_codec.py
+++ b/testing/wire/test_codec.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Frames: whatever arrives is either messages or one kind of error."""
+"""Frames: any input decodes to messages or raises ``FrameError``."""
 
 import cbor2
 import hypothesis
@@ -32,7 +32,7 @@
         max_size=5,
     )
 )
-def test_frame_comes_back_as_it_went(batch: list[wire.Message]) -> None:
+def test_decode_restores_encoded_messages(batch: list[wire.Message]) -> None:
     assert wire.decode(wire.encode(batch)) == batch
 
 
@@ -41,20 +41,20 @@
 @hypothesis.example(b"\xbf" * 5_000)
 @hypothesis.example(b"\x9a\xff\xff\xff\xff")
 @hypothesis.example(b"\x5b\xff\xff\xff\xff\xff\xff\xff\xff")
-def test_any_bytes_give_messages_or_a_frame_error(frame: bytes) -> None:
+def test_arbitrary_bytes_decode_or_raise_frame_error(frame: bytes) -> None:
     try:
         wire.decode(frame)
     except errors.FrameError:
         pass
 
 
-def test_frame_of_too_many_messages_is_refused() -> None:
+def test_frame_with_too_many_messages_is_rejected() -> None:
     batch = [wire.Leaving(reason="")] * (wire.MAX_MESSAGES_PER_FRAME + 1)
     with pytest.raises(errors.FrameError):
         wire.decode(wire.encode(batch))
 
 
-def test_field_added_by_a_newer_peer_is_ignored() -> None:
+def test_unknown_field_of_a_newer_peer_is_ignored() -> None:
     (array,) = cbor2.loads(wire.encode([wire.Leaving(reason="stop")]))
-    newer = cbor2.dumps([[*array, "a field of tomorrow"]])
+    newer = cbor2.dumps([[*array, "unknown field"]])
     assert wire.decode(newer) == [wire.Leaving(reason="stop")]
