--- a/bench/faults.py
+++ b/bench/faults.py
@@ -25,7 +25,7 @@
 import click
 import urllib3
 
-from lugcross.demo import calls
+from lugcross.demo import request_sender
 import procs
 
 _TOKENS = 4
@@ -128,8 +128,8 @@
         resp = self._send(http, rng, seen, "/v1/completions", body, {})
         if resp is None or resp.status != 200:
             return
-        want = calls.expected(seen.id, _TOKENS)
-        got = calls.stream_text(resp.data)
+        want = request_sender.expected_completion(seen.id, _TOKENS)
+        got = request_sender.parse_stream(resp.data)
         seen.whole = got == want
         if got is None:
             seen.told = "cut"
--- a/bench/procs.py
+++ b/bench/procs.py
@@ -340,7 +340,7 @@
 
     def sender(self) -> demo.Sender:
         """Return a caller with the workspace's key."""
-        return demo.Sender(self.key, model=MODEL, ledger=LEDGER)
+        return demo.Sender(self.key, model_service=MODEL, plain_service=LEDGER)
 
     def objects(self) -> list[cfg.Object]:
         """Return the configuration of this fleet."""
--- a/src/lugcross/cli/demo.py
+++ b/src/lugcross/cli/demo.py
@@ -21,7 +21,7 @@
     good = True
     try:
         if once:
-            good = demo_lib.FixedRun(fleet).run()
+            good = demo_lib.SelfCheck(fleet).run()
         else:
             _print_examples(fleet)
             _show_traffic(fleet, seconds)
@@ -31,13 +31,13 @@
 
 
 def _print_examples(fleet: demo_lib.Fleet) -> None:
-    key = fleet.rivals[0].key
+    key = fleet.groups[0].key
     click.echo(
         "try:\n"
         f"  curl -N {fleet.urls[0]}/v1/completions "
         f"-H 'Authorization: Bearer {key}' "
         "-H 'Content-Type: application/json' "
-        f'-d \'{{"model": "{demo_lib.MODEL}", "prompt": "hello", '
+        f'-d \'{{"model": "{demo_lib.MODEL_SERVICE}", "prompt": "hello", '
         '"max_tokens": 8, "stream": true}\'\n'
         f"  lugcross ctl --entry {fleet.rpc_target} "
         f"--token {fleet.token} put-group greedy --share 6\n"
--- a/src/lugcross/demo/__init__.py
+++ b/src/lugcross/demo/__init__.py
@@ -1,24 +1,24 @@
 # SPDX-License-Identifier: Apache-2.0
 """A small fleet in one process, to see and to try by hand."""
 
-from lugcross.demo.calls import expected
-from lugcross.demo.calls import Result
-from lugcross.demo.calls import Sender
+from lugcross.demo.fleet import DemoGroup
 from lugcross.demo.fleet import Fleet
-from lugcross.demo.fleet import LEDGER
-from lugcross.demo.fleet import MODEL
-from lugcross.demo.fleet import Rival
-from lugcross.demo.once import FixedRun
+from lugcross.demo.fleet import MODEL_SERVICE
+from lugcross.demo.fleet import PLAIN_SERVICE
+from lugcross.demo.request_sender import expected_completion
+from lugcross.demo.request_sender import Result
+from lugcross.demo.request_sender import Sender
+from lugcross.demo.self_check import SelfCheck
 from lugcross.demo.traffic import Traffic
 
 __all__ = [
-    "LEDGER",
-    "MODEL",
-    "FixedRun",
+    "MODEL_SERVICE",
+    "PLAIN_SERVICE",
+    "DemoGroup",
     "Fleet",
     "Result",
-    "Rival",
+    "SelfCheck",
     "Sender",
     "Traffic",
-    "expected",
+    "expected_completion",
 ]
--- a/src/lugcross/demo/fleet.py
+++ b/src/lugcross/demo/fleet.py
@@ -16,26 +16,26 @@
 from lugcross import standin
 
 HOST = "127.0.0.1"
-MODEL = "small-moe"
-LEDGER = "ledger"
+MODEL_SERVICE = "small-moe"
+PLAIN_SERVICE = "ledger"
 DOMAINS = ("a", "b", "c")
 
-_ENTRIES = 2
-_ENGINES = 2
-_SLOTS = 4
+_ENTRIES_PER_DOMAIN = 2
+_ENGINES_PER_DOMAIN = 2
+_ENGINE_MAX_BATCH = 4
 # Slow enough for one interpreter to carry the whole fleet: the queues
 # at the engines must be the bottleneck, as in a real one.
-_STEP_S = 0.03
-_THREADS = 32
-_POLL_S = 5.0
-_READY_S = 15.0
-_WAIT_S = 0.05
+_ENGINE_STEP_S = 0.03
+_ENTRY_THREADS = 32
+_HOST_LIST_POLL_S = 5.0
+_READY_TIMEOUT_S = 15.0
+_READY_POLL_S = 0.05
 _ANY_PORT = cfg.settings.Address(host=HOST, port=0)
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Rival:
+class DemoGroup:
     """One workspace group of the demo, with one workspace.
 
     :param callers: requests that it keeps in progress.
@@ -52,12 +52,12 @@
         return f"{self.name}-desk"
 
 
-def rivals() -> tuple[Rival, ...]:
+def demo_groups() -> tuple[DemoGroup, ...]:
     """Return the three groups that compete for the fleet."""
     return (
-        Rival("north", 3.0, 40, cfg.new_key()),
-        Rival("south", 2.0, 32, cfg.new_key()),
-        Rival("greedy", 1.0, 48, cfg.new_key()),
+        DemoGroup("north", 3.0, 40, cfg.new_key()),
+        DemoGroup("south", 2.0, 32, cfg.new_key()),
+        DemoGroup("greedy", 1.0, 48, cfg.new_key()),
     )
 
 
@@ -67,9 +67,9 @@
 
     def __init__(self) -> None:
         self.token = cfg.new_key()
-        self.rivals = rivals()
+        self.groups = demo_groups()
         self._clock = clock_lib.SystemClock()
-        self._settings = _Shared(self.token)
+        self._settings = _SettingsFactory(self.token)
         self._standins: list[standin.StandinServer] = []
         self._engines: list[standin.EngineStandin] = []
         self._apps: list[app_lib.Application] = []
@@ -122,19 +122,20 @@
         return server
 
     def _start_domain(self, domain: str, ledger: str) -> None:
-        for num in range(_ENGINES):
+        for num in range(_ENGINES_PER_DOMAIN):
             engine = standin.EngineStandin(
-                speed=standin.EngineSpeed(step_s=_STEP_S), max_batch=_SLOTS
+                speed=standin.EngineSpeed(step_s=_ENGINE_STEP_S),
+                max_batch=_ENGINE_MAX_BATCH,
             )
             server = self._serve(engine)
             engine.server = server.app
             engine.start()
             self._engines.append(engine)
             self._start_agent(
-                domain, f"model-{domain}{num}", MODEL, server.url
+                domain, f"model-{domain}{num}", MODEL_SERVICE, server.url
             )
-        self._start_agent(domain, f"plain-{domain}", LEDGER, ledger)
-        for num in range(_ENTRIES):
+        self._start_agent(domain, f"plain-{domain}", PLAIN_SERVICE, ledger)
+        for num in range(_ENTRIES_PER_DOMAIN):
             self._start_entry(domain, f"entry-{domain}{num}")
 
     def _start_agent(
@@ -157,50 +158,54 @@
 
     def _publish(self) -> None:
         client = self.client()
-        for obj in self._objects():
+        for obj in self._config_objects():
             client.put(obj, expect=0)
         client.close()
 
-    def _objects(self) -> list[cfg.Object]:
+    def _config_objects(self) -> list[cfg.Object]:
         objects: list[cfg.Object] = [
-            cfg.Service(name=MODEL, type=cfg.ServiceType.MODEL),
+            cfg.Service(name=MODEL_SERVICE, type=cfg.ServiceType.MODEL),
             cfg.Service(
-                name=LEDGER, type=cfg.ServiceType.PLAIN, repeatable=False
+                name=PLAIN_SERVICE,
+                type=cfg.ServiceType.PLAIN,
+                repeatable=False,
             ),
         ]
-        for rival in self.rivals:
+        for group in self.groups:
             objects.append(
-                cfg.WorkspaceGroup(name=rival.name, share=rival.share)
+                cfg.WorkspaceGroup(name=group.name, share=group.share)
             )
             objects.append(
                 cfg.Workspace(
-                    name=rival.workspace,
-                    group=rival.name,
-                    key_hashes=(cfg.hash_key(rival.key),),
+                    name=group.workspace,
+                    group=group.name,
+                    key_hashes=(cfg.hash_key(group.key),),
                 )
             )
-        return objects + [agent.backend(_SLOTS) for agent in self.agents]
+        return objects + [
+            agent.backend(_ENGINE_MAX_BATCH) for agent in self.agents
+        ]
 
     def _wait_ready(self) -> None:
-        until = time.monotonic() + _READY_S
-        while time.monotonic() < until:
-            waiting = [entry.unready() for entry in self.entries]
-            linked = all(
+        deadline = time.monotonic() + _READY_TIMEOUT_S
+        while time.monotonic() < deadline:
+            unready = [entry.unready() for entry in self.entries]
+            all_linked = all(
                 peer.link
                 for entry in self.entries
                 for peer in entry.upstream.peers()
             )
-            if not any(waiting) and linked:
+            if not any(unready) and all_linked:
                 return
-            time.sleep(_WAIT_S)
+            time.sleep(_READY_POLL_S)
         raise errors.LugcrossError(
-            f"the demo's fleet did not come up in {_READY_S} s",
+            f"the demo's fleet did not come up in {_READY_TIMEOUT_S} s",
             remedy="look at the log lines above",
         )
 
 
 @final
-class _Shared:
+class _SettingsFactory:
     """What the settings of all processes of the demo have in common."""
 
     def __init__(self, token: str) -> None:
@@ -233,11 +238,11 @@
             http=_ANY_PORT,
             rpc=_ANY_PORT,
             operators=(self._operator,),
-            threads=_THREADS,
+            threads=_ENTRY_THREADS,
             notice_s=0.1,
         )
 
     def _platform(self) -> cfg.settings.Platform:
         return cfg.settings.Platform(
-            log=self.log, hosts=self.hosts, poll_s=_POLL_S
+            log=self.log, hosts=self.hosts, poll_s=_HOST_LIST_POLL_S
         )
--- a/src/lugcross/demo/calls.py
+++ b/src/lugcross/demo/request_sender.py
@@ -14,9 +14,9 @@
 from lugcross import standin
 
 _TIMEOUT_S = 30.0
-_OUTCOME = "Lugcross-Outcome"
-_DATA = b"data: "
-_END = b"[DONE]"
+_OUTCOME_HEADER = "Lugcross-Outcome"
+_EVENT_PREFIX = b"data: "
+_STREAM_END = b"[DONE]"
 
 
 @final
@@ -25,8 +25,8 @@
     """What came of one request.
 
     :param tokens: tokens of the answer.
-    :param whole: whether the answer is whole and its own.
-    :param first_s: time to the first part, in seconds.
+    :param correct: whether the answer is whole and its own.
+    :param first_part_s: time to the first part, in seconds.
     :param retry_after_s: when the system asks to come back, in seconds.
     """
 
@@ -34,9 +34,9 @@
     outcome: str = ""
     kind: str = ""
     tokens: int = 0
-    whole: bool = False
-    first_s: float = 0.0
-    took_s: float = 0.0
+    correct: bool = False
+    first_part_s: float = 0.0
+    duration_s: float = 0.0
     retry_after_s: float = 0.0
     body: bytes = b""
 
@@ -45,20 +45,20 @@
 class Sender:
     """Sends requests to entry hosts with one workspace's key.
 
-    :param model: model service to ask.
-    :param ledger: plain service to call.
+    :param model_service: model service to ask.
+    :param plain_service: plain service to call.
     """
 
     def __init__(
         self,
         key: str,
         *,
-        model: str = fleet_lib.MODEL,
-        ledger: str = fleet_lib.LEDGER,
+        model_service: str = fleet_lib.MODEL_SERVICE,
+        plain_service: str = fleet_lib.PLAIN_SERVICE,
     ) -> None:
         self._key = key
-        self._model = model
-        self._ledger = ledger
+        self._model_service = model_service
+        self._plain_service = plain_service
         self._pool = urllib3.PoolManager(retries=False, maxsize=64)
 
     def complete(
@@ -66,51 +66,51 @@
     ) -> Result:
         """Ask the model and check that the answer is whole."""
         fields = {
-            "model": self._model,
+            "model": self._model_service,
             "prompt": prompt,
             "max_tokens": tokens,
             "stream": stream,
         }
-        began = time.monotonic()
+        started_at = time.monotonic()
         resp = self._send(
             "POST", f"{url}/v1/completions", json.dumps(fields).encode(), {}
         )
         if resp.status != http.HTTPStatus.OK:
-            return self._refused(resp, began)
+            return self._error_result(resp, started_at)
         data = b""
-        first_s = 0.0
+        first_part_s = 0.0
         try:
             for piece in resp.stream():
-                first_s = first_s or time.monotonic() - began
+                first_part_s = first_part_s or time.monotonic() - started_at
                 data += piece
         except urllib3.exceptions.HTTPError:
             return Result(status=resp.status, kind="cut", body=data)
-        text = stream_text(data) if stream else _whole_text(data)
-        want = expected(prompt, tokens)
+        text = parse_stream(data) if stream else _parse_completion(data)
+        want = expected_completion(prompt, tokens)
         return Result(
             status=resp.status,
             tokens=len((text or "").split()),
-            whole=text == want,
-            first_s=first_s,
-            took_s=time.monotonic() - began,
+            correct=text == want,
+            first_part_s=first_part_s,
+            duration_s=time.monotonic() - started_at,
             body=data,
         )
 
     def charge(self, url: str, body: bytes, *, key: str) -> Result:
         """Call the plain service, under an idempotency key."""
-        began = time.monotonic()
+        started_at = time.monotonic()
         resp = self._send(
             "POST",
-            f"{url}/services/{self._ledger}/charges",
+            f"{url}/services/{self._plain_service}/charges",
             body,
             {"Idempotency-Key": key},
         )
         if resp.status != http.HTTPStatus.OK:
-            return self._refused(resp, began)
+            return self._error_result(resp, started_at)
         return Result(
             status=resp.status,
-            whole=True,
-            took_s=time.monotonic() - began,
+            correct=True,
+            duration_s=time.monotonic() - started_at,
             body=resp.read(),
         )
 
@@ -130,34 +130,40 @@
             timeout=_TIMEOUT_S,
         )
 
-    def _refused(self, resp: urllib3.BaseHTTPResponse, began: float) -> Result:
+    def _error_result(
+        self, resp: urllib3.BaseHTTPResponse, started_at: float
+    ) -> Result:
         body = resp.read()
         error: dict[str, Any] = json.loads(body).get("error", {})
         return Result(
             status=resp.status,
-            outcome=resp.headers.get(_OUTCOME, ""),
+            outcome=resp.headers.get(_OUTCOME_HEADER, ""),
             kind=error.get("kind", ""),
-            took_s=time.monotonic() - began,
+            duration_s=time.monotonic() - started_at,
             retry_after_s=float(resp.headers.get("Retry-After", "0")),
             body=body,
         )
 
 
-def expected(prompt: str, tokens: int) -> str:
+def expected_completion(prompt: str, tokens: int) -> str:
     """Return the whole answer that a stand-in engine gives."""
     mark = standin.answer_prefix(json.dumps(prompt))
     return "".join(standin.answer_token(mark, num) for num in range(tokens))
 
 
-def stream_text(data: bytes) -> str | None:
+def parse_stream(data: bytes) -> str | None:
     """Return the text of a stream; none if it is not whole."""
-    events = [part.removeprefix(_DATA) for part in data.split(b"\n\n") if part]
-    if not events or events[-1] != _END:
+    events = [
+        part.removeprefix(_EVENT_PREFIX)
+        for part in data.split(b"\n\n")
+        if part
+    ]
+    if not events or events[-1] != _STREAM_END:
         return None
     texts = [json.loads(event)["choices"][0]["text"] for event in events[:-1]]
     return "".join(texts)
 
 
-def _whole_text(data: bytes) -> str:
+def _parse_completion(data: bytes) -> str:
     text: str = json.loads(data)["choices"][0]["text"]
     return text
--- a/src/lugcross/demo/traffic.py
+++ b/src/lugcross/demo/traffic.py
@@ -11,53 +11,53 @@
 import rich.live
 import rich.table
 
-from lugcross.demo import calls
 from lugcross.demo import fleet as fleet_lib
+from lugcross.demo import request_sender
 
 _WINDOW_S = 5.0
-_REFRESH_A_S = 2.0
-_TOKENS = 24
+_REFRESHES_PER_S = 2.0
+_MAX_TOKENS = 24
 
 
 @final
-class Meter:
+class GroupStats:
     """What one group got lately."""
 
     def __init__(self) -> None:
-        self._done: collections.deque[tuple[float, calls.Result]] = (
-            collections.deque()
-        )
+        self._results: collections.deque[
+            tuple[float, request_sender.Result]
+        ] = collections.deque()
         self._lock = threading.Lock()
-        self.whole = 0
-        self.refused = 0
-        self.broken = 0
+        self.succeeded = 0
+        self.rejected = 0
+        self.failed = 0
 
-    def add(self, result: calls.Result) -> None:
+    def add(self, result: request_sender.Result) -> None:
         """Note the result of one request."""
         with self._lock:
-            self._done.append((time.monotonic(), result))
-            if result.whole:
-                self.whole += 1
+            self._results.append((time.monotonic(), result))
+            if result.correct:
+                self.succeeded += 1
             elif result.outcome:
-                self.refused += 1
+                self.rejected += 1
             else:
-                self.broken += 1
+                self.failed += 1
 
-    def tokens_a_s(self) -> float:
+    def tokens_per_s(self) -> float:
         """Return the tokens a second in the last window."""
         return sum(r.tokens for r in self._recent()) / _WINDOW_S
 
-    def first_ms(self) -> float:
+    def median_first_part_ms(self) -> float:
         """Return the median time to the first part, in ms."""
-        times = sorted(r.first_s for r in self._recent() if r.whole)
+        times = sorted(r.first_part_s for r in self._recent() if r.correct)
         return times[len(times) // 2] * 1000 if times else 0.0
 
-    def _recent(self) -> list[calls.Result]:
+    def _recent(self) -> list[request_sender.Result]:
         with self._lock:
             oldest = time.monotonic() - _WINDOW_S
-            while self._done and self._done[0][0] < oldest:
-                self._done.popleft()
-            return [result for _, result in self._done]
+            while self._results and self._results[0][0] < oldest:
+                self._results.popleft()
+            return [result for _, result in self._results]
 
 
 @final
@@ -67,13 +67,13 @@
     def __init__(self, fleet: fleet_lib.Fleet) -> None:
         self._fleet = fleet
         self._stopping = threading.Event()
-        self.meters = {rival.name: Meter() for rival in fleet.rivals}
+        self.stats = {group.name: GroupStats() for group in fleet.groups}
         self._threads = [
             threading.Thread(
-                target=self._call_on, args=(rival, num), daemon=True
+                target=self._send_requests, args=(group, num), daemon=True
             )
-            for rival in fleet.rivals
-            for num in range(rival.callers)
+            for group in fleet.groups
+            for num in range(group.callers)
         ]
 
     def start(self) -> None:
@@ -101,42 +101,42 @@
             "broken",
         ):
             table.add_column(name, justify="right")
-        due = sum(rival.share for rival in self._fleet.rivals)
-        rates = {name: m.tokens_a_s() for name, m in self.meters.items()}
+        due = sum(group.share for group in self._fleet.groups)
+        rates = {name: m.tokens_per_s() for name, m in self.stats.items()}
         got = sum(rates.values()) or 1.0
-        for rival in self._fleet.rivals:
-            meter = self.meters[rival.name]
+        for group in self._fleet.groups:
+            group_stats = self.stats[group.name]
             table.add_row(
-                rival.name,
-                f"{rival.share / due:.0%}",
-                f"{rates[rival.name] / got:.0%}",
-                f"{rates[rival.name]:.0f}",
-                f"{meter.first_ms():.0f}",
-                str(meter.whole),
-                str(meter.refused),
-                str(meter.broken),
+                group.name,
+                f"{group.share / due:.0%}",
+                f"{rates[group.name] / got:.0%}",
+                f"{rates[group.name]:.0f}",
+                f"{group_stats.median_first_part_ms():.0f}",
+                str(group_stats.succeeded),
+                str(group_stats.rejected),
+                str(group_stats.failed),
             )
         return table
 
     def show(self, seconds: float | None) -> None:
         """Show the table until interrupted or for ``seconds``."""
-        until = time.monotonic() + seconds if seconds else None
+        deadline = time.monotonic() + seconds if seconds else None
         with rich.live.Live(self.table()) as live:
-            while until is None or time.monotonic() < until:
-                time.sleep(1 / _REFRESH_A_S)
+            while deadline is None or time.monotonic() < deadline:
+                time.sleep(1 / _REFRESHES_PER_S)
                 live.update(self.table())
 
-    def _call_on(self, rival: fleet_lib.Rival, num: int) -> None:
-        sender = calls.Sender(rival.key)
+    def _send_requests(self, group: fleet_lib.DemoGroup, num: int) -> None:
+        sender = request_sender.Sender(group.key)
         rng = random.Random(num)
         for count in itertools.count():
             if self._stopping.is_set():
                 return
             result = sender.complete(
                 rng.choice(self._fleet.urls),
-                f"{rival.name} {num} {count}",
-                tokens=_TOKENS,
+                f"{group.name} {num} {count}",
+                tokens=_MAX_TOKENS,
                 stream=True,
             )
-            self.meters[rival.name].add(result)
+            self.stats[group.name].add(result)
             self._stopping.wait(result.retry_after_s)
--- a/testing/test_processes.py
+++ b/testing/test_processes.py
@@ -40,7 +40,7 @@
         sender.complete(url, f"prompt {url}", tokens=8, stream=stream)
         for url in fleet.urls()
     ]
-    assert all(result.whole for result in results)
+    assert all(result.correct for result in results)
 
 
 def test_many_streams_share_one_link_without_mixing(
@@ -53,7 +53,7 @@
             ),
             range(48),
         )
-    assert [result.whole for result in results] == [True] * 48
+    assert [result.correct for result in results] == [True] * 48
 
 
 def test_repeat_under_one_key_at_another_entry_runs_once(
@@ -90,7 +90,7 @@
         entry.wait_line("stopping")
         ready = fleet.http.request("GET", f"{url}/readyz")
         assert ready.status == 503
-        assert fut.result().whole
+        assert fut.result().correct
     assert entry.wait() == 0
     fleet.entries[name] = entry.start("http", "rpc")
     fleet.wait_linked()
@@ -114,8 +114,8 @@
         agent = fleet.agents["model-d0-0"]
         agent.signal(signal.SIGTERM)
         after = sender.complete(url, "after", tokens=2, stream=False)
-        assert all(fut.result().whole for fut in futs)
-    assert after.whole
+        assert all(fut.result().correct for fut in futs)
+    assert after.correct
     assert agent.wait() == 0
     agent.start("links")
     fleet.wait_linked()
--- a/testing/test_promises.py
+++ b/testing/test_promises.py
@@ -14,7 +14,7 @@
 
 from lugcross import cfg
 from lugcross import demo
-from lugcross.demo import calls
+from lugcross.demo import request_sender
 from lugcross import logservice
 import procs
 
@@ -64,7 +64,7 @@
     """A stream of which a test reads a part before something happens."""
 
     def __init__(self, fleet: procs.Fleet, url: str, tokens: int) -> None:
-        self._want = calls.expected("a prompt", tokens)
+        self._want = request_sender.expected_completion("a prompt", tokens)
         body = {
             "model": procs.MODEL,
             "prompt": "a prompt",
@@ -90,12 +90,12 @@
         """Read to the end; tell whether it is whole and its own."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             self._data += self.resp.read()
-        return calls.stream_text(self._data) == self._want
+        return request_sender.parse_stream(self._data) == self._want
 
     @property
     def looks_whole(self) -> bool:
         """Whether a caller would take it for whole."""
-        return calls.stream_text(self._data) is not None
+        return request_sender.parse_stream(self._data) is not None
 
 
 def runner_of(fleet: procs.Fleet) -> str:
@@ -153,7 +153,7 @@
     for name in ENGINES:
         fleet.faults(name)
     # Both replicas closed early; a third attempt made it whole.
-    assert result.whole
+    assert result.correct
 
 
 def test_caller_that_hangs_up_frees_its_slot(
@@ -183,7 +183,9 @@
             },
         )
         texts.append(resp.json()["choices"][0]["text"])
-    assert texts == [calls.expected(p, 3) for p in ("one", "two")]
+    assert texts == [
+        request_sender.expected_completion(p, 3) for p in ("one", "two")
+    ]
 
 
 # "Not run" is true.
@@ -261,14 +263,14 @@
             fut.result()
     fleet.faults("ledger")
     fleet.entries["entry-d0-0"].start("http", "rpc")
-    assert result.whole
+    assert result.correct
     assert fleet.ran()["orphan"] == 1
 
 
 def test_key_after_its_agent_was_restarted_does_not_run_again(
     fleet: procs.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    assert sender.charge(url, b"{}", key="restart").whole
+    assert sender.charge(url, b"{}", key="restart").correct
     for name in ("plain-d0", "plain-d1"):
         fleet.agents[name].kill()
         fleet.agents[name].start("links")
@@ -282,7 +284,7 @@
     fleet: procs.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.faults("log", lose_answers=1)
-    assert sender.charge(url, b"{}", key="lost answer").whole
+    assert sender.charge(url, b"{}", key="lost answer").correct
     fleet.faults("log")
     assert fleet.ran()["lost answer"] == 1
 
@@ -296,7 +298,7 @@
     assert (result.kind, result.outcome) == ("once-unavailable", "not-run")
     assert result.retry_after_s > 0
     assert "no log" not in fleet.ran()
-    assert sender.charge(url, b"{}", key="no log").whole
+    assert sender.charge(url, b"{}", key="no log").correct
 
 
 def test_key_while_the_log_is_away_runs_once_from_memory_if_so_set(
@@ -308,10 +310,10 @@
             sender.charge(one, b"{}", key="memory") for one in fleet.urls()
         ]
         fleet.faults("log")
-    assert [result.whole for result in results] == [True, True]
+    assert [result.correct for result in results] == [True, True]
     assert fleet.ran()["memory"] == 1
     # The claim was appended when the log came back.
-    assert sender.charge(url, b"{}", key="memory").whole
+    assert sender.charge(url, b"{}", key="memory").correct
     assert fleet.ran()["memory"] == 1
 
 
@@ -333,14 +335,14 @@
 def test_domain_that_is_cut_off_gives_its_keys_to_nobody_else(
     fleet: procs.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    assert sender.charge(url, b"{}", key="cut off").whole
+    assert sender.charge(url, b"{}", key="cut off").correct
     relays = [fleet.relays[name] for name in ("plain-d0", "plain-d1")]
     for relay in relays:
         relay.cut()
         result = sender.charge(url, b"{}", key="cut off")
         relay.mend()
         fleet.wait_linked()
-        assert result.whole or result.outcome == "unknown"
+        assert result.correct or result.outcome == "unknown"
     assert fleet.ran()["cut off"] == 1
 
 
@@ -357,7 +359,7 @@
             for num in range(10)
         ]
         after = fleet.model_ran_at(ENGINES[0])
-    assert all(result.whole for result in results)
+    assert all(result.correct for result in results)
     assert after == before
 
 
@@ -375,7 +377,7 @@
     procs.wait_until(
         lambda: not _leaving(fleet, "model-d0-0"), what="back by the list"
     )
-    assert result.whole
+    assert result.correct
     assert after == before
 
 
@@ -412,7 +414,7 @@
     fleet: procs.Fleet, sender: demo.Sender
 ) -> None:
     stop = threading.Event()
-    results: list[calls.Result] = []
+    results: list[request_sender.Result] = []
     keys: list[str] = []
 
     def call_on(num: int) -> None:
@@ -423,7 +425,7 @@
             key = f"roll {num} {count}"
             result = _on_ready(fleet, own, num, key)
             results.append(result)
-            if result.whole and num % 2:
+            if result.correct and num % 2:
                 keys.append(key)
 
     with concurrent.futures.ThreadPoolExecutor(6) as pool:
@@ -440,7 +442,7 @@
     broken = [
         result
         for result in results
-        if not result.whole and result.outcome != "not-run"
+        if not result.correct and result.outcome != "not-run"
     ]
     assert broken == []
     ran = fleet.ran()
@@ -449,7 +451,7 @@
 
 def _on_ready(
     fleet: procs.Fleet, sender: demo.Sender, num: int, key: str
-) -> calls.Result:
+) -> request_sender.Result:
     """Send as behind the platform's balancer: only to ready hosts."""
     while True:
         for url in fleet.urls():
