--- a/src/lugcross/demo/__init__.py
+++ b/src/lugcross/demo/__init__.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A small fleet in one process, to see and to try by hand."""
+"""A demo: a small fleet in one process, with sample traffic."""
 
 from lugcross.demo.fleet import DemoGroup
 from lugcross.demo.fleet import Fleet
--- a/src/lugcross/demo/fleet.py
+++ b/src/lugcross/demo/fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A whole small fleet embedded in one process."""
+"""A small fleet that runs in one process."""
 
 import dataclasses
 import hashlib
@@ -23,8 +23,8 @@
 _ENTRIES_PER_DOMAIN = 2
 _ENGINES_PER_DOMAIN = 2
 _ENGINE_MAX_BATCH = 4
-# Slow enough for one interpreter to carry the whole fleet: the queues
-# at the engines must be the bottleneck, as in a real one.
+# Slow enough that the engines are the bottleneck, as in a real fleet, and
+# not the one Python process that runs all of it.
 _ENGINE_STEP_S = 0.03
 _ENTRY_THREADS = 32
 _HOST_LIST_POLL_S = 5.0
@@ -36,9 +36,11 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class DemoGroup:
-    """One workspace group of the demo, with one workspace.
+    """A workspace group of the demo, with one workspace.
 
-    :param callers: requests that it keeps in progress.
+    :param share: share of the group, relative to the other groups.
+    :param callers: number of concurrent requests of the group.
+    :param key: API key of the workspace.
     """
 
     name: str
@@ -48,12 +50,12 @@
 
     @property
     def workspace(self) -> str:
-        """Name of its workspace."""
+        """Name of the group's workspace."""
         return f"{self.name}-desk"
 
 
 def demo_groups() -> tuple[DemoGroup, ...]:
-    """Return the three groups that compete for the fleet."""
+    """Return the three groups, with new API keys."""
     return (
         DemoGroup("north", 3.0, 40, cfg.new_key()),
         DemoGroup("south", 2.0, 32, cfg.new_key()),
@@ -63,7 +65,10 @@
 
 @final
 class Fleet:
-    """Platform, engines, agents and entry hosts of three domains."""
+    """Platform services, engines, agents and entry hosts of three domains.
+
+    :ivar token: an operator's token.
+    """
 
     def __init__(self) -> None:
         self.token = cfg.new_key()
@@ -79,9 +84,9 @@
         self.entries: list[entry_lib.Entry] = []
 
     def start(self) -> None:
-        """Start everything and publish the configuration.
+        """Start all parts, publish the configuration and wait until ready.
 
-        :raises errors.LugcrossError: when it does not come up.
+        :raises errors.LugcrossError: if the fleet is not ready in time.
         """
         self._settings.log = self._serve(self.log).url
         self._settings.hosts = self._serve(standin.HostsStandin()).url
@@ -92,7 +97,7 @@
         self._wait_ready()
 
     def stop(self) -> None:
-        """Stop everything, callers' side first."""
+        """Stop all parts; in each domain, entry hosts before agents."""
         for app in reversed(self._apps):
             app.drain()
             app.stop()
@@ -108,11 +113,11 @@
 
     @property
     def rpc_target(self) -> str:
-        """Address of an entry host's RPC."""
+        """Address of one entry host's RPC server, as ``host:port``."""
         return f"{HOST}:{self.entries[0].rpc.port}"
 
     def client(self) -> rpc.OperatorClient:
-        """Return an operator's client; close it after use."""
+        """Return an operator's RPC client, which the caller must close."""
         return rpc.OperatorClient(self.rpc_target, self.token)
 
     def _serve(self, app: standin.faults.WsgiApp) -> standin.StandinServer:
@@ -199,14 +204,18 @@
                 return
             time.sleep(_READY_POLL_S)
         raise errors.LugcrossError(
-            f"the demo's fleet did not come up in {_READY_TIMEOUT_S} s",
-            remedy="look at the log lines above",
+            f"demo fleet was not ready within {_READY_TIMEOUT_S} s",
+            remedy="check the log lines above",
         )
 
 
 @final
 class _SettingsFactory:
-    """What the settings of all processes of the demo have in common."""
+    """Creates the settings of the demo's agents and entry hosts.
+
+    :ivar log: URL of the log service; set before any settings are created.
+    :ivar hosts: URL of the host list; set before any settings are created.
+    """
 
     def __init__(self, token: str) -> None:
         self.log = ""
--- a/src/lugcross/demo/request_sender.py
+++ b/src/lugcross/demo/request_sender.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sends requests as callers of the demo do, and checks the answers."""
+"""Sends requests to entry hosts and checks the responses."""
 
 import dataclasses
 import http
@@ -22,12 +22,19 @@
 @final
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Result:
-    """What came of one request.
-
-    :param tokens: tokens of the answer.
-    :param correct: whether the answer is whole and its own.
-    :param first_part_s: time to the first part, in seconds.
-    :param retry_after_s: when the system asks to come back, in seconds.
+    """Result of one request.
+
+    :param status: HTTP status.
+    :param outcome: for an error, whether the request ran; empty if the
+        response does not say.
+    :param kind: for an error, its kind.
+    :param tokens: number of tokens in the response.
+    :param correct: whether the response is complete and, for a model, has
+        the expected text.
+    :param first_part_s: time to the first part of the body.
+    :param duration_s: time to the end of the response.
+    :param retry_after_s: time after which the caller may retry, from the
+        Retry-After header; 0 if absent.
     """
 
     status: int
@@ -43,10 +50,11 @@
 
 @final
 class Sender:
-    """Sends requests to entry hosts with one workspace's key.
+    """Sends requests to entry hosts with the API key of a workspace.
 
-    :param model_service: model service to ask.
-    :param plain_service: plain service to call.
+    :param key: the API key.
+    :param model_service: name of the service for :meth:`complete`.
+    :param plain_service: name of the service for :meth:`charge`.
     """
 
     def __init__(
@@ -64,7 +72,11 @@
     def complete(
         self, url: str, prompt: str, *, tokens: int, stream: bool
     ) -> Result:
-        """Ask the model and check that the answer is whole."""
+        """Request a completion and check that its text is as expected.
+
+        :param url: base URL of an entry host.
+        :param tokens: number of tokens to request.
+        """
         fields = {
             "model": self._model_service,
             "prompt": prompt,
@@ -80,24 +92,26 @@
         data = b""
         first_part_s = 0.0
         try:
-            for piece in resp.stream():
+            for part in resp.stream():
                 first_part_s = first_part_s or time.monotonic() - started_at
-                data += piece
+                data += part
         except urllib3.exceptions.HTTPError:
             return Result(status=resp.status, kind="cut", body=data)
         text = parse_stream(data) if stream else _parse_completion(data)
-        want = expected_completion(prompt, tokens)
         return Result(
             status=resp.status,
             tokens=len((text or "").split()),
-            correct=text == want,
+            correct=text == expected_completion(prompt, tokens),
             first_part_s=first_part_s,
             duration_s=time.monotonic() - started_at,
             body=data,
         )
 
     def charge(self, url: str, body: bytes, *, key: str) -> Result:
-        """Call the plain service, under an idempotency key."""
+        """Call the plain service with an idempotency key.
+
+        :param url: base URL of an entry host.
+        """
         started_at = time.monotonic()
         resp = self._send(
             "POST",
@@ -146,13 +160,13 @@
 
 
 def expected_completion(prompt: str, tokens: int) -> str:
-    """Return the whole answer that a stand-in engine gives."""
-    mark = standin.answer_prefix(json.dumps(prompt))
-    return "".join(standin.answer_token(mark, num) for num in range(tokens))
+    """Return the text that a stand-in engine generates for ``prompt``."""
+    prefix = standin.answer_prefix(json.dumps(prompt))
+    return "".join(standin.answer_token(prefix, num) for num in range(tokens))
 
 
 def parse_stream(data: bytes) -> str | None:
-    """Return the text of a stream; none if it is not whole."""
+    """Return the text of an event stream; none if it is incomplete."""
     events = [
         part.removeprefix(_EVENT_PREFIX)
         for part in data.split(b"\n\n")
--- a/src/lugcross/demo/self_check.py
+++ b/src/lugcross/demo/self_check.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A fixed run of requests whose answers are known beforehand."""
+"""Checks the demo fleet with requests whose responses are known."""
 
 from collections.abc import Callable
 import time
@@ -19,7 +19,10 @@
 
 @final
 class SelfCheck:
-    """Sends each kind of request once and tells what came of it."""
+    """Runs a fixed sequence of checks and prints the result of each.
+
+    A check returns whether it passed, and a description of the result.
+    """
 
     def __init__(self, fleet: fleet_lib.Fleet) -> None:
         self._fleet = fleet
@@ -27,15 +30,18 @@
         self._failure_count = 0
 
     def run(self) -> bool:
-        """Run all of it; tell whether everything was as expected."""
+        """Run all checks and return whether all passed."""
         checks: tuple[tuple[str, Callable[[], tuple[bool, str]]], ...] = (
             ("streamed completion", self._check_streamed),
-            ("whole completion", self._check_completion),
-            ("plain, not repeatable", self._check_charge),
-            ("the same again, other entry host", self._check_repeated_charge),
-            ("its key with another body", self._check_reused_key),
-            ("a key that nobody has", self._check_unknown_api_key),
-            ("share changed while running", self._check_share_change),
+            ("unstreamed completion", self._check_completion),
+            ("non-repeatable request", self._check_charge),
+            (
+                "same idempotency key on another entry host",
+                self._check_repeated_charge,
+            ),
+            ("same idempotency key with another body", self._check_reused_key),
+            ("unknown API key", self._check_unknown_api_key),
+            ("change of a share", self._check_share_change),
             ("completion after the change", self._check_completion),
         )
         for name, check in checks:
@@ -59,7 +65,7 @@
         )
         return result.correct, (
             f"{result.tokens} tokens, first part after "
-            f"{result.first_part_s * 1000:.0f} ms, all after "
+            f"{result.first_part_s * 1000:.0f} ms, complete after "
             f"{result.duration_s * 1000:.0f} ms"
         )
 
@@ -73,7 +79,7 @@
         result = self._sender.charge(url, b'{"rent": 7}', key="notice-1")
         ran = self._fleet.service.run_counts["notice-1"]
         return result.correct and ran == 1, (
-            f"{result.body.decode()}, the service ran it {ran} time"
+            f"{result.body.decode()}, run count {ran}"
         )
 
     def _check_reused_key(self) -> tuple[bool, str]:
@@ -105,7 +111,7 @@
         applied_everywhere = self._wait_until_applied(reply.offset)
         duration_ms = (time.monotonic() - started_at) * 1000
         return accepted and applied_everywhere, (
-            f"offset {reply.offset} in force in "
+            f"offset {reply.offset} applied by "
             f"{len(self._stores())} processes after {duration_ms:.0f} ms"
         )
 
--- a/src/lugcross/demo/traffic.py
+++ b/src/lugcross/demo/traffic.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Sample traffic of rival groups, and a live table of who gets what."""
+"""Sample traffic of all groups, with a live table of their throughput."""
 
 import collections
 import itertools
@@ -21,7 +21,7 @@
 
 @final
 class GroupStats:
-    """What one group got lately."""
+    """Counts and recent results of one group's requests."""
 
     def __init__(self) -> None:
         self._results: collections.deque[
@@ -33,7 +33,7 @@
         self.failed = 0
 
     def add(self, result: request_sender.Result) -> None:
-        """Note the result of one request."""
+        """Add the result of one request."""
         with self._lock:
             self._results.append((time.monotonic(), result))
             if result.correct:
@@ -44,11 +44,11 @@
                 self.failed += 1
 
     def tokens_per_s(self) -> float:
-        """Return the tokens a second in the last window."""
+        """Return the tokens per second over the last window."""
         return sum(r.tokens for r in self._recent()) / _WINDOW_S
 
     def median_first_part_ms(self) -> float:
-        """Return the median time to the first part, in ms."""
+        """Return the recent median time to the first part, in ms."""
         times = sorted(r.first_part_s for r in self._recent() if r.correct)
         return times[len(times) // 2] * 1000 if times else 0.0
 
@@ -62,7 +62,7 @@
 
 @final
 class Traffic:
-    """Keeps each group's requests in progress, in threads."""
+    """Sends requests of all groups, each from as many threads as callers."""
 
     def __init__(self, fleet: fleet_lib.Fleet) -> None:
         self._fleet = fleet
@@ -77,39 +77,39 @@
         ]
 
     def start(self) -> None:
-        """Begin to send."""
+        """Start sending requests."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Send nothing more and wait for what is in progress."""
+        """Stop sending and wait for requests in progress."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
 
     def table(self) -> rich.table.Table:
-        """Return who gets what now."""
-        table = rich.table.Table(title="who gets what")
+        """Return a table of the groups' recent shares and total counts."""
+        table = rich.table.Table(title="throughput by group")
         for name in (
             "group",
-            "share due",
+            "share set",
             "share got",
             "tokens/s",
             "first part ms",
-            "whole",
-            "refused",
-            "broken",
+            "ok",
+            "rejected",
+            "failed",
         ):
             table.add_column(name, justify="right")
-        due = sum(group.share for group in self._fleet.groups)
-        rates = {name: m.tokens_per_s() for name, m in self.stats.items()}
-        got = sum(rates.values()) or 1.0
+        total_share = sum(group.share for group in self._fleet.groups)
+        rates = {name: s.tokens_per_s() for name, s in self.stats.items()}
+        total_rate = sum(rates.values()) or 1.0
         for group in self._fleet.groups:
             group_stats = self.stats[group.name]
             table.add_row(
                 group.name,
-                f"{group.share / due:.0%}",
-                f"{rates[group.name] / got:.0%}",
+                f"{group.share / total_share:.0%}",
+                f"{rates[group.name] / total_rate:.0%}",
                 f"{rates[group.name]:.0f}",
                 f"{group_stats.median_first_part_ms():.0f}",
                 str(group_stats.succeeded),
@@ -119,7 +119,7 @@
         return table
 
     def show(self, seconds: float | None) -> None:
-        """Show the table until interrupted or for ``seconds``."""
+        """Show the live table for ``seconds``, or until interrupted."""
         deadline = time.monotonic() + seconds if seconds else None
         with rich.live.Live(self.table()) as live:
             while deadline is None or time.monotonic() < deadline:
