--- a/src/lugcross/wire/link.py
+++ b/src/lugcross/wire/link.py
@@ -138,5 +138,5 @@
 def _link_down_error() -> errors.LinkDownError:
     return errors.LinkDownError(
         "the link is down; the message was not sent",
-        remedy="use another backend server",
+        remedy="send to another backend server",
     )
