--- a/bench/at_most_once.py
+++ b/bench/at_most_once.py
@@ -44,7 +44,7 @@
         backend = ids.BackendName(name)
         incarnation = ids.Incarnation(name)
         self._claimer = claimer_lib.Claimer(
-            logservice.HttpLog(url, timeout_s=5),
+            logservice.HttpLogClient(url, timeout_s=5),
             claims.ClaimIndex(backend, incarnation),
             self._decide,
             backend=backend,
@@ -108,7 +108,7 @@
     server = standin.StandinServer(log, host=_HOST, port=0)
     server.start()
     server.fault_injector.faults = standin.Faults(delay_s=_LOG_DELAY_S)
-    client = logservice.HttpLog(server.url, timeout_s=5)
+    client = logservice.HttpLogClient(server.url, timeout_s=5)
     decision_ms: list[float] = []
     refused = 0
 
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -26,7 +26,7 @@
 import click
 import urllib3
 
-from lugcross.demo import calls
+from lugcross.demo import request_sender
 import process_fleet
 
 _TOKENS = 4
@@ -141,8 +141,8 @@
         resp = self._send(http, rng, record, "/v1/completions", body, {})
         if resp is None or resp.status != 200:
             return
-        want = calls.expected(record.id, _TOKENS)
-        got = calls.stream_text(resp.data)
+        want = request_sender.expected_completion(record.id, _TOKENS)
+        got = request_sender.parse_stream(resp.data)
         record.complete = got == want
         if got is None:
             record.outcome = "cut"
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -21,26 +21,28 @@
 from lugcross import placement
 
 _WINDOWS = 96
-_Planner = Callable[[list[placement.Loads], placement.Slots], placement.Slots]
+_Planner = Callable[
+    [list[placement.ExpertLoads], placement.Slots], placement.Slots
+]
 
 
 def drift_windows(
     layers: int, experts: int, seed: int
-) -> dict[str, list[placement.Loads]]:
+) -> dict[str, list[placement.ExpertLoads]]:
     """Return the load windows for each kind of drift."""
     rng = np.random.default_rng(seed)
     base = rng.gamma(0.8, 1.0, (layers, experts)) + 0.05
     other = rng.gamma(0.8, 1.0, (layers, experts)) + 0.05
     phase = rng.uniform(0, 2 * math.pi, (layers, experts))
 
-    def noisy(loads: placement.Loads) -> placement.Loads:
+    def noisy(loads: placement.ExpertLoads) -> placement.ExpertLoads:
         tokens = loads / loads.sum(axis=1, keepdims=True) * 50_000
-        counts: placement.Loads = rng.poisson(
+        counts: placement.ExpertLoads = rng.poisson(
             tokens * rng.lognormal(0, 0.1, loads.shape)
         ).astype(np.float64)
         return counts
 
-    def daily(num: int) -> placement.Loads:
+    def daily(num: int) -> placement.ExpertLoads:
         angle = 2 * math.pi * num / _WINDOWS
         return base * (1 + 0.8 * np.sin(phase + angle))
 
@@ -58,7 +60,7 @@
 
 
 def _keep_map(
-    seen: list[placement.Loads], slots: placement.Slots
+    seen: list[placement.ExpertLoads], slots: placement.Slots
 ) -> placement.Slots:
     del seen
     return slots
@@ -90,7 +92,7 @@
         return np.array(rows, dtype=np.int32).reshape(-1)
 
     def step(
-        seen: list[placement.Loads], slots: placement.Slots
+        seen: list[placement.ExpertLoads], slots: placement.Slots
     ) -> placement.Slots:
         del slots
         return np.stack([layer(row) for row in seen[-1]])
@@ -102,7 +104,7 @@
     """Return a planner that copies hot experts to the least loaded rank."""
 
     def step(
-        seen: list[placement.Loads], slots: placement.Slots
+        seen: list[placement.ExpertLoads], slots: placement.Slots
     ) -> placement.Slots:
         after = slots.copy()
         rank_loads = placement.rank_loads(seen[-1], slots, cfg)
@@ -123,7 +125,7 @@
     forecaster = placement.Forecaster()
 
     def step(
-        seen: list[placement.Loads], slots: placement.Slots
+        seen: list[placement.ExpertLoads], slots: placement.Slots
     ) -> placement.Slots:
         forecast = forecaster.update(seen[-1])
         return placement.plan(forecast, seen[-1], slots, cfg).slots
@@ -132,13 +134,13 @@
 
 
 def evaluate(
-    windows: list[placement.Loads],
+    windows: list[placement.ExpertLoads],
     planner: _Planner,
     cfg: placement.PlannerCfg,
 ) -> dict[str, Any]:
     """Run a planner over the windows; evaluate each map in the next one."""
     layers, experts = windows[0].shape
-    slots = placement.first_map(layers, experts, cfg)
+    slots = placement.initial_map(layers, experts, cfg)
     skews = []
     moved = switches = 0
     for num in range(len(windows) - 1):
@@ -200,7 +202,7 @@
             transfer_bytes_s=5e9,
         )
         windows = drift_windows(layers, 128, seed)["stationary"]
-        slots = placement.first_map(layers, 128, cfg)
+        slots = placement.initial_map(layers, 128, cfg)
         began = time.process_time()
         plan = placement.plan(windows[0], windows[0], slots, cfg)
         found.append(
@@ -209,7 +211,7 @@
                 "layers": layers,
                 "seconds": time.process_time() - began,
                 "moves": len(plan.moves),
-                "skew": [plan.forecast_before, plan.forecast_after],
+                "skew": [plan.forecast_skew_before, plan.forecast_skew_after],
             }
         )
     return found
--- a/bench/process_fleet.py
+++ b/bench/process_fleet.py
@@ -356,7 +356,7 @@
 
     def new_sender(self) -> demo.Sender:
         """Return a caller that uses the workspace key."""
-        return demo.Sender(self.key, model=MODEL, ledger=LEDGER)
+        return demo.Sender(self.key, model_service=MODEL, plain_service=LEDGER)
 
     def config_objects(self) -> list[cfg.Object]:
         """Return the objects of this fleet's configuration."""
--- a/src/lugcross/demo/fleet.py
+++ b/src/lugcross/demo/fleet.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A whole small fleet embedded in one process."""
+"""A small fleet that runs in one process."""
 
 import dataclasses
 import hashlib
@@ -16,29 +16,31 @@
 from lugcross import standin
 
 HOST = "127.0.0.1"
-MODEL = "small-moe"
-LEDGER = "ledger"
+MODEL_SERVICE = "small-moe"
+PLAIN_SERVICE = "ledger"
 DOMAINS = ("a", "b", "c")
 
-_ENTRIES = 2
-_ENGINES = 2
-_SLOTS = 4
-# Slow enough for one interpreter to carry the whole fleet: the queues
-# at the engines must be the bottleneck, as in a real one.
-_STEP_S = 0.03
-_THREADS = 32
-_POLL_S = 5.0
-_READY_S = 15.0
-_WAIT_S = 0.05
+_ENTRIES_PER_DOMAIN = 2
+_ENGINES_PER_DOMAIN = 2
+_ENGINE_MAX_BATCH = 4
+# Slow enough that the engines are the bottleneck, as in a real fleet, and
+# not the one Python process that runs all of it.
+_ENGINE_STEP_S = 0.03
+_ENTRY_THREADS = 32
+_HOST_LIST_POLL_S = 5.0
+_READY_TIMEOUT_S = 15.0
+_READY_POLL_S = 0.05
 _ANY_PORT = cfg.settings.Address(host=HOST, port=0)
 
 
 @final
 @dataclasses.dataclass(frozen=True)
-class Rival:
-    """One workspace group of the demo, with one workspace.
+class DemoGroup:
+    """A workspace group of the demo, with one workspace.
 
-    :param callers: requests that it keeps in progress.
+    :param share: share of the group, relative to the other groups.
+    :param callers: number of concurrent requests of the group.
+    :param key: API key of the workspace.
     """
 
     name: str
@@ -48,28 +50,31 @@
 
     @property
     def workspace(self) -> str:
-        """Name of its workspace."""
+        """Name of the group's workspace."""
         return f"{self.name}-desk"
 
 
-def rivals() -> tuple[Rival, ...]:
-    """Return the three groups that compete for the fleet."""
+def demo_groups() -> tuple[DemoGroup, ...]:
+    """Return the three groups, with new API keys."""
     return (
-        Rival("north", 3.0, 40, cfg.new_key()),
-        Rival("south", 2.0, 32, cfg.new_key()),
-        Rival("greedy", 1.0, 48, cfg.new_key()),
+        DemoGroup("north", 3.0, 40, cfg.new_key()),
+        DemoGroup("south", 2.0, 32, cfg.new_key()),
+        DemoGroup("greedy", 1.0, 48, cfg.new_key()),
     )
 
 
 @final
 class Fleet:
-    """Platform, engines, agents and entry hosts of three domains."""
+    """Platform services, engines, agents and entry hosts of three domains.
+
+    :ivar token: an operator's token.
+    """
 
     def __init__(self) -> None:
         self.token = cfg.new_key()
-        self.rivals = rivals()
+        self.groups = demo_groups()
         self._clock = clock_lib.SystemClock()
-        self._settings = _Shared(self.token)
+        self._settings = _SettingsFactory(self.token)
         self._standins: list[standin.StandinServer] = []
         self._engines: list[standin.EngineStandin] = []
         self._apps: list[app_lib.Application] = []
@@ -79,9 +84,9 @@
         self.entries: list[entry_lib.Entry] = []
 
     def start(self) -> None:
-        """Start everything and publish the configuration.
+        """Start all parts, publish the configuration and wait until ready.
 
-        :raises errors.LugcrossError: when it does not come up.
+        :raises errors.LugcrossError: if the fleet is not ready in time.
         """
         self._settings.log = self._serve(self.log).url
         self._settings.hosts = self._serve(standin.HostsStandin()).url
@@ -92,7 +97,7 @@
         self._wait_ready()
 
     def stop(self) -> None:
-        """Stop everything, callers' side first."""
+        """Stop all parts; in each domain, entry hosts before agents."""
         for app in reversed(self._apps):
             app.drain()
             app.stop()
@@ -108,11 +113,11 @@
 
     @property
     def rpc_target(self) -> str:
-        """Address of an entry host's RPC."""
+        """Address of one entry host's RPC server, as ``host:port``."""
         return f"{HOST}:{self.entries[0].rpc.port}"
 
     def client(self) -> rpc.OperatorClient:
-        """Return an operator's client; close it after use."""
+        """Return an operator's RPC client, which the caller must close."""
         return rpc.OperatorClient(self.rpc_target, self.token)
 
     def _serve(self, app: standin.faults.WsgiApp) -> standin.StandinServer:
@@ -122,19 +127,20 @@
         return server
 
     def _start_domain(self, domain: str, ledger: str) -> None:
-        for num in range(_ENGINES):
+        for num in range(_ENGINES_PER_DOMAIN):
             engine = standin.EngineStandin(
-                speed=standin.EngineSpeed(step_s=_STEP_S), max_batch=_SLOTS
+                speed=standin.EngineSpeed(step_s=_ENGINE_STEP_S),
+                max_batch=_ENGINE_MAX_BATCH,
             )
             server = self._serve(engine)
             engine.fault_injector = server.fault_injector
             engine.start()
             self._engines.append(engine)
             self._start_agent(
-                domain, f"model-{domain}{num}", MODEL, server.url
+                domain, f"model-{domain}{num}", MODEL_SERVICE, server.url
             )
-        self._start_agent(domain, f"plain-{domain}", LEDGER, ledger)
-        for num in range(_ENTRIES):
+        self._start_agent(domain, f"plain-{domain}", PLAIN_SERVICE, ledger)
+        for num in range(_ENTRIES_PER_DOMAIN):
             self._start_entry(domain, f"entry-{domain}{num}")
 
     def _start_agent(
@@ -157,51 +163,59 @@
 
     def _publish(self) -> None:
         client = self.client()
-        for obj in self._objects():
+        for obj in self._config_objects():
             client.put(obj, expect=0)
         client.close()
 
-    def _objects(self) -> list[cfg.Object]:
+    def _config_objects(self) -> list[cfg.Object]:
         objects: list[cfg.Object] = [
-            cfg.Service(name=MODEL, type=cfg.ServiceType.MODEL),
+            cfg.Service(name=MODEL_SERVICE, type=cfg.ServiceType.MODEL),
             cfg.Service(
-                name=LEDGER, type=cfg.ServiceType.PLAIN, repeatable=False
+                name=PLAIN_SERVICE,
+                type=cfg.ServiceType.PLAIN,
+                repeatable=False,
             ),
         ]
-        for rival in self.rivals:
+        for group in self.groups:
             objects.append(
-                cfg.WorkspaceGroup(name=rival.name, share=rival.share)
+                cfg.WorkspaceGroup(name=group.name, share=group.share)
             )
             objects.append(
                 cfg.Workspace(
-                    name=rival.workspace,
-                    group=rival.name,
-                    key_hashes=(cfg.hash_key(rival.key),),
+                    name=group.workspace,
+                    group=group.name,
+                    key_hashes=(cfg.hash_key(group.key),),
                 )
             )
-        return objects + [agent.backend(_SLOTS) for agent in self.agents]
+        return objects + [
+            agent.backend(_ENGINE_MAX_BATCH) for agent in self.agents
+        ]
 
     def _wait_ready(self) -> None:
-        until = time.monotonic() + _READY_S
-        while time.monotonic() < until:
-            waiting = [entry.unready() for entry in self.entries]
-            linked = all(
+        deadline = time.monotonic() + _READY_TIMEOUT_S
+        while time.monotonic() < deadline:
+            unready = [entry.unready() for entry in self.entries]
+            all_linked = all(
                 peer.link
                 for entry in self.entries
                 for peer in entry.upstream.peers()
             )
-            if not any(waiting) and linked:
+            if not any(unready) and all_linked:
                 return
-            time.sleep(_WAIT_S)
+            time.sleep(_READY_POLL_S)
         raise errors.LugcrossError(
-            f"the demo's fleet did not come up in {_READY_S} s",
-            remedy="look at the log lines above",
+            f"demo fleet was not ready within {_READY_TIMEOUT_S} s",
+            remedy="check the log lines above",
         )
 
 
 @final
-class _Shared:
-    """What the settings of all processes of the demo have in common."""
+class _SettingsFactory:
+    """Creates the settings of the demo's agents and entry hosts.
+
+    :ivar log: URL of the log service; set before any settings are created.
+    :ivar hosts: URL of the host list; set before any settings are created.
+    """
 
     def __init__(self, token: str) -> None:
         self.log = ""
@@ -233,11 +247,11 @@
             http=_ANY_PORT,
             rpc=_ANY_PORT,
             operators=(self._operator,),
-            threads=_THREADS,
+            threads=_ENTRY_THREADS,
             notice_s=0.1,
         )
 
     def _platform(self) -> cfg.settings.Platform:
         return cfg.settings.Platform(
-            log=self.log, hosts=self.hosts, poll_s=_POLL_S
+            log=self.log, hosts=self.hosts, poll_s=_HOST_LIST_POLL_S
         )
--- a/src/lugcross/wire/open.py
+++ b/src/lugcross/wire/endpoints.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Opening links: the entry host connects, the agent listens."""
+"""Opens links: an entry host connects, and an agent listens."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -20,13 +20,13 @@
 from lugcross.wire import link as link_lib
 from lugcross.wire import messages
 
-_HANDSHAKE_S = 3.0
-_PING_S = 10.0
-_CLOSE_S = 1.0
-_CLOSE_REFUSED = 1008
+_HANDSHAKE_TIMEOUT_S = 3.0
+_KEEPALIVE_S = 10.0
+_CLOSE_TIMEOUT_S = 1.0
+_POLICY_VIOLATION_CODE = 1008
 
-#: Owns one accepted link until it is lost.
-Accept = Callable[[link_lib.Link, messages.Hello], Awaitable[None]]
+#: Called with each link that passed the handshake; returns once it is lost.
+LinkHandler = Callable[[link_lib.Link, messages.Hello], Awaitable[None]]
 
 
 async def connect(
@@ -37,96 +37,106 @@
     node: ids.NodeName,
     domain: ids.DomainName,
 ) -> tuple[link_lib.Link, messages.Welcome]:
-    """Open a link to the agent at ``host`` and ``port``.
+    """Connect to the agent at ``host`` and ``port`` and open a link.
 
-    :raises errors.LinkDownError: when the agent cannot be reached.
-    :raises errors.HandshakeError: when it does not hold the secret.
+    :raises errors.LinkDownError: if the agent cannot be reached.
+    :raises errors.HandshakeError: if the handshake fails.
+    :raises errors.FrameError: if the agent sends a malformed frame.
     """
     try:
-        async with asyncio.timeout(_HANDSHAKE_S):
+        async with asyncio.timeout(_HANDSHAKE_TIMEOUT_S):
             ws = await ws_client.connect(
-                f"ws://{_bracketed(host)}:{port}",
-                max_size=codec.MAX_FRAME,
+                f"ws://{_url_host(host)}:{port}",
+                max_size=codec.MAX_FRAME_BYTES,
                 compression=None,
                 proxy=None,
-                ping_interval=_PING_S,
-                ping_timeout=_PING_S,
-                close_timeout=_CLOSE_S,
+                ping_interval=_KEEPALIVE_S,
+                ping_timeout=_KEEPALIVE_S,
+                close_timeout=_CLOSE_TIMEOUT_S,
             )
             shake = handshake.Handshake(secret)
-            hello = shake.hello(await _receive_one(ws), node, domain)
+            hello = shake.hello(
+                await _receive_handshake_message(ws), node, domain
+            )
             await ws.send(codec.encode([hello]))
-            welcome = shake.check(await _receive_one(ws))
+            welcome = shake.verify_welcome(
+                await _receive_handshake_message(ws)
+            )
     except (OSError, TimeoutError, ws_exceptions.WebSocketException) as exc:
         raise errors.LinkDownError(
-            f"no link to {host}:{port} ({exc or type(exc).__name__})",
-            remedy="check that the agent runs there",
+            f"cannot open a link to {host}:{port} "
+            f"({exc or type(exc).__name__})",
+            remedy="check that the agent is running at this address",
         ) from exc
     return link_lib.Link(ws, num=welcome.link), welcome
 
 
 @final
 class Listener:
-    """Accepts links for one agent.
+    """Accepts links from entry hosts for one agent.
 
-    :param accept: owns each link whose peer holds the secret.
+    :param accept: called with each link that passed the handshake.
     """
 
     def __init__(
         self,
-        accept: Accept,
+        accept: LinkHandler,
         *,
         secret: str,
         backend: ids.BackendName,
         incarnation: ids.Incarnation,
     ) -> None:
-        self._accept = accept
+        self._handle_link = accept
         self._secret = secret
         self._backend = backend
         self._incarnation = incarnation
         self._server: ws_server.Server | None = None
-        self._numbers = itertools.count(1)
+        self._link_numbers = itertools.count(1)
 
     async def start(self, host: str, port: int) -> int:
-        """Listen, and return the port in use."""
+        """Start listening.
+
+        :param port: port to listen on; 0 lets the system choose one.
+        :returns: the port in use.
+        """
         self._server = await ws_server.serve(
             self._handle,
             host,
             port,
-            max_size=codec.MAX_FRAME,
+            max_size=codec.MAX_FRAME_BYTES,
             compression=None,
-            ping_interval=_PING_S,
-            ping_timeout=_PING_S,
-            close_timeout=_CLOSE_S,
+            ping_interval=_KEEPALIVE_S,
+            ping_timeout=_KEEPALIVE_S,
+            close_timeout=_CLOSE_TIMEOUT_S,
         )
         bound: int = next(iter(self._server.sockets)).getsockname()[1]
         return bound
 
     async def stop(self) -> None:
-        """Stop listening and close the links."""
+        """Stop listening and close all links."""
         if self._server is not None:
             self._server.close()
             await self._server.wait_closed()
 
     async def _handle(self, ws: ws_server.ServerConnection) -> None:
-        num = next(self._numbers)
+        num = next(self._link_numbers)
         try:
-            async with asyncio.timeout(_HANDSHAKE_S):
-                hello = await self._shake(ws, num)
+            async with asyncio.timeout(_HANDSHAKE_TIMEOUT_S):
+                hello = await self._run_handshake(ws, num)
         except (TimeoutError, errors.WireError) as exc:
             logging.warning("link refused", extra={"why": str(exc)})
-            await ws.close(_CLOSE_REFUSED, "refused")
+            await ws.close(_POLICY_VIOLATION_CODE, "refused")
             return
         except ws_exceptions.ConnectionClosed:
             return
-        await self._accept(link_lib.Link(ws, num=num), hello)
+        await self._handle_link(link_lib.Link(ws, num=num), hello)
 
-    async def _shake(
+    async def _run_handshake(
         self, ws: ws_server.ServerConnection, num: int
     ) -> messages.Hello:
         shake = handshake.Handshake(self._secret)
         await ws.send(codec.encode([shake.challenge()]))
-        hello = await _receive_one(ws)
+        hello = await _receive_handshake_message(ws)
         welcome = shake.welcome(
             hello, self._backend, self._incarnation, link=num
         )
@@ -135,16 +145,18 @@
         return hello
 
 
-async def _receive_one(ws: ws_connection.Connection) -> messages.Message:
+async def _receive_handshake_message(
+    ws: ws_connection.Connection,
+) -> messages.Message:
     frame = await ws.recv(decode=False)
     batch = codec.decode(frame)
     if len(batch) != 1:
         raise errors.HandshakeError(
-            "the peer sent more than its part of the handshake",
+            f"handshake frame has {len(batch)} messages, expected 1",
             remedy="check the versions on both hosts",
         )
     return batch[0]
 
 
-def _bracketed(host: str) -> str:
+def _url_host(host: str) -> str:
     return f"[{host}]" if ":" in host else host
--- a/src/lugcross/wire/link.py
+++ b/src/lugcross/wire/link.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""A link: one WebSocket that carries many requests at once."""
+"""A link: a WebSocket connection shared by many requests."""
 
 import asyncio
 import collections
@@ -15,48 +15,52 @@
 from lugcross.wire import codec
 from lugcross.wire import messages
 
-#: Takes each message as it arrives, in the loop's thread.
-Receiver = Callable[[messages.Message], None]
+#: Called with each received message in the event loop's thread.
+MessageHandler = Callable[[messages.Message], None]
 
-_CLOSE_BAD_FRAME = 1008
+_POLICY_VIOLATION_CODE = 1008
 
 
 @final
 class Link:
-    """Sends from any thread; messages that wait share one frame.
+    """A link between an entry host and an agent.
 
-    :param ws: an open connection on which the handshake is done.
-    :param num: given by the agent, never twice by one incarnation.
+    Any thread may post messages. Queued messages are sent together in
+    one frame.
+
+    :param ws: an open connection that has completed the handshake.
+    :param num: number that the agent gave the link; one incarnation of an
+        agent never reuses it.
     """
 
     def __init__(self, ws: ws_connection.Connection, *, num: int) -> None:
         self.num = num
         self._ws = ws
         self._loop = asyncio.get_running_loop()
-        self._out: collections.deque[messages.Message] = collections.deque()
+        self._outbox: collections.deque[messages.Message] = collections.deque()
         self._wake = asyncio.Event()
-        self._woken = False
+        self._wake_scheduled = False
         self.closed = False
 
     def post(self, msg: messages.Message) -> None:
-        """Send ``msg`` after those before it; never blocks.
+        """Queue ``msg`` for sending, without blocking.
 
-        :raises errors.LinkDownError: when the link is closed and the
-            message was certainly not sent.
+        :raises errors.LinkDownError: if the link is closed; the message
+            is not sent.
         """
         if self.closed:
-            raise _down()
-        self._out.append(msg)
-        if self._woken:
+            raise _link_down_error()
+        self._outbox.append(msg)
+        if self._wake_scheduled:
             return
-        self._woken = True
+        self._wake_scheduled = True
         try:
             self._loop.call_soon_threadsafe(self._wake.set)
-        except RuntimeError as exc:  # The loop was closed at shutdown.
-            raise _down() from exc
+        except RuntimeError as exc:  # The event loop has been closed.
+            raise _link_down_error() from exc
 
-    async def run(self, receive: Receiver) -> None:
-        """Carry messages until the link is lost or closed."""
+    async def run(self, receive: MessageHandler) -> None:
+        """Send and receive messages until the link is lost or closed."""
         sender = asyncio.create_task(self._send_all())
         try:
             await self._receive_all(receive)
@@ -64,15 +68,15 @@
             self.closed = True
             sender.cancel()
             await asyncio.gather(sender, return_exceptions=True)
-            # The peer hears of it now and need not time out.
+            # The peer learns of the closed link at once, without a timeout.
             await self._ws.close()
 
     async def close(self) -> None:
-        """Send what waits and close."""
+        """Send queued messages and close the connection."""
         await self._flush()
         await self._ws.close()
 
-    async def _receive_all(self, receive: Receiver) -> None:
+    async def _receive_all(self, receive: MessageHandler) -> None:
         try:
             async for frame in self._ws:
                 for msg in codec.decode(_as_bytes(frame)):
@@ -80,43 +84,44 @@
         except ws_exceptions.ConnectionClosed:
             return
         except errors.FrameError as exc:
-            # A bad frame costs its own link and nothing else.
+            # A bad frame closes only the link that it arrived on.
             logging.warning("bad frame", extra={"why": str(exc)})
-            await self._ws.close(_CLOSE_BAD_FRAME, "bad frame")
+            await self._ws.close(_POLICY_VIOLATION_CODE, "bad frame")
 
     async def _send_all(self) -> None:
         while True:
             await self._wake.wait()
             self._wake.clear()
-            self._woken = False
+            self._wake_scheduled = False
             await self._flush()
 
     async def _flush(self) -> None:
-        while self._out:
+        while self._outbox:
             try:
-                await self._ws.send(codec.encode(self._take()))
+                await self._ws.send(codec.encode(self._next_batch()))
             except ws_exceptions.ConnectionClosed:
                 return
 
-    def _take(self) -> Sequence[messages.Message]:
+    def _next_batch(self) -> Sequence[messages.Message]:
         batch: list[messages.Message] = []
         size = 0
-        while self._out and len(batch) < codec.MAX_MESSAGES:
-            size += _size(self._out[0])
-            if batch and size > codec.MAX_FRAME // 2:
+        while self._outbox and len(batch) < codec.MAX_MESSAGES_PER_FRAME:
+            size += _payload_bytes(self._outbox[0])
+            # Half the limit, as the size counts payloads only.
+            if batch and size > codec.MAX_FRAME_BYTES // 2:
                 break
-            batch.append(self._out.popleft())
+            batch.append(self._outbox.popleft())
         return batch
 
 
-def _size(msg: messages.Message) -> int:
-    if isinstance(msg, messages.Chunk):
+def _payload_bytes(msg: messages.Message) -> int:
+    if isinstance(msg, messages.ResponseChunk):
         return sum(map(len, msg.events))
     if isinstance(msg, messages.Dispatch):
         return len(msg.body)
-    if isinstance(msg, messages.Records):
+    if isinstance(msg, messages.ConfigRecords):
         return sum(map(len, msg.records))
-    if isinstance(msg, messages.Snapshot):
+    if isinstance(msg, messages.ConfigSnapshotPart):
         return len(msg.part)
     return 0
 
@@ -124,13 +129,14 @@
 def _as_bytes(frame: str | bytes) -> bytes:
     if isinstance(frame, str):
         raise errors.FrameError(
-            "text frame", remedy="connect a process of lugcross"
+            "text frame received, expected binary",
+            remedy="check that the peer is a lugcross process",
         )
     return frame
 
 
-def _down() -> errors.LinkDownError:
+def _link_down_error() -> errors.LinkDownError:
     return errors.LinkDownError(
-        "the link is down; nothing was sent",
+        "the link is down; the message was not sent",
         remedy="send to another backend server",
     )
--- a/testing/test_bad_input.py
+++ b/testing/test_bad_input.py
@@ -159,7 +159,7 @@
 
 @pytest.mark.parametrize(
     "frame",
-    [b"\x82\x01", b"\x00" * (wire.MAX_FRAME + 1)],
+    [b"\x82\x01", b"\x00" * (wire.MAX_FRAME_BYTES + 1)],
     ids=["malformed", "oversized"],
 )
 def test_bad_frame_closes_only_its_own_link(
@@ -174,7 +174,7 @@
         )
         await ws.send(wire.encode([hello]))
         (welcome,) = wire.decode(await ws.recv())
-        shake.check(welcome)
+        shake.verify_welcome(welcome)
         with pytest.raises(ws_exceptions.ConnectionClosed):
             await ws.send(frame)
             while True:
--- a/testing/test_promises.py
+++ b/testing/test_promises.py
@@ -14,7 +14,7 @@
 
 from lugcross import cfg
 from lugcross import demo
-from lugcross.demo import calls
+from lugcross.demo import request_sender
 from lugcross import logservice
 import process_fleet
 
@@ -66,7 +66,7 @@
     def __init__(
         self, fleet: process_fleet.Fleet, url: str, tokens: int
     ) -> None:
-        self._expected = calls.expected("a prompt", tokens)
+        self._expected = request_sender.expected_completion("a prompt", tokens)
         body = {
             "model": process_fleet.MODEL,
             "prompt": "a prompt",
@@ -92,12 +92,12 @@
         """Read to the end; return whether the text is what was requested."""
         with contextlib.suppress(urllib3.exceptions.HTTPError):
             self._data += self.resp.read()
-        return calls.stream_text(self._data) == self._expected
+        return request_sender.parse_stream(self._data) == self._expected
 
     @property
     def looks_complete(self) -> bool:
         """Whether a caller would take the answer for complete."""
-        return calls.stream_text(self._data) is not None
+        return request_sender.parse_stream(self._data) is not None
 
 
 def wait_for_running_agent(fleet: process_fleet.Fleet) -> str:
@@ -157,7 +157,7 @@
     for name in ENGINES:
         fleet.set_faults(name)
     # Both engines closed early; a third attempt completed the answer.
-    assert result.whole
+    assert result.correct
 
 
 def test_disconnected_caller_frees_its_slot(
@@ -191,7 +191,9 @@
             },
         )
         texts.append(resp.json()["choices"][0]["text"])
-    assert texts == [calls.expected(p, 3) for p in ("one", "two")]
+    assert texts == [
+        request_sender.expected_completion(p, 3) for p in ("one", "two")
+    ]
 
 
 # A request that is reported as "not-run" has not run.
@@ -273,14 +275,14 @@
             fut.result()
     fleet.set_faults("ledger")
     fleet.entries["entry-d0-0"].start("http", "rpc")
-    assert result.whole
+    assert result.correct
     assert fleet.ledger_run_counts()["orphan"] == 1
 
 
 def test_key_after_its_agent_was_restarted_does_not_run_again(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    assert sender.charge(url, b"{}", key="restart").whole
+    assert sender.charge(url, b"{}", key="restart").correct
     for name in ("plain-d0", "plain-d1"):
         fleet.agents[name].kill()
         fleet.agents[name].start("links")
@@ -294,7 +296,7 @@
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
     fleet.set_faults("log", lose_answers=1)
-    assert sender.charge(url, b"{}", key="lost answer").whole
+    assert sender.charge(url, b"{}", key="lost answer").correct
     fleet.set_faults("log")
     assert fleet.ledger_run_counts()["lost answer"] == 1
 
@@ -308,7 +310,7 @@
     assert (result.kind, result.outcome) == ("once-unavailable", "not-run")
     assert result.retry_after_s > 0
     assert "no log" not in fleet.ledger_run_counts()
-    assert sender.charge(url, b"{}", key="no log").whole
+    assert sender.charge(url, b"{}", key="no log").correct
 
 
 def test_key_runs_once_from_memory_while_the_log_is_down(
@@ -320,10 +322,10 @@
             sender.charge(one, b"{}", key="memory") for one in fleet.urls()
         ]
         fleet.set_faults("log")
-    assert [result.whole for result in results] == [True, True]
+    assert [result.correct for result in results] == [True, True]
     assert fleet.ledger_run_counts()["memory"] == 1
     # The claim was appended once the log was up again.
-    assert sender.charge(url, b"{}", key="memory").whole
+    assert sender.charge(url, b"{}", key="memory").correct
     assert fleet.ledger_run_counts()["memory"] == 1
 
 
@@ -345,14 +347,14 @@
 def test_key_is_not_run_again_while_its_agent_is_cut_off(
     fleet: process_fleet.Fleet, sender: demo.Sender, url: str
 ) -> None:
-    assert sender.charge(url, b"{}", key="cut off").whole
+    assert sender.charge(url, b"{}", key="cut off").correct
     relays = [fleet.relays[name] for name in ("plain-d0", "plain-d1")]
     for relay in relays:
         relay.cut()
         result = sender.charge(url, b"{}", key="cut off")
         relay.restore()
         fleet.wait_linked()
-        assert result.whole or result.outcome == "unknown"
+        assert result.correct or result.outcome == "unknown"
     assert fleet.ledger_run_counts()["cut off"] == 1
 
 
@@ -369,7 +371,7 @@
             for num in range(10)
         ]
         after = fleet.engine_run_count(ENGINES[0])
-    assert all(result.whole for result in results)
+    assert all(result.correct for result in results)
     assert after == before
 
 
@@ -389,7 +391,7 @@
         lambda: not _is_leaving(fleet, "model-d0-0"),
         what="backend live by the host list",
     )
-    assert result.whole
+    assert result.correct
     assert after == before
 
 
@@ -426,7 +428,7 @@
     fleet: process_fleet.Fleet, sender: demo.Sender
 ) -> None:
     stop = threading.Event()
-    results: list[calls.Result] = []
+    results: list[request_sender.Result] = []
     keys: list[str] = []
 
     def send_until_stopped(num: int) -> None:
@@ -437,7 +439,7 @@
             key = f"roll {num} {count}"
             result = _send_to_ready_host(fleet, own, num, key)
             results.append(result)
-            if result.whole and num % 2:
+            if result.correct and num % 2:
                 keys.append(key)
 
     with concurrent.futures.ThreadPoolExecutor(6) as pool:
@@ -454,7 +456,7 @@
     broken = [
         result
         for result in results
-        if not result.whole and result.outcome != "not-run"
+        if not result.correct and result.outcome != "not-run"
     ]
     assert broken == []
     ran = fleet.ledger_run_counts()
@@ -463,7 +465,7 @@
 
 def _send_to_ready_host(
     fleet: process_fleet.Fleet, sender: demo.Sender, num: int, key: str
-) -> calls.Result:
+) -> request_sender.Result:
     """Send to a ready entry host, as the platform's load balancer does."""
     while True:
         for url in fleet.urls():
