--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -149,7 +149,9 @@
         self.state_sync.on_peer_generation = (
             self._leadership.note_newer_generation
         )
-        self.state_sync.can_claim_lease = self._leadership.store_answers
+        self.state_sync.store_answers_about_lease = (
+            self._leadership.store_answers
+        )
         self.state_sync.seen_broken_backends = (
             self._map_manager.servers_of_broken_groups
         )
--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -39,10 +39,12 @@
         if not self._missing or version > self._missing[-1][0]:
             self._missing.append((version, self._clock.monotonic()))
 
-    def age(self, own: int) -> datetime.timedelta:
-        """Return the time since this process learned of a version it lacks.
+    def duration(self, own: int) -> datetime.timedelta:
+        """Return for how long this process has been behind its peers.
 
-        With several such versions the oldest counts; zero without any.
+        That is the time since it learned of the oldest version that it lacks,
+        or since the store's last answer if that is later; zero if it lacks
+        none.
 
         :param own: the version that this process has.
         """
@@ -52,8 +54,8 @@
             return _NO_LAG
         return self._clock.monotonic() - self._missing[0][1]
 
-    def restart(self) -> None:
-        """Restart the lag at zero after the store has answered a read.
+    def note_store_answer(self) -> None:
+        """Measure the lag from now on, as the store has answered a read.
 
         A peer's version may be one that the store does not return yet, so the
         newest one known stays missing until this process has it.
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -35,8 +35,9 @@
     """Gets newer state from peers, and responds to their requests.
 
     :param adopt: called with a newer desired-state record of a peer.
-    :param not_reading_store: whether this process gets nothing from the store
-        now, because calls fail or because peers read for it.
+    :param depends_on_peers: whether this process gets updates only from peers
+        now, because its calls to the store fail or because peers read the
+        store for it.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         peers: peers_lib.Peers,
         *,
         adopt: Callable[[bytes], None],
-        not_reading_store: Callable[[], bool],
+        depends_on_peers: Callable[[], bool],
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
@@ -54,7 +55,7 @@
         self._edge_state = edge_state
         self._peers = peers
         self._adopt = adopt
-        self._not_reading_store = not_reading_store
+        self._depends_on_peers = depends_on_peers
         self.selector = peer_selection.PeerSelector(clock, rng)
 
     def respond(self, req: messages.StateRequest) -> messages.StateResponse:
@@ -109,7 +110,7 @@
     def _should_ask_at_once(self) -> bool:
         """Return whether waiting for the store is of no use."""
         old = self._edge_state.backends.age() > _STALE_BACKENDS_AGE
-        return old or self._not_reading_store()
+        return old or self._depends_on_peers()
 
     def newer_peers(self) -> list[peer_selection.NewerPeer]:
         """Return the live peers that have newer state."""
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -94,7 +94,7 @@
             lambda: None
         )
         #: Returns whether the store answers this process about the lease.
-        self.can_claim_lease: Callable[[], bool] = lambda: True
+        self.store_answers_about_lease: Callable[[], bool] = lambda: True
         #: Called with the generation of a peer's lease; 0 without one.
         self.on_peer_generation: Callable[[experts.Generation], None] = (
             lambda number: None
@@ -143,8 +143,8 @@
             edge_state,
             self.peers,
             adopt=functools.partial(self._adopt, urgent=False),
-            not_reading_store=lambda: (
-                self.store_health.failing or self.leaves_store_to_peers()
+            depends_on_peers=lambda: (
+                self.store_health.failing or self.peers_read_store()
             ),
             clock=clock,
             rng=rng,
@@ -221,7 +221,7 @@
         heartbeats = self._live_heartbeats(_LEASE_HOLDER_TIMEOUT)
         return any(heartbeat.lease_generation for heartbeat in heartbeats)
 
-    def leaves_store_to_peers(self) -> bool:
+    def peers_read_store(self) -> bool:
         """Return whether peers of this domain read the store for this one."""
         return not store_readers.reads_store(
             self._own_reader_candidate(), self._peer_reader_candidates()
@@ -342,7 +342,7 @@
             broken_backends=[str(key) for key in self.seen_broken_backends()],
             lease_generation=self.lease_generation() or 0,
             reads_store=not self.store_health.failing
-            and self.can_claim_lease(),
+            and self.store_answers_about_lease(),
             workspace_uses=self._edge_state.workspace_usage.own_counts(),
             desired_age_ms=self._store_answer_age_ms(platform.OPERATOR_TOPIC),
             backends_age_ms=self._store_answer_age_ms(platform.BACKENDS_TOPIC),
@@ -474,9 +474,9 @@
             platform.OPERATOR_TOPIC: self._edge_state.version,
             platform.BACKENDS_TOPIC: int(self._edge_state.backends.end),
         }
-        return self._lags[topic].age(own[topic])
+        return self._lags[topic].duration(own[topic])
 
     def on_store_answer(self, topic: str) -> None:
         """Record that the store has answered a read of a topic."""
         self.store_contact.record_answer(topic)
-        self._lags[topic].restart()
+        self._lags[topic].note_store_answer()
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -70,8 +70,8 @@
             poll_wait=poll_wait,
             should_restart_read=should_restart_read,
             on_answer=functools.partial(state_sync.on_store_answer, topic),
-            should_pause=lambda: (
-                state_sync.leaves_store_to_peers() and not is_late()
+            should_pause_reading=lambda: (
+                state_sync.peers_read_store() and not is_late()
             ),
         )
 
--- a/src/lugcross/edge/topic_follower.py
+++ b/src/lugcross/edge/topic_follower.py
@@ -81,7 +81,8 @@
     :param should_restart_read: whether to abandon a read that still waits, and
         read on a new connection instead.
     :param on_answer: called after each read that the store answered.
-    :param should_pause: whether peers read the topic for this process.
+    :param should_pause_reading: whether to send no reads for now, because
+        peers read the topic for this process.
     """
 
     def __init__(
@@ -95,9 +96,9 @@
         poll_wait: Callable[[], datetime.timedelta],
         should_restart_read: Callable[[], bool] = lambda: False,
         on_answer: Callable[[], None] = lambda: None,
-        should_pause: Callable[[], bool] = lambda: False,
+        should_pause_reading: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._should_pause = should_pause
+        self._should_pause_reading = should_pause_reading
         self._store = store
         self._topic = topic
         self._on_read = on_read
@@ -113,7 +114,10 @@
         """Follow the topic until cancelled."""
         retry_wait_s = _RETRY_INITIAL_S
         while True:
-            if self._next_position is not None and self._should_pause():
+            if (
+                self._next_position is not None
+                and self._should_pause_reading()
+            ):
                 await asyncio.sleep(_CHECK_INTERVAL_S)
                 continue
             try:
--- a/testing/edge/test_leader_candidates.py
+++ b/testing/edge/test_leader_candidates.py
@@ -150,23 +150,23 @@
 
 
 @pytest.mark.parametrize(
-    ("domain", "reads_store", "leaves_store_to_peers"),
+    ("domain", "reads_store", "peers_read_store"),
     [("d1", True, True), ("d2", True, False), ("d1", False, False)],
     ids=["near", "far", "store-away"],
 )
 def test_store_is_left_to_two_readers_of_the_same_domain(
-    domain: str, reads_store: bool, leaves_store_to_peers: bool
+    domain: str, reads_store: bool, peers_read_store: bool
 ) -> None:
     node = Node(fenced=False)
     _hear_readers(node, domain, reads_store=reads_store)
-    assert node.state_sync.leaves_store_to_peers() == leaves_store_to_peers
+    assert node.state_sync.peers_read_store() == peers_read_store
 
 
 def test_store_is_read_again_once_the_readers_are_silent() -> None:
     node = Node(fenced=False)
     _hear_readers(node, "d1")
     node.clock.advance(1100 * MS)
-    assert not node.state_sync.leaves_store_to_peers()
+    assert not node.state_sync.peers_read_store()
 
 
 def test_new_backend_record_schedules_a_heartbeat() -> None:
@@ -232,7 +232,7 @@
 def test_heartbeat_tells_whether_the_store_answers_about_the_lease() -> None:
     node = Node(fenced=True)
     make_heartbeat = node.state_sync._make_heartbeat
-    node.state_sync.can_claim_lease = lambda: False
+    node.state_sync.store_answers_about_lease = lambda: False
     assert not make_heartbeat([]).reads_store
-    node.state_sync.can_claim_lease = lambda: True
+    node.state_sync.store_answers_about_lease = lambda: True
     assert make_heartbeat([]).reads_store
--- a/testing/edge/test_peer_selection.py
+++ b/testing/edge/test_peer_selection.py
@@ -97,9 +97,9 @@
     clock.advance(_seconds(1))
     lag.note_available(6)
     clock.advance(_seconds(1))
-    assert lag.age(4) == _seconds(2)
-    assert lag.age(5) == _seconds(1)
-    assert lag.age(6) == _seconds(0)
+    assert lag.duration(4) == _seconds(2)
+    assert lag.duration(5) == _seconds(1)
+    assert lag.duration(6) == _seconds(0)
 
 
 def test_store_is_read_after_a_lag_and_not_again_at_once():
@@ -111,10 +111,10 @@
     clock = clock_lib.ManualClock()
     lag = lag_lib.Lag(clock)
     lag.note_available(5)
-    assert not long_poll.must_read_store(lag.age(4), BOUND)
+    assert not long_poll.must_read_store(lag.duration(4), BOUND)
     clock.advance(_seconds(1))
-    assert long_poll.must_read_store(lag.age(4), BOUND)
-    lag.restart()
-    assert not long_poll.must_read_store(lag.age(4), BOUND)
+    assert long_poll.must_read_store(lag.duration(4), BOUND)
+    lag.note_store_answer()
+    assert not long_poll.must_read_store(lag.duration(4), BOUND)
     clock.advance(_seconds(1))
-    assert long_poll.must_read_store(lag.age(4), BOUND)
+    assert long_poll.must_read_store(lag.duration(4), BOUND)
--- a/testing/edge/test_silent_store.py
+++ b/testing/edge/test_silent_store.py
@@ -107,7 +107,7 @@
         cut_off_nodes = [
             n
             for n in fleet.nodes.values()
-            if not n.state_sync.leaves_store_to_peers()
+            if not n.state_sync.peers_read_store()
         ][1:]
         for node in cut_off_nodes:
             fleet.store.unreachable_hosts.add(node.store_host)
