--- a/src/lugcross/edge/long_poll.py
+++ b/src/lugcross/edge/long_poll.py
@@ -83,7 +83,7 @@
 def is_overdue(
     newest_answer_age: datetime.timedelta | None,
     first_reader_wait: datetime.timedelta,
-    reader_rank: int,
+    reader_index: int,
 ) -> bool:
     """Tell whether a waiting poll should be cancelled and sent again.
 
@@ -94,7 +94,7 @@
     :param newest_answer_age: time since the store last answered any process;
         none if that is not known.
     :param first_reader_wait: wait of the polls of the first reader.
-    :param reader_rank: number of processes that take over before this one.
+    :param reader_index: number of processes that take over before this one.
     """
     if newest_answer_age is None:
         return False
@@ -102,5 +102,5 @@
         newest_answer_age
         > first_reader_wait
         + ANSWER_TIMEOUT
-        + min(reader_rank, _MAX_TAKEOVER_STEPS) * _TAKEOVER_DELAY_STEP
+        + min(reader_index, _MAX_TAKEOVER_STEPS) * _TAKEOVER_DELAY_STEP
     )
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -177,7 +177,7 @@
             platform.LEASES_TOPIC,
             _LEASE_KEY,
             record_codec.encode(record),
-            self._lease.expected_end,
+            self._lease.expected_log_end,
         )
         self._lease.note_written(record, end)
 
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -88,7 +88,7 @@
         self._incarnation = incarnation
         self._clock = clock
         self._seen_record: LeaseRecord | None = None
-        self._expected_end: positions.Position | None = None
+        self._expected_log_end: positions.Position | None = None
         self._unchanged_since = clock.monotonic()
         self._renewed_at = clock.monotonic()
         self._retry_at = clock.monotonic()
@@ -119,9 +119,9 @@
         if not wants_lease or held_by_peer:
             # The record must be read again before a claim, so that the time
             # to live is not measured from an old reading.
-            self._expected_end = None
+            self._expected_log_end = None
             return LeaseAction.NONE
-        if self._expected_end is None:
+        if self._expected_log_end is None:
             return LeaseAction.READ
         is_free = self._seen_record is None or self._seen_record.released
         if is_free or now - self._unchanged_since >= TIME_TO_LIVE:
@@ -131,7 +131,7 @@
     def _next_action_of_holder(
         self, now: clock_lib.Instant, wants_lease: bool
     ) -> LeaseAction:
-        if self._expected_end is None:
+        if self._expected_log_end is None:
             return LeaseAction.READ
         if not wants_lease:
             return LeaseAction.RELEASE
@@ -151,7 +151,7 @@
             # claims made since that copy. Generations of each era are
             # therefore above all those of earlier eras.
             era_base = (
-                positions.era(self.expected_end) << _GENERATION_BIT_COUNT
+                positions.era(self.expected_log_end) << _GENERATION_BIT_COUNT
             )
             generation = Generation(
                 max(seen_generation, self._highest_revoked, era_base) + 1
@@ -165,10 +165,10 @@
         )
 
     @property
-    def expected_end(self) -> positions.Position:
-        """Condition of the next write: where the store's log must end."""
-        assert self._expected_end is not None
-        return self._expected_end
+    def expected_log_end(self) -> positions.Position:
+        """Where the store's log must end for the next write to succeed."""
+        assert self._expected_log_end is not None
+        return self._expected_log_end
 
     def note_read(
         self, record: LeaseRecord | None, end: positions.Position
@@ -180,9 +180,9 @@
         """
         self.store_unavailable = False
         now = self._clock.monotonic()
-        if end != self._expected_end or self._seen_record != record:
+        if end != self._expected_log_end or self._seen_record != record:
             self._unchanged_since = now
-        self._seen_record, self._expected_end = record, end
+        self._seen_record, self._expected_log_end = record, end
         if record is None:
             return
         generation = record.generation
@@ -205,7 +205,7 @@
         :param end: where the store's log ends after the write.
         """
         self.store_unavailable = False
-        self._seen_record, self._expected_end = record, end
+        self._seen_record, self._expected_log_end = record, end
         self._unchanged_since = self._renewed_at = self._clock.monotonic()
         if record.released:
             self._revoke(record.generation)
@@ -215,12 +215,12 @@
     def note_conflict(self) -> None:
         """Note that a write failed because another write came first."""
         self.store_unavailable = False
-        self._expected_end = None
+        self._expected_log_end = None
 
     def note_no_answer(self) -> None:
         """Note that a call got no answer; a write may have taken effect."""
         self.store_unavailable = True
-        self._expected_end = None
+        self._expected_log_end = None
         self._retry_at = self._clock.monotonic() + RETRY_DELAY
 
     def note_newer_generation(self, generation: Generation) -> None:
@@ -246,4 +246,4 @@
             and self._held_generation <= self._highest_revoked
         ):
             self._held_generation = None
-            self._expected_end = None
+            self._expected_log_end = None
--- a/src/lugcross/experts/set_placement.py
+++ b/src/lugcross/experts/set_placement.py
@@ -167,7 +167,9 @@
             self._slowness[source],
             self._slowness[target],
         )
-        evicted, freed, peak = self._choose_eviction(target, expert)
+        evicted, freed, max_load_elsewhere = self._replica_to_evict(
+            target, expert
+        )
         if evicted is None and self._is_full(target):
             yield from self._swaps(expert, source, target)
             return
@@ -177,7 +179,7 @@
         max_load_if_replicated = max(
             source_load - decrease * source_slowness,
             target_load + (load_before - decrease) * target_slowness,
-            peak,
+            max_load_elsewhere,
         )
         yield Relocation(
             source_load - max_load_if_replicated,
@@ -191,7 +193,7 @@
         max_load_if_moved = max(
             source_load - load_before * source_slowness,
             target_load + load_before * target_slowness,
-            peak,
+            max_load_elsewhere,
         )
         yield Relocation(
             source_load - max_load_if_moved,
@@ -277,14 +279,15 @@
     def _is_full(self, rank: int) -> bool:
         return len(self.ranks[rank]) >= self._limits.max_experts_per_rank
 
-    def _choose_eviction(
+    def _replica_to_evict(
         self, rank: int, expert: int
     ) -> tuple[int | None, float, float]:
         """Return the replica that a full rank would drop to get ``expert``.
 
-        :returns: the expert whose replica is dropped, its load on ``rank``,
-            and the highest load that results at its other holders. The first
-            is None if the rank has room, or nothing that it may drop.
+        :returns: the expert whose replica is dropped, the load that ``rank``
+            loses by it, and the highest load that results among its other
+            holders; ``(None, 0.0, 0.0)`` if the rank has room, or holds no
+            replica that it may drop.
         """
         if not self._is_full(rank):
             return None, 0.0, 0.0
@@ -299,12 +302,12 @@
             return None, 0.0, 0.0
         lightest = min(droppable, key=self._load_added_by_removal)
         added = self._load_added_by_removal(lightest)
-        peak = max(
+        max_load_elsewhere = max(
             self._loads[holder] + added * self._slowness[holder]
             for holder in self._holders[lightest]
             if holder != rank
         )
-        return lightest, self._replica_loads[lightest], peak
+        return lightest, self._replica_loads[lightest], max_load_elsewhere
 
     def _load_added_by_removal(self, expert: int) -> float:
         """Return the load added to each other holder if one drops it."""
--- a/testing/experts/test_lease.py
+++ b/testing/experts/test_lease.py
@@ -68,7 +68,7 @@
             self.lease.note_read(self.store.newest, ids.Offset(self.store.end))
         elif action is not LeaseAction.NONE:
             record = self.lease.record_for(action)
-            if self.store.append_if_end(record, self.lease.expected_end):
+            if self.store.append_if_end(record, self.lease.expected_log_end):
                 self.lease.note_written(record, ids.Offset(self.store.end))
             else:
                 self.lease.note_conflict()
@@ -196,7 +196,8 @@
     process.step()
     assert process.next_action() is LeaseAction.CLAIM
     assert store.append_if_end(
-        process.lease.record_for(LeaseAction.CLAIM), process.lease.expected_end
+        process.lease.record_for(LeaseAction.CLAIM),
+        process.lease.expected_log_end,
     )
     process.lease.note_no_answer()
     clock.advance(lease_lib.RETRY_DELAY)
@@ -212,7 +213,7 @@
     late.step()
     record, end = (
         late.lease.record_for(LeaseAction.CLAIM),
-        late.lease.expected_end,
+        late.lease.expected_log_end,
     )
     late.lease.note_no_answer()
     other.step_until_idle()
@@ -308,7 +309,7 @@
         if lost and action not in (LeaseAction.NONE, LeaseAction.READ):
             record, end = (
                 process.lease.record_for(action),
-                process.lease.expected_end,
+                process.lease.expected_log_end,
             )
             if rng.random() < 0.5:
                 store.append_if_end(record, end)
