--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -140,10 +140,10 @@
             cfg=settings.maps,
         )
         self._leadership.has_work_in_progress = (
-            self._map_manager.switch_runner.is_busy
+            self._map_manager.switch_tasks.is_busy
         )
         self.state_sync.is_unfit_to_lead = (
-            self._map_manager.switch_runner.is_stuck
+            self._map_manager.switch_tasks.is_stuck
         )
         self.state_sync.lease_generation = self._leadership.generation
         self.state_sync.on_peer_generation = (
--- a/src/lugcross/edge/concurrency_limit.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -74,7 +74,7 @@
         """
         if gap > max_event_gap * _FAULT_GAP_FACTOR or mean_requests <= 0:
             return
-        if not self._pass_detector.is_new_pass(gap, now):
+        if not self._pass_detector.detect_new_pass(gap, now):
             return
         extra_ms = max(0.0, gap / _MS - _fixed_pass_ms(engine))
         count = max(1.0, mean_requests)
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -17,7 +17,7 @@
 from lugcross.edge import rank_queries
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import switch_driver
-from lugcross.edge import switch_runner
+from lugcross.edge import switch_tasks
 from lugcross import experts
 from lugcross import ids
 from lugcross import platform
@@ -74,7 +74,7 @@
         self._on_group_state_change = on_group_state_change
         self._node = node
         self._edge_state = edge_state
-        edge_state.on_event_gap = self._note_pause
+        edge_state.on_event_gap = self._on_event_gap
         self._clock = clock
         self._leadership = leadership
         self._sleep = sleep
@@ -85,7 +85,7 @@
         self._queries = rank_queries.RankQueries(
             engines, self._groups, clock, edge_state.backoffs
         )
-        self.switch_runner = switch_runner.SwitchRunner(
+        self.switch_tasks = switch_tasks.SwitchTasks(
             engines,
             self._queries,
             allocator=allocator,
@@ -95,20 +95,20 @@
         )
         self._was_leader = False
 
-    def _note_pause(
-        self, key: desired.BackendKey, pause: datetime.timedelta
+    def _on_event_gap(
+        self, key: desired.BackendKey, gap: datetime.timedelta
     ) -> None:
-        """Update pass times from the pause between two events of a stream."""
+        """Update pass times from the gap between two events of a stream."""
         group = self._groups.of_backend(key)
         if group is None:
             return
-        if group.pass_times.note_pause(pause, self._clock.monotonic()):
+        if group.pass_times.observe_event_gap(gap, self._clock.monotonic()):
             logging.info(
                 "pass time jumped",
-                extra={"group": group.name, "pass_s": pause.total_seconds()},
+                extra={"group": group.name, "pass_s": gap.total_seconds()},
             )
             self._demand_reader.note_jump(
-                group.service, pause * _SETTLE_PASS_COUNT
+                group.service, gap * _SETTLE_PASS_COUNT
             )
             group.rank_slowness.note_jump(
                 self._clock.monotonic(), group.report_lag
@@ -224,14 +224,16 @@
         leased = self._leadership.generation() is not None
         # Engines refuse orders of any earlier lease holder, so a hold can be
         # recovered at once, unless it may be this process's own.
-        previous_holder_is_fenced = leased and not group.was_switched_here
+        previous_holder_is_fenced = (
+            leased and not group.was_switched_by_this_process
+        )
         min_age = (
             datetime.timedelta()
             if previous_holder_is_fenced
             else _ABANDONED_HOLD_AGE
         )
         if group.hold_is_abandoned(now, min_age):
-            self.switch_runner.start_recovery(group)
+            self.switch_tasks.start_recovery(group)
 
     def _note_break(self, group: rank_groups.RankGroup) -> None:
         if group.switch_backoff.note_group_broken(self._clock.monotonic()):
@@ -295,7 +297,7 @@
             skew, plan.skew_after, group.limits.expert_time_ratio
         )
         if saving >= self.cfg.least_saving:
-            self.switch_runner.cancel_if_copying(group)
+            self.switch_tasks.cancel_if_copying(group)
             # Plan again for the same demand once the switch has ended.
             group.planned_demand_read_at = None
 
@@ -320,7 +322,7 @@
         )
         if is_worthwhile:
             group.switch_backoff.note_switch_started()
-            self.switch_runner.start_switch(group, plan)
+            self.switch_tasks.start_switch(group, plan)
 
     def _must_keep_map(self, group: rank_groups.RankGroup) -> bool:
         """Return whether a group's map must not be switched now.
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -38,12 +38,13 @@
         process, until a rank reports it as in use.
     :param reported_at: when the last report was applied, or when all queried
         ranks were found unreachable.
-    :param foreign_hold: the pass that another process holds, and when this
-        process first saw it held.
+    :param reported_hold: the pass that rank 0 last reported as held while this
+        process was not switching the group, and when it was first reported.
+        Another process holds it, or a delayed report shows a hold of this one.
     :param is_switching: whether this process is running a map switch of the
         group.
-    :param was_switched_here: whether this process has run a switch of the
-        group. If so, a delayed report may still show its own hold.
+    :param was_switched_by_this_process: whether this process has run a switch
+        of the group, so that a delayed report may still show its own hold.
     :param planned_demand_read_at: read time of the demand that the group's map
         was last planned for, or None to plan again.
     :param map_being_copied: the map of the switch in progress, while ranks may
@@ -66,9 +67,9 @@
     current_map: experts.ExpertMap | None = None
     armed_version: experts.MapVersion | None = None
     reported_at: clock_lib.Instant | None = None
-    foreign_hold: tuple[experts.PassNumber, clock_lib.Instant] | None = None
+    reported_hold: tuple[experts.PassNumber, clock_lib.Instant] | None = None
     is_switching: bool = False
-    was_switched_here: bool = False
+    was_switched_by_this_process: bool = False
     planned_demand_read_at: clock_lib.Instant | None = None
     map_being_copied: experts.ExpertMap | None = None
     report_lag: datetime.timedelta = datetime.timedelta()
@@ -90,7 +91,7 @@
     @property
     def can_switch(self) -> bool:
         """Whether a new map switch may be planned and started."""
-        settled = self.armed_version is None and self.foreign_hold is None
+        settled = self.armed_version is None and self.reported_hold is None
         known = self.is_complete and self.current_map is not None
         return self.is_open and known and settled and not self.is_switching
 
@@ -148,7 +149,7 @@
             return True
         if not self.is_open:
             interval = min(interval, _SHORT_REPORT_INTERVAL)
-        if self.foreign_hold is not None or self.armed_version is not None:
+        if self.reported_hold is not None or self.armed_version is not None:
             interval = min(interval, _SHORT_REPORT_INTERVAL)
         return now - self.reported_at >= interval
 
@@ -199,19 +200,19 @@
         self, held_pass: experts.PassNumber | None, now: clock_lib.Instant
     ) -> None:
         if held_pass is None:
-            self.foreign_hold = None
-        elif self.foreign_hold is None or self.foreign_hold[0] != held_pass:
-            self.foreign_hold = held_pass, now
+            self.reported_hold = None
+        elif self.reported_hold is None or self.reported_hold[0] != held_pass:
+            self.reported_hold = held_pass, now
 
     def hold_is_abandoned(
         self, now: clock_lib.Instant, min_age: datetime.timedelta
     ) -> bool:
-        """Return whether another process has held a pass for too long.
+        """Return whether the reported hold has lasted for too long.
 
         :param min_age: time for which the same pass must have been seen held
             to count as abandoned by its holder.
         """
-        seen = self.foreign_hold
+        seen = self.reported_hold
         return seen is not None and now - seen[1] >= min_age
 
     def note_switched(
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -41,7 +41,9 @@
 
 @final
 class SwitchDriver:
-    """Runs one :class:`experts.MapSwitch` against the ranks of a group.
+    """Sends the orders of one map switch and feeds back their results.
+
+    What to send is decided by an :class:`experts.SwitchStateMachine`.
 
     All orders carry the lease generation that this process held when the
     driver was created.
@@ -76,7 +78,7 @@
         self._cancel_requested = True
 
     async def run(
-        self, switch: experts.MapSwitch, max_copies_per_rank: int
+        self, switch: experts.SwitchStateMachine, max_copies_per_rank: int
     ) -> bool:
         """Run a switch to its end.
 
@@ -111,7 +113,7 @@
         return True
 
     async def _wait_until_copied(
-        self, copy_end: clock_lib.Instant, switch: experts.MapSwitch
+        self, copy_end: clock_lib.Instant, switch: experts.SwitchStateMachine
     ) -> None:
         left_s = (copy_end - self._clock.monotonic()).total_seconds()
         if self._cancel_requested:
@@ -121,7 +123,7 @@
         else:
             await self._choose_pass(switch)
 
-    async def _choose_pass(self, switch: experts.MapSwitch) -> None:
+    async def _choose_pass(self, switch: experts.SwitchStateMachine) -> None:
         """Choose the pass at which all ranks change to the new map.
 
         Only rank 0 knows whether a pass is held. While it does not answer, or
@@ -165,7 +167,9 @@
     def _may_order(self) -> bool:
         return self._leadership.may_send_orders(self._generation)
 
-    async def _send_pending_orders(self, switch: experts.MapSwitch) -> None:
+    async def _send_pending_orders(
+        self, switch: experts.SwitchStateMachine
+    ) -> None:
         pending = switch.pending_orders()
         results = await asyncio.gather(
             *(self._send_order(rank, order) for rank, order in pending)
@@ -196,7 +200,7 @@
             self._leadership.note_fenced(self._generation)
         return result
 
-    async def _check_epoch(self, switch: experts.MapSwitch) -> None:
+    async def _check_epoch(self, switch: experts.SwitchStateMachine) -> None:
         """End the switch if its group has begun a new epoch.
 
         Queries the lowest rank that is listed: any rank knows the epoch, and
--- a/src/lugcross/edge/switch_tasks.py
+++ b/src/lugcross/edge/switch_tasks.py
@@ -24,8 +24,11 @@
 
 
 @final
-class SwitchRunner:
-    """Starts map switches and recoveries, and updates groups afterwards.
+class SwitchTasks:
+    """The map switches and recoveries that this process runs as tasks.
+
+    Starts them, and updates their groups when they end. The orders of each
+    are sent by a :class:`switch_driver.SwitchDriver`.
 
     :param engines: client for queries and orders to the ranks.
     :param queries: reads the reports and maps of ranks for recoveries.
@@ -79,7 +82,7 @@
         group: rank_groups.RankGroup,
         work: Coroutine[Any, Any, None],
     ) -> None:
-        group.is_switching = group.was_switched_here = True
+        group.is_switching = group.was_switched_by_this_process = True
         task = asyncio.create_task(self._run_task(group, work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -97,7 +100,7 @@
             group.is_switching = False
             group.switch_backoff.note_switch_ended(self._clock.monotonic())
             group.reported_at = None
-            group.foreign_hold = None
+            group.reported_hold = None
 
     def start_switch(
         self, group: rank_groups.RankGroup, plan: experts.MapPlan
@@ -108,7 +111,7 @@
     def start_recovery(self, group: rank_groups.RankGroup) -> None:
         """Start finishing a switch that its process has abandoned.
 
-        The group's ``foreign_hold`` must be set.
+        The group's ``reported_hold`` must be set.
         """
         self._start_task(group, self._recover(group))
 
@@ -123,7 +126,7 @@
         self, group: rank_groups.RankGroup, plan: experts.MapPlan
     ) -> None:
         assert group.current_map is not None
-        switch = experts.MapSwitch(
+        switch = experts.SwitchStateMachine(
             rank_count=group.rank_count,
             version=self._allocator.next_version(group.highest_version),
             new_map=plan.next_map,
@@ -134,8 +137,8 @@
         await self._drive_to_end(group, switch, plan)
 
     async def _recover(self, group: rank_groups.RankGroup) -> None:
-        assert group.foreign_hold is not None
-        held_pass = group.foreign_hold[0]
+        assert group.reported_hold is not None
+        held_pass = group.reported_hold[0]
         reports = [
             one
             for one in await asyncio.gather(
@@ -165,7 +168,7 @@
                 "armed": len(armed_versions),
             },
         )
-        switch = experts.MapSwitch.resume(
+        switch = experts.SwitchStateMachine.resume(
             rank_count=group.rank_count,
             highest_version=group.highest_version,
             armed_version=max(armed_versions, default=None),
@@ -179,7 +182,7 @@
     async def _drive_to_end(
         self,
         group: rank_groups.RankGroup,
-        switch: experts.MapSwitch,
+        switch: experts.SwitchStateMachine,
         plan: experts.MapPlan | None,
     ) -> None:
         generation = self._leadership.generation()
--- a/src/lugcross/experts/__init__.py
+++ b/src/lugcross/experts/__init__.py
@@ -39,9 +39,9 @@
 from lugcross.experts.planner import MapPlan
 from lugcross.experts.planner import plan_in_steps
 from lugcross.experts.planner import plan_map
-from lugcross.experts.switch import MapSwitch
 from lugcross.experts.switch import SwitchOutcome
 from lugcross.experts.switch import SwitchPhase
+from lugcross.experts.switch import SwitchStateMachine
 from lugcross.experts.switch_backoff import SwitchBackoff
 
 __all__ = [
@@ -60,7 +60,6 @@
     "LeaseAction",
     "LeaseRecord",
     "MapPlan",
-    "MapSwitch",
     "MapVersion",
     "Order",
     "OrderResult",
@@ -73,6 +72,7 @@
     "SwitchNumberAllocator",
     "SwitchOutcome",
     "SwitchPhase",
+    "SwitchStateMachine",
     "counts_by_set",
     "elect_leader",
     "load_skew",
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -25,7 +25,8 @@
   version. It refuses a higher version while it is armed; once it has accepted
   one, no process can arm all ranks with this version any more.
 
-:meth:`MapSwitch.resume` finishes a switch that another process has abandoned.
+:meth:`SwitchStateMachine.resume` finishes a switch that another process has
+abandoned.
 """
 
 import collections
@@ -78,7 +79,7 @@
 
 
 @final
-class MapSwitch:
+class SwitchStateMachine:
     """One switch of one group to another map; does no I/O.
 
     The caller sends all :meth:`pending_orders`, passes each result to
@@ -120,7 +121,9 @@
             collections.Counter()
         )
         self._deciding_rank = orders.Rank(0)
-        #: Whether ranks may be armed with the version; see :meth:`resume`.
+        #: Whether ranks may be armed with the version. False only if no rank
+        #: is known to be armed with it in an abandoned switch that is resumed:
+        #: the switch is then rolled back without disarming any rank.
         self._may_arm = True
         self._disarmed_ranks: set[orders.Rank] = set()
         self._target_pass = orders.PassNumber(0)
@@ -138,7 +141,7 @@
         held_pass: orders.PassNumber,
         old_map: expert_map.ExpertMap,
         allocator: orders.SwitchNumberAllocator,
-    ) -> "MapSwitch":
+    ) -> "SwitchStateMachine":
         """Return a switch that finishes one abandoned by another process.
 
         :param highest_version: the highest version that any rank reports.
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -202,7 +202,7 @@
             self.clock.advance(SECOND)
             self.engines.run_passes(1.0)
             await self.maps.round()
-            await self.maps.switch_runner.wait_idle()
+            await self.maps.switch_tasks.wait_idle()
 
 
 def run(
@@ -438,9 +438,9 @@
             experts.Hold(experts.PassNumber(group.last_pass + 9)),
             group.epoch,
         )
-        assert not rig.maps.switch_runner.is_stuck()
+        assert not rig.maps.switch_tasks.is_stuck()
         await rig.rounds(3)
-        assert rig.maps.switch_runner.is_stuck()
+        assert rig.maps.switch_tasks.is_stuck()
 
     run(act)
 
@@ -559,7 +559,7 @@
         rig.engines.order = lose_lease
         await rig.rounds(4)
         assert len(rig.engines.orders) == RANK_COUNT
-        assert rig.maps.switch_runner.is_stuck()
+        assert rig.maps.switch_tasks.is_stuck()
 
     run(act)
 
@@ -636,13 +636,13 @@
     async def act(rig: Rig) -> None:
         jumping_demand = JumpingDemand(rig)
         released = asyncio.Event()
-        sleep = rig.maps.switch_runner._sleep
+        sleep = rig.maps.switch_tasks._sleep
 
         async def held(seconds: float) -> None:
             await released.wait()
             await sleep(seconds)
 
-        rig.maps.switch_runner._sleep = held
+        rig.maps.switch_tasks._sleep = held
         for _ in range(4):
             rig.clock.advance(SECOND)
             jumping_demand.run_passes(0.1)
@@ -658,7 +658,7 @@
         await jumping_demand.short_rounds(3)
         released.set()
         jumping_demand.finish_copies()
-        await rig.maps.switch_runner.wait_idle()
+        await rig.maps.switch_tasks.wait_idle()
         armed = {
             one.version
             for one in rig.engines.orders
@@ -681,7 +681,7 @@
         for _ in range(3):
             rig.clock.advance(datetime.timedelta(milliseconds=50))
             await rig.maps.round()
-            await rig.maps.switch_runner.wait_idle()
+            await rig.maps.switch_tasks.wait_idle()
         assert group.begin_pass() == leased
 
     run(act)
--- a/testing/edge/test_pass_times.py
+++ b/testing/edge/test_pass_times.py
@@ -34,7 +34,7 @@
     for length in lengths:
         clock.advance(length * MS)
         jumps += [
-            pass_times.note_pause(length * MS, clock.monotonic())
+            pass_times.observe_event_gap(length * MS, clock.monotonic())
             for _ in range(streams)
         ]
     return jumps
--- a/testing/experts/test_switch.py
+++ b/testing/experts/test_switch.py
@@ -50,7 +50,7 @@
     index: int
     allocator: experts.SwitchNumberAllocator
     life: int = 0
-    switch: experts.MapSwitch | None = None
+    switch: experts.SwitchStateMachine | None = None
     epoch: int = 0
     unanswered_count: int = 0
     generation: int | None = None
@@ -69,7 +69,7 @@
     order: experts.Order
     epoch: int
     sender: SwitchingProcess | None
-    switch: experts.MapSwitch | None
+    switch: experts.SwitchStateMachine | None
     life: tuple[int, int]
     generation: int | None
 
@@ -132,7 +132,7 @@
         )
         self._start_switch(
             process,
-            experts.MapSwitch(
+            experts.SwitchStateMachine(
                 rank_count=RANK_COUNT,
                 version=process.allocator.next_version(highest_version),
                 new_map=MAPS[pick % len(MAPS)],
@@ -158,7 +158,7 @@
         )
         self._start_switch(
             process,
-            experts.MapSwitch.resume(
+            experts.SwitchStateMachine.resume(
                 rank_count=RANK_COUNT,
                 highest_version=highest_version,
                 armed_version=max(armed_versions, default=None),
@@ -169,7 +169,7 @@
         )
 
     def _start_switch(
-        self, process: SwitchingProcess, switch: experts.MapSwitch
+        self, process: SwitchingProcess, switch: experts.SwitchStateMachine
     ) -> None:
         process.epoch = self.last_reports[0].epoch
         process.unanswered_count = 0
@@ -350,7 +350,7 @@
 
 def advance(
     group: rank_simulator.SimulatedGroup,
-    switch: experts.MapSwitch,
+    switch: experts.SwitchStateMachine,
     *,
     copied: Sequence[int] = range(RANK_COUNT),
     max_orders: int | None = None,
@@ -378,7 +378,7 @@
 
 def run_to_end(
     group: rank_simulator.SimulatedGroup,
-    switch: experts.MapSwitch,
+    switch: experts.SwitchStateMachine,
     *,
     copied: Sequence[int] = range(RANK_COUNT),
     result_filter: ResultFilter = keep_result,
@@ -396,8 +396,8 @@
         assert group.begin_pass()
 
 
-def new_switch(version: int = 5) -> experts.MapSwitch:
-    return experts.MapSwitch(
+def new_switch(version: int = 5) -> experts.SwitchStateMachine:
+    return experts.SwitchStateMachine(
         rank_count=RANK_COUNT,
         version=experts.MapVersion(version),
         new_map=MAPS[1],
@@ -458,7 +458,7 @@
         highest_version = max(
             group.report(rank).highest_version for rank in range(RANK_COUNT)
         )
-        resumed = experts.MapSwitch.resume(
+        resumed = experts.SwitchStateMachine.resume(
             rank_count=RANK_COUNT,
             highest_version=highest_version,
             armed_version=max(armed_versions, default=None),
@@ -476,7 +476,7 @@
     while frozen.phase is not experts.SwitchPhase.ARM:
         advance(group, frozen)
     late_orders = frozen.pending_orders()
-    resumed = experts.MapSwitch.resume(
+    resumed = experts.SwitchStateMachine.resume(
         rank_count=RANK_COUNT,
         highest_version=frozen.version,
         armed_version=frozen.version,
