--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -16,10 +16,10 @@
 from lugcross import positions
 
 #: Fraction of the drain bound for which servers are still used whose entries
-#: lapsed while the store was away. Live servers write their entries again
-#: within about two seconds of its return; after the drain bound, a server
-#: that has really left must get no requests.
-_LAPSED_USE_RATIO = 0.85
+#: may have been removed only because the store was away. Live servers write
+#: their entries again within about two seconds of its return; after the drain
+#: bound, a server that has really left must get no requests.
+_UNCERTAIN_REMOVAL_USE_RATIO = 0.85
 #: Fraction of the drain bound for which a leaving server may be used if no
 #: other is left. The remainder covers the time a request takes to reach it.
 _LEAVING_USE_RATIO = 0.5
@@ -29,8 +29,9 @@
 _REWRITE_TIME = datetime.timedelta(seconds=2.2)
 #: Longest part of an invalid record's key, or of the error, in a log line.
 _MAX_LOGGED_CHARS = 200
-#: Lives remembered as leaving by their own answer. More than end within the
-#: minutes for which the list may still show such a life as ready.
+#: Number of lives that are remembered because they answered that they are
+#: leaving; more than end within the minutes for which the list may still show
+#: such a life as ready.
 _MAX_LEAVING_ANSWERS = 2_000
 #: Number of these, newest first, that one heartbeat carries.
 _MAX_LEAVING_ANSWERS_SENT = 16
@@ -48,21 +49,23 @@
     :param leaving_at: when this process learned that the life is leaving or
         that its entry was removed; None while it is ready.
     :param removed: whether the entry was removed from the list.
-    :param lapsed: whether the entry may have been removed only because the
-        server could not renew it while the store was away.
-    :param missing_in_copy: whether the entry may be missing only because the
-        store came back from a copy that is older than the entry.
-    :param possibly_outdated_since: since when the list shows a life that had
-        been gone from it before the store came back from an older copy.
+    :param removal_is_uncertain: whether the entry may be missing although the
+        server is alive: it could not renew the entry while the store was away,
+        or the store came back from an older copy.
+    :param lost_in_restore: whether the entry was found missing when the store
+        came back from an older copy, which may lack it.
+    :param reappeared_at: when the entry, which had been removed or was not
+        known, was read from a store that came back from an older copy; None
+        otherwise. The life may have ended after that copy was made.
     """
 
     backend: desired.Backend
     position: positions.Position
     leaving_at: clock_lib.Instant | None = None
     removed: bool = False
-    lapsed: bool = False
-    missing_in_copy: bool = False
-    possibly_outdated_since: clock_lib.Instant | None = None
+    removal_is_uncertain: bool = False
+    lost_in_restore: bool = False
+    reappeared_at: clock_lib.Instant | None = None
 
 
 @final
@@ -120,8 +123,8 @@
         Servers that are not listed are removed, unless their known record is
         newer than the listing.
 
-        :param store_was_away: whether entries may have lapsed because servers
-            could not reach the store.
+        :param store_was_away: whether entries may be missing only because
+            servers could not reach the store to renew them.
         """
         listed = {record.key for record in tail.records}
         # Removals get the position before the end: the next record of the
@@ -151,7 +154,7 @@
         """Return the servers that may get new requests of ``service``.
 
         Leaving servers are included only if there is no other, and only for
-        part of the drain bound; servers with a possibly outdated entry only
+        part of the drain bound; servers whose entry has reappeared only
         if there are none of these either. Returns the same object until the
         selection is computed again.
         """
@@ -175,34 +178,34 @@
         ]
         if len(ready) == len(entries):
             return _UsableServers(tuple(ready), datetime.timedelta.max)
-        retained = [
-            entry for entry in entries if self._is_retained(entry, now)
+        uncertain = [
+            entry for entry in entries if self._may_use_removed(entry, now)
         ]
         # Servers write the entries again that a copy of the store lacks.
-        ready += [entry.backend for entry in retained if entry.missing_in_copy]
-        lapsed = [
-            entry.backend for entry in retained if not entry.missing_in_copy
+        ready += [
+            entry.backend for entry in uncertain if entry.lost_in_restore
         ]
-        # If the store was away, all entries lapse together. If only a few
-        # were removed, these servers have left, even if this process could
-        # not reach the store shortly before.
-        if len(lapsed) > len(ready):
-            servers = ready + lapsed
+        not_renewed = [
+            entry.backend for entry in uncertain if not entry.lost_in_restore
+        ]
+        # If servers could not reach the store, most entries are removed
+        # together. If only a few were removed, these servers have left, even
+        # if this process could not reach the store shortly before.
+        if len(not_renewed) > len(ready):
+            servers = ready + not_renewed
         else:
             servers = ready or self._leaving_but_usable(entries, now)
         if not servers:
-            possibly_outdated = [
-                entry
-                for entry in entries
-                if entry.possibly_outdated_since is not None
+            reappeared = [
+                entry for entry in entries if entry.reappeared_at is not None
             ]
-            servers = [entry.backend for entry in possibly_outdated]
+            servers = [entry.backend for entry in reappeared]
         return _UsableServers(tuple(servers), now + _USABLE_TTL)
 
     def _is_ready(self, entry: _Entry, now: clock_lib.Instant) -> bool:
         if entry.leaving_at is not None:
             return False
-        since = entry.possibly_outdated_since
+        since = entry.reappeared_at
         # By then, whatever is missing in the copy has been written again and
         # read by this process.
         return since is None or now - since >= _REWRITE_TIME + self._drain()
@@ -250,7 +253,7 @@
             "backend server forgotten", extra={"backend": key, "why": why}
         )
 
-    def note_leaving_answer(self, key: desired.BackendKey) -> None:
+    def mark_leaving(self, key: desired.BackendKey) -> None:
         """Mark a life as leaving because the server itself answered so.
 
         No entry of the same life undoes this: entries may be old, and most
@@ -267,13 +270,13 @@
         if entry is None:
             return
         logging.info("backend server is leaving", extra={"backend": key})
-        entry.lapsed = False
+        entry.removal_is_uncertain = False
         if entry.leaving_at is None:
             entry.leaving_at = now
         self._usable.pop(entry.backend.service, None)
 
-    def leaving_by_answer_only(self) -> list[desired.BackendKey]:
-        """Return servers that are leaving by their answer but listed as ready.
+    def leaving_but_listed_ready(self) -> list[desired.BackendKey]:
+        """Return servers that said they are leaving but are listed as ready.
 
         :returns: the newest, as many as one heartbeat carries.
         """
@@ -289,12 +292,12 @@
             and one.backend.state is desired.BackendState.READY
         ][-_MAX_LEAVING_ANSWERS_SENT:]
 
-    def _is_retained(self, entry: _Entry, now: clock_lib.Instant) -> bool:
-        """Return whether a server is still used after its entry lapsed."""
-        if not entry.lapsed or entry.leaving_at is None:
+    def _may_use_removed(self, entry: _Entry, now: clock_lib.Instant) -> bool:
+        """Tell whether a removed server may get requests: it may be alive."""
+        if not entry.removal_is_uncertain or entry.leaving_at is None:
             return False
-        max_age = self._drain() * _LAPSED_USE_RATIO
-        if entry.missing_in_copy:
+        max_age = self._drain() * _UNCERTAIN_REMOVAL_USE_RATIO
+        if entry.lost_in_restore:
             max_age = _REWRITE_TIME
         return now - entry.leaving_at < max_age
 
@@ -414,7 +417,7 @@
             backend,
             position,
             (now if since is None else since) if leaving else None,
-            possibly_outdated_since=now
+            reappeared_at=now
             if is_new_era and self._has_ended(entry)
             else None,
         )
@@ -433,9 +436,9 @@
 
     def _has_ended(self, entry: _Entry | None) -> bool:
         """Return whether a life was removed for good before this record."""
-        if entry is None or entry.possibly_outdated_since is not None:
+        if entry is None or entry.reappeared_at is not None:
             return True
-        return entry.removed and not self._is_retained(
+        return entry.removed and not self._may_use_removed(
             entry, self._clock.monotonic()
         )
 
@@ -456,10 +459,10 @@
             return
         self._usable.pop(entry.backend.service, None)
         entry.removed = True
-        entry.lapsed = (
+        entry.removal_is_uncertain = (
             store_was_away or is_new_era
         ) and entry.leaving_at is None
-        entry.missing_in_copy = is_new_era
+        entry.lost_in_restore = is_new_era
         if entry.leaving_at is None:
             entry.leaving_at = self._clock.monotonic()
         logging.info(
@@ -468,7 +471,7 @@
                 "backend": entry.backend.key,
                 "offset": positions.offset(position),
                 "era": positions.era(position),
-                "lapsed": entry.lapsed,
+                "lapsed": entry.removal_is_uncertain,
             },
         )
 
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -226,7 +226,7 @@
         if head.load is not None:
             self.loads.record_reported_load(key, head.load)
         if head.leaving and not head.wrong_instance:
-            self.backends.note_leaving_answer(key)
+            self.backends.mark_leaving(key)
         if head.retry_after is None:
             return
         self.metrics.count_backoff_asked(backend.service)
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -350,7 +350,7 @@
             suspects=self._suspect_gossip.next_suspects(),
             leaving_backends=[
                 str(key)
-                for key in self._edge_state.backends.leaving_by_answer_only()
+                for key in self._edge_state.backends.leaving_but_listed_ready()
             ],
         )
 
@@ -386,9 +386,7 @@
         self._edge_state.slow_servers.report(heartbeat.node, slow)
         self._suspect_gossip.merge(heartbeat.suspects)
         for name in heartbeat.leaving_backends:
-            self._edge_state.backends.note_leaving_answer(
-                desired.BackendKey(name)
-            )
+            self._edge_state.backends.mark_leaving(desired.BackendKey(name))
         self.on_peer_generation(experts.Generation(heartbeat.lease_generation))
         self._lags[platform.OPERATOR_TOPIC].note_available(
             heartbeat.desired_version
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -436,7 +436,7 @@
         del clock
         rig.edge_state.broken_group_servers.report("peer", [OTHER])
         await rig.ask()
-        return rig.edge_state.backends.leaving_by_answer_only()
+        return rig.edge_state.backends.leaving_but_listed_ready()
 
     assert _play([[SAYS_LEAVING], [SUCCEEDS]], act) == [KEY]
 
