--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -48,7 +48,7 @@
 #: Large enough for all callers that reconnect after this process was frozen
 #: for a second.
 _LISTEN_BACKLOG = 1024
-#: Bits of the random number that marks the map versions of this process.
+#: Bits of the random number in the map versions that this process allocates.
 _MAP_OWNER_BITS = 16
 #: Upper bound of the age gauge, shown while the age is not known.
 _MAX_SHOWN_AGE_S = 1e6
--- a/src/lugcross/edge/backends.py
+++ b/src/lugcross/edge/backends.py
@@ -84,8 +84,8 @@
     Records are ordered by position: one that is older than what is known of
     its server is ignored.
 
-    :param drain: returns the time after which a leaving server must get no
-        new requests.
+    :param max_drain_time: returns the time after which a leaving server must
+        get no new requests.
     :ivar end: position after the last record that was read.
     :ivar updated_at: when records were last applied; None before the first.
     :ivar records: newest record of each key, removals included.
@@ -95,10 +95,10 @@
         self,
         clock: clock_lib.Clock,
         *,
-        drain: Callable[[], datetime.timedelta],
+        max_drain_time: Callable[[], datetime.timedelta],
     ) -> None:
         self._clock = clock
-        self._drain = drain
+        self._max_drain_time = max_drain_time
         self._entries: dict[desired.BackendKey, _Entry] = {}
         #: Newest life of each server, and the position of its last record
         #: once its entry has been forgotten.
@@ -116,7 +116,7 @@
         self.records: dict[str, platform.KeyedRecord] = {}
 
     def replace(
-        self, tail: platform.ReadResult, *, store_was_away: bool
+        self, result: platform.ReadResult, *, store_was_away: bool
     ) -> None:
         """Apply a full listing with the newest record of every key.
 
@@ -126,27 +126,27 @@
         :param store_was_away: whether entries may be missing only because
             servers could not reach the store to renew them.
         """
-        listed = {record.key for record in tail.records}
+        listed = {record.key for record in result.records}
         # Removals get the position before the end: the next record of the
         # store takes the end itself, and may be for the same key.
-        last = positions.position_before(tail.end)
+        last = positions.position_before(result.end)
         for entry in list(self._entries.values()):
             backend_id = entry.backend.id
-            if backend_id not in listed and entry.position < tail.end:
+            if backend_id not in listed and entry.position < result.end:
                 gone = platform.KeyedRecord(last, backend_id, b"")
                 self._apply_record(gone, store_was_away)
-        self.apply(tail, store_was_away=store_was_away)
+        self.apply(result, store_was_away=store_was_away)
 
     def apply(
-        self, tail: platform.ReadResult, *, store_was_away: bool
+        self, result: platform.ReadResult, *, store_was_away: bool
     ) -> None:
         """Apply further records.
 
         :param store_was_away: as for :meth:`replace`.
         """
-        for record in sorted(tail.records, key=lambda one: one.position):
+        for record in sorted(result.records, key=lambda one: one.position):
             self._apply_record(record, store_was_away)
-        self.end = max(self.end, tail.end)
+        self.end = max(self.end, result.end)
         self.updated_at = self._clock.monotonic()
         self._forget_removed()
 
@@ -208,7 +208,10 @@
         since = entry.reappeared_at
         # By then, whatever is missing in the copy has been written again and
         # read by this process.
-        return since is None or now - since >= _REWRITE_TIME + self._drain()
+        return (
+            since is None
+            or now - since >= _REWRITE_TIME + self._max_drain_time()
+        )
 
     def _leaving_but_usable(
         self, entries: list[_Entry], now: clock_lib.Instant
@@ -218,7 +221,8 @@
             entry.backend
             for entry in entries
             if entry.leaving_at is not None
-            and now - entry.leaving_at < self._drain() * _LEAVING_USE_RATIO
+            and now - entry.leaving_at
+            < self._max_drain_time() * _LEAVING_USE_RATIO
         ]
 
     def service_of(self, key: desired.BackendKey) -> ids.ServiceName | None:
@@ -296,7 +300,7 @@
         """Tell whether a removed server may get requests: it may be alive."""
         if not entry.removal_is_uncertain or entry.leaving_at is None:
             return False
-        max_age = self._drain() * _UNCERTAIN_REMOVAL_USE_RATIO
+        max_age = self._max_drain_time() * _UNCERTAIN_REMOVAL_USE_RATIO
         if entry.lost_in_restore:
             max_age = _REWRITE_TIME
         return now - entry.leaving_at < max_age
@@ -480,7 +484,9 @@
         for key, entry in list(self._entries.items()):
             if not entry.removed or entry.leaving_at is None:
                 continue
-            if now - entry.leaving_at > max(self._drain(), _REWRITE_TIME):
+            if now - entry.leaving_at > max(
+                self._max_drain_time(), _REWRITE_TIME
+            ):
                 self.forget(key, "its entry was removed from the list")
 
 
--- a/src/lugcross/edge/demand_reader.py
+++ b/src/lugcross/edge/demand_reader.py
@@ -108,7 +108,7 @@
             return
         if last is not None and now - last.read_at < self._interval(service):
             return
-        ranks = group.ranks_to_ask(self._backoffs.servers())
+        ranks = group.queryable_ranks(self._backoffs.servers())
         if not ranks:
             return
         backend = group.servers_by_rank[ranks[0]]
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -101,7 +101,7 @@
         self.desired: desired.DesiredState | None = None
         self.desired_history = desired_history_lib.DesiredHistory()
         self.backends = backends_lib.Backends(
-            clock, drain=lambda: self.bounds.max_drain_time
+            clock, max_drain_time=lambda: self.bounds.max_drain_time
         )
         self.loads = backend_loads_lib.BackendLoads(
             clock, service_of=self.backends.service_of
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -168,9 +168,11 @@
         )
 
     async def _read(self) -> None:
-        tail = await self._store.read_newest(platform.LEASES_TOPIC)
-        found = [record for record in tail.records if record.key == _LEASE_KEY]
-        self._lease.note_read(_decode(found[0]) if found else None, tail.end)
+        result = await self._store.read_newest(platform.LEASES_TOPIC)
+        found = [
+            record for record in result.records if record.key == _LEASE_KEY
+        ]
+        self._lease.note_read(_decode(found[0]) if found else None, result.end)
 
     async def _write(self, record: experts.LeaseRecord) -> None:
         end = await self._store.append_if_end(
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -221,11 +221,11 @@
             return
         if group.current_map is None:
             group.current_map = await self._queries.read_map(group)
-        leased = self._leadership.generation() is not None
+        has_lease = self._leadership.generation() is not None
         # Engines refuse orders of any earlier lease holder, so a hold can be
         # recovered at once, unless it may be this process's own.
         previous_holder_is_fenced = (
-            leased and not group.was_switched_by_this_process
+            has_lease and not group.was_switched_by_this_process
         )
         min_age = (
             datetime.timedelta()
--- a/src/lugcross/edge/metrics.py
+++ b/src/lugcross/edge/metrics.py
@@ -49,18 +49,18 @@
             ("service",),
             registry=self._registry,
         )
-        self._store_copies = prometheus_client.Counter(
+        self._store_restores = prometheus_client.Counter(
             "lugcross_store_copies",
             "Returns of the store from an older copy.",
             registry=self._registry,
         )
-        self._rests_asked = prometheus_client.Counter(
+        self._backoffs_asked = prometheus_client.Counter(
             "lugcross_rests_asked",
             "Answers by which backend servers asked for rest.",
             ("service",),
             registry=self._registry,
         )
-        self._rests_refused = prometheus_client.Counter(
+        self._backoffs_refused = prometheus_client.Counter(
             "lugcross_rests_refused",
             "Requests refused since all backend servers have asked for rest.",
             ("service",),
@@ -121,15 +121,15 @@
 
     def count_backoff_asked(self, service: str) -> None:
         """Count an answer by which a backend server asked for a backoff."""
-        self._rests_asked.labels(service).inc()
+        self._backoffs_asked.labels(service).inc()
 
-    def count_store_copy(self) -> None:
+    def count_store_restore(self) -> None:
         """Count a return of the store from an older copy."""
-        self._store_copies.inc()
+        self._store_restores.inc()
 
     def count_backoff_refused(self, service: str) -> None:
         """Count a request refused because all servers are backing off."""
-        self._rests_refused.labels(service).inc()
+        self._backoffs_refused.labels(service).inc()
 
     def count_suspect_refused(self, service: str) -> None:
         """Count a request refused because it is a crash suspect."""
--- a/src/lugcross/edge/rank_groups.py
+++ b/src/lugcross/edge/rank_groups.py
@@ -111,7 +111,7 @@
             return _MAX_PASSES_AHEAD_COUNT
         return min(_MAX_PASSES_AHEAD_COUNT, 1 + int(self.report_lag / typical))
 
-    def ranks_to_ask(
+    def queryable_ranks(
         self, backing_off: Collection[desired.BackendKey]
     ) -> list[experts.Rank]:
         """Return the ranks that may be queried, in ascending order.
@@ -134,7 +134,7 @@
         even spread covers several domains. The lowest rank that may be
         queried is always included.
         """
-        ranks = self.ranks_to_ask(backing_off)
+        ranks = self.queryable_ranks(backing_off)
         return ranks[:: max(1, math.ceil(len(ranks) / count))]
 
     def report_is_due(
--- a/src/lugcross/edge/rank_queries.py
+++ b/src/lugcross/edge/rank_queries.py
@@ -107,7 +107,7 @@
         """Query the slowness of all ranks, if that is due."""
         if not group.rank_slowness.query_is_due(self._clock.monotonic()):
             return
-        ranks = group.ranks_to_ask(self._backoffs.servers())
+        ranks = group.queryable_ranks(self._backoffs.servers())
         reports = await self._fetch_reports(group, ranks)
         factors = {one.rank: one.slowness for one in reports}
         if group.rank_slowness.update(factors, self._clock.monotonic()):
@@ -136,7 +136,7 @@
 
     def has_rank_backing_off(self, group: rank_groups.RankGroup) -> bool:
         """Return whether the backend server of any rank is backing off."""
-        return len(group.ranks_to_ask(self._backoffs.servers())) < len(
+        return len(group.queryable_ranks(self._backoffs.servers())) < len(
             group.servers_by_rank
         )
 
--- a/src/lugcross/edge/registration.py
+++ b/src/lugcross/edge/registration.py
@@ -71,11 +71,11 @@
             await self._store.append(
                 platform.NODES_TOPIC, self._settings.node, own.encode()
             )
-            tail = await self._store.read_newest(platform.NODES_TOPIC)
+            result = await self._store.read_newest(platform.NODES_TOPIC)
         except errors.PlatformError as exc:
             logging.warning("registration failed", extra={"why": str(exc)})
             return False
-        values = [record.value for record in tail.records]
+        values = [record.value for record in result.records]
         for found in peers_lib.node_addresses(values):
             self._peers.add(found)
         self._peers.schedule_send(urgent=True)
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -45,7 +45,7 @@
 _LEADER_START_DELAY = datetime.timedelta(seconds=2)
 #: Greatest age of a copy that the store may come back from; whatever was
 #: written earlier is in the copy.
-_MAX_STORE_COPY_AGE = datetime.timedelta(seconds=60)
+_MAX_RESTORED_COPY_AGE = datetime.timedelta(seconds=60)
 #: Time after a start for which this process waits for heartbeats before it
 #: adopts the store's desired state: a peer may have a newer one. It is many
 #: round trips, and short compared with a start.
@@ -115,7 +115,7 @@
         store.on_new_era = self._on_new_era
         #: Record of the desired state from the store that is not adopted yet,
         #: as a peer may have a newer one; empty without one.
-        self._initial_desired: bytes = b""
+        self._pending_desired: bytes = b""
         #: Newest era of the store that this process has handled.
         self._era: positions.Era | None = None
         self.store_health = topic_follower.StoreHealth(clock)
@@ -174,7 +174,7 @@
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.peers.run())
             tasks.create_task(self._registration.run())
-            tasks.create_task(self._adopt_initial_desired())
+            tasks.create_task(self._adopt_pending_desired())
             tasks.create_task(self.peer_sync.run())
             tasks.create_task(self._suspect_store.run())
 
@@ -203,15 +203,18 @@
         Where a lease is needed, processes that the store does not answer are
         left out, as they cannot get it.
         """
-        leased = self._edge_state.bounds.fenced
+        needs_lease = self._edge_state.bounds.fenced
         age = self._clock.monotonic() - self._started_at
-        if age < _LEADER_START_DELAY and not leased:
+        if age < _LEADER_START_DELAY and not needs_lease:
             return False
-        timeout = _LEASE_HOLDER_TIMEOUT if leased else _ACTIVE_PEER_TIMEOUT
+        timeout = (
+            _LEASE_HOLDER_TIMEOUT if needs_lease else _ACTIVE_PEER_TIMEOUT
+        )
         candidates = [
             experts.Candidate(heartbeat.started_ms, heartbeat.incarnation)
             for heartbeat in self._live_heartbeats(timeout)
-            if heartbeat.started_ms and (heartbeat.reads_store or not leased)
+            if heartbeat.started_ms
+            and (heartbeat.reads_store or not needs_lease)
         ]
         own = experts.Candidate(self._started_ms, self._incarnation)
         return experts.elect_leader([*candidates, own]) == own
@@ -272,9 +275,9 @@
                 continue
             if (
                 self._edge_state.desired is None
-                and not self._may_adopt_initial()
+                and not self._may_adopt_from_store()
             ):
-                self._initial_desired = self._valid_or_initial(record.value)
+                self._pending_desired = self._valid_or_pending(record.value)
             else:
                 self._adopt(record.value, urgent=True)
 
@@ -294,15 +297,15 @@
         if result.records:
             self.peers.schedule_send()
 
-    def _valid_or_initial(self, record: bytes) -> bytes:
-        """Return a record if valid, otherwise the initial one so far."""
+    def _valid_or_pending(self, record: bytes) -> bytes:
+        """Return a record if valid, otherwise the pending one so far."""
         try:
             platform.decode_desired(record)
         except errors.ChangeError as exc:
             logging.error(
                 "invalid desired state ignored", extra={"why": str(exc)}
             )
-            return self._initial_desired
+            return self._pending_desired
         return record
 
     def _adopt(self, record: bytes, *, urgent: bool) -> None:
@@ -414,8 +417,8 @@
         logging.warning(
             "store restored from older copy", extra={"era": era, "was": before}
         )
-        self._edge_state.metrics.count_store_copy()
-        since = self._clock.monotonic() - _MAX_STORE_COPY_AGE
+        self._edge_state.metrics.count_store_restore()
+        since = self._clock.monotonic() - _MAX_RESTORED_COPY_AGE
         self._registration.register_again_if_done_since(since)
         if not self.reader_index():
             self._suspect_store.save_changed_since(since)
@@ -432,18 +435,18 @@
         elif era > known:
             self._on_new_era(era, positions.Era(known))
 
-    async def _adopt_initial_desired(self) -> None:
+    async def _adopt_pending_desired(self) -> None:
         """Adopt the store's desired state, unless a peer has a newer one.
 
         The store may just have come back from an older copy. A process that
         learned from a peer of a newer version must not serve by an older one.
         """
-        while not self._may_adopt_initial():
+        while not self._may_adopt_from_store():
             await asyncio.sleep(_INITIAL_CHECK_INTERVAL_S)
-        if self._initial_desired and self._edge_state.desired is None:
-            self._adopt(self._initial_desired, urgent=True)
+        if self._pending_desired and self._edge_state.desired is None:
+            self._adopt(self._pending_desired, urgent=True)
 
-    def _may_adopt_initial(self) -> bool:
+    def _may_adopt_from_store(self) -> bool:
         """Return whether the store's desired state may be adopted now."""
         age = self._clock.monotonic() - self._started_at
         knows_no_peer = not self.peers.count()
@@ -461,10 +464,10 @@
         )
         if not newest:
             # No peer heard so far has one; heartbeats of others may come.
-            return bool(self._initial_desired) and age >= _INITIAL_LISTEN_TIME
-        if not self._initial_desired:
+            return bool(self._pending_desired) and age >= _INITIAL_LISTEN_TIME
+        if not self._pending_desired:
             return False
-        return newest <= platform.decode_desired(self._initial_desired).version
+        return newest <= platform.decode_desired(self._pending_desired).version
 
     def lag(self, topic: str) -> datetime.timedelta:
         """Return for how long this process has been behind in a topic."""
--- a/src/lugcross/edge/switch_driver.py
+++ b/src/lugcross/edge/switch_driver.py
@@ -101,7 +101,7 @@
                 or self._has_rank_backing_off()
                 or not self._group.is_open
             )
-            if should_cancel and not switch.may_hold_pass:
+            if should_cancel and not switch.is_pass_possibly_held:
                 switch.cancel()
                 continue
             if switch.phase is experts.SwitchPhase.COPY:
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -93,7 +93,7 @@
         self._renewed_at = clock.monotonic()
         self._retry_at = clock.monotonic()
         #: This and all lower generations must not be used any more.
-        self._highest_revoked = Generation(0)
+        self._highest_revoked_generation = Generation(0)
         self._held_generation: Generation | None = None
         #: Whether the last call to the store got no answer.
         self.store_unavailable = False
@@ -154,7 +154,10 @@
                 positions.era(self.expected_log_end) << _GENERATION_BIT_COUNT
             )
             generation = Generation(
-                max(seen_generation, self._highest_revoked, era_base) + 1
+                max(
+                    seen_generation, self._highest_revoked_generation, era_base
+                )
+                + 1
             )
             return LeaseRecord(holder=self._incarnation, generation=generation)
         assert self._held_generation is not None
@@ -192,7 +195,7 @@
         ):
             self._revoke(self._held_generation)
         is_own = record.holder == self._incarnation and not record.released
-        if is_own and generation > self._highest_revoked:
+        if is_own and generation > self._highest_revoked_generation:
             # A write of this process took effect though its answer was lost.
             self._held_generation = generation
             self._renewed_at = now
@@ -209,7 +212,7 @@
         self._unchanged_since = self._renewed_at = self._clock.monotonic()
         if record.released:
             self._revoke(record.generation)
-        elif record.generation > self._highest_revoked:
+        elif record.generation > self._highest_revoked_generation:
             self._held_generation = record.generation
 
     def note_conflict(self) -> None:
@@ -240,10 +243,12 @@
 
     def _revoke(self, generation: Generation) -> None:
         """Never use ``generation`` or a lower one again."""
-        self._highest_revoked = max(self._highest_revoked, generation)
+        self._highest_revoked_generation = max(
+            self._highest_revoked_generation, generation
+        )
         if (
             self._held_generation is not None
-            and self._held_generation <= self._highest_revoked
+            and self._held_generation <= self._highest_revoked_generation
         ):
             self._held_generation = None
             self._expected_log_end = None
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -170,8 +170,8 @@
         return switch
 
     @property
-    def may_hold_pass(self) -> bool:
-        """Whether a pass may be held, so that the switch must not be dropped.
+    def is_pass_possibly_held(self) -> bool:
+        """Whether a pass may be held, so that the switch must be finished.
 
         An order to hold a pass counts from when it becomes pending.
         """
--- a/testing/edge/test_backends.py
+++ b/testing/edge/test_backends.py
@@ -31,7 +31,9 @@
 class _Rig:
     def __init__(self) -> None:
         self.clock = clock_lib.ManualClock()
-        self.backends = backends_lib.Backends(self.clock, drain=lambda: DRAIN)
+        self.backends = backends_lib.Backends(
+            self.clock, max_drain_time=lambda: DRAIN
+        )
 
     def apply(self, *records, end=100, away=False, newest=False):
         tail = platform.ReadResult(end=ids.Offset(end), records=records)
