--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -45,11 +45,12 @@
 _DRAIN_NOTICE = datetime.timedelta(seconds=3)
 #: Time between two checks whether all connections have been closed.
 _DRAIN_CHECK_INTERVAL_S = 0.05
-#: Large enough for all callers that reconnect after this process was frozen
-#: for a second.
-_LISTEN_BACKLOG = 1024
-#: Bits of the random number in the map versions that this process allocates.
-_MAP_OWNER_BITS = 16
+#: Connections that may wait to be accepted; enough for all callers that
+#: reconnect after this process was frozen for a second.
+_MAX_PENDING_CONNECTIONS = 1024
+#: Bits of the random process number in the map versions that this process
+#: allocates.
+_PROCESS_NUMBER_BITS = 16
 #: Upper bound of the age gauge, shown while the age is not known.
 _MAX_SHOWN_AGE_S = 1e6
 #: Limits for callers until the first desired state is known.
@@ -133,7 +134,7 @@
             sleep=asyncio.sleep,
             leadership=self._leadership,
             allocator=experts.SwitchNumberAllocator(
-                rng.getrandbits(_MAP_OWNER_BITS)
+                rng.getrandbits(_PROCESS_NUMBER_BITS)
             ),
             on_group_state_change=send_urgently,
             node=settings.node,
@@ -143,7 +144,7 @@
             self._map_manager.switch_tasks.is_busy
         )
         self.state_sync.is_unfit_to_lead = (
-            self._map_manager.switch_tasks.is_stuck
+            self._map_manager.switch_tasks.has_failed_recently
         )
         self.state_sync.lease_generation = self._leadership.generation
         self.state_sync.on_peer_generation = (
@@ -178,7 +179,7 @@
             await asyncio.start_server(
                 self._serve_caller,
                 *address.split_host_port(listen.callers),
-                backlog=_LISTEN_BACKLOG,
+                backlog=_MAX_PENDING_CONNECTIONS,
             ),
             await asyncio.start_server(
                 self._serve_readiness, *address.split_host_port(listen.ready)
--- a/src/lugcross/edge/eligible_servers.py
+++ b/src/lugcross/edge/eligible_servers.py
@@ -15,8 +15,8 @@
 _MAX_SLOW_RATIO = 0.2
 #: How many servers of the own failure domain, and of all others, are compared
 #: for one request. If one in eight servers is idle, 88 % of the samples have
-#: an idle one. Processes whose load data is old don't all choose the same
-#: server.
+#: an idle one. Since samples are random, processes whose load data is old
+#: don't all choose the same server.
 _SAMPLE_COUNT = 16
 
 
--- a/src/lugcross/edge/lag.py
+++ b/src/lugcross/edge/lag.py
@@ -8,7 +8,7 @@
 from lugcross import clock as clock_lib
 
 #: Missing versions that are tracked; beyond it the oldest are dropped.
-_MAX_MISSING = 64
+_MAX_MISSING_VERSIONS = 64
 #: Lag of a process that has every known version.
 _NO_LAG = datetime.timedelta()
 
@@ -28,7 +28,7 @@
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
         self._missing: collections.deque[tuple[int, clock_lib.Instant]] = (
-            collections.deque(maxlen=_MAX_MISSING)
+            collections.deque(maxlen=_MAX_MISSING_VERSIONS)
         )
 
     def note_available(self, version: int) -> None:
--- a/src/lugcross/edge/map_manager.py
+++ b/src/lugcross/edge/map_manager.py
@@ -283,7 +283,7 @@
     ) -> None:
         """Cancel the switch in progress if a new plan is much better.
 
-        :param uses: demand measured while ranks copy experts for the switch.
+        :param uses: demand counted while ranks copy experts for the switch.
         """
         copying = group.map_being_copied
         assert copying is not None
--- a/src/lugcross/edge/pass_times.py
+++ b/src/lugcross/edge/pass_times.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Pass times of a rank group, measured by gaps between events.
+"""Pass times of a rank group, taken from the gaps between events.
 
 Each pass produces one event on each stream of the group, so the gap between
 two events of a stream is as long as a pass. This needs no calls to the engines
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -62,19 +62,19 @@
         """Return the state that is newer than the requester's."""
         state = self._edge_state.desired
         newer = state is not None and state.version > req.desired_version
-        records = self._edge_state.desired_history
+        history = self._edge_state.desired_history
         sends_plain = newer and req.digest is None
-        patch = records.patch(req.digest) if newer and req.digest else None
+        patch = history.patch(req.digest) if newer and req.digest else None
         sends_compressed = newer and req.digest is not None and patch is None
         return messages.StateResponse(
-            desired=records.newest if sends_plain else b"",
+            desired=history.newest if sends_plain else b"",
             backends_end=self._edge_state.backends.end,
             backends=[
                 messages.BackendRecord(row.key, row.position, row.value)
                 for row in self._edge_state.backends.records.values()
                 if row.position >= req.backends_end
             ],
-            compressed=records.compressed() if sends_compressed else b"",
+            compressed=history.compressed() if sends_compressed else b"",
             patch=patch,
         )
 
@@ -147,18 +147,18 @@
 
         :returns: whether the peer responded with valid state.
         """
-        records = self._edge_state.desired_history
-        base = records.newest
+        history = self._edge_state.desired_history
+        base = history.newest
         req = messages.StateRequest(
             self._edge_state.version,
             self._edge_state.backends.end,
-            records.digest,
+            history.digest,
         )
         response = await state_transfer.request_state(host, port, req)
         if response is None:
             return False
         try:
-            record = _record(response, base)
+            record = _desired_record(response, base)
         except patches.PatchError as exc:
             logging.warning("invalid state response", extra={"why": str(exc)})
             return False
@@ -187,7 +187,7 @@
         return True
 
 
-def _record(response: messages.StateResponse, base: bytes) -> bytes:
+def _desired_record(response: messages.StateResponse, base: bytes) -> bytes:
     """Return the desired-state record in a response; empty without one.
 
     :param base: this process's record when it sent the request; another one
--- a/src/lugcross/edge/peers.py
+++ b/src/lugcross/edge/peers.py
@@ -33,7 +33,7 @@
 #: The same to one other failure domain: traffic between domains is billed, and
 #: their requests mostly run on other backend servers.
 _OTHER_DOMAIN_SEND_INTERVAL = datetime.timedelta(milliseconds=200)
-#: Silence after which a peer is not chosen as a relay, if its domain has
+#: Silence after which a peer is not used as a relay, if its domain has
 #: another: heartbeats sent to a dead relay are lost for its whole domain.
 _RELAY_TIMEOUT = datetime.timedelta(milliseconds=600)
 #: Longest time between two heartbeats.
@@ -44,6 +44,8 @@
 _FORGET_TIMEOUT = datetime.timedelta(seconds=60)
 #: Peers' addresses in one heartbeat; the others go in later ones.
 _MAX_ADDRESSES = 16
+#: One in so many heartbeats carries addresses.
+_ADDRESSES_PERIOD_COUNT = 8
 
 
 @final
@@ -220,7 +222,7 @@
         start = self._sequence % max(1, len(addresses))
         known = (addresses[start:] + addresses[:start])[:_MAX_ADDRESSES]
         heartbeat = self._make_heartbeat(
-            known if self._sequence % 8 == 0 else []
+            known if self._sequence % _ADDRESSES_PERIOD_COUNT == 0 else []
         )
         heartbeat = msgspec.structs.replace(heartbeat, sequence=self._sequence)
         data = messages.encode(heartbeat)
@@ -255,7 +257,7 @@
         return last is None or now - last >= _OTHER_DOMAIN_SEND_INTERVAL
 
     def _by_other_domain(self, peers: Iterable[Peer]) -> dict[str, list[Peer]]:
-        """Return those peers that are of other failure domains, by domain."""
+        """Return the peers in other failure domains, by domain."""
         found: dict[str, list[Peer]] = {}
         for peer in peers:
             if peer.domain is not None and peer.domain != self._domain:
--- a/src/lugcross/edge/state_transfer.py
+++ b/src/lugcross/edge/state_transfer.py
@@ -16,6 +16,8 @@
 
 #: Longest wait for a peer's response, connecting included.
 REQUEST_TIMEOUT_S = 1.0
+#: Largest request that is accepted.
+_MAX_REQUEST_BYTES = 4096
 #: Largest response that is accepted; it must hold a large desired state.
 _MAX_RESPONSE_BYTES = 16 * 1_048_576
 
@@ -37,7 +39,11 @@
     async def start(self, host: str, port: int) -> None:
         """Start to listen."""
         self._server = await ws_server.serve(
-            self._serve, host, port, max_size=4096, compression=None
+            self._serve,
+            host,
+            port,
+            max_size=_MAX_REQUEST_BYTES,
+            compression=None,
         )
 
     def close(self) -> None:
--- a/src/lugcross/edge/switch_tasks.py
+++ b/src/lugcross/edge/switch_tasks.py
@@ -20,7 +20,7 @@
 
 #: Time for which a process that could not finish a switch leaves the
 #: leadership to others; as long as most network outages of a single host.
-_STUCK_DURATION = datetime.timedelta(seconds=10)
+_UNFIT_AFTER_FAILURE = datetime.timedelta(seconds=10)
 
 
 @final
@@ -57,16 +57,19 @@
         self._drivers: dict[
             tuple[ids.ServiceName, str], switch_driver.SwitchDriver
         ] = {}
-        self._stuck_at: clock_lib.Instant | None = None
+        self._last_failure_at: clock_lib.Instant | None = None
 
-    def is_stuck(self) -> bool:
+    def has_failed_recently(self) -> bool:
         """Return whether this process recently failed to finish a switch.
 
         Another process may reach the ranks that this process could not.
         """
-        if self._stuck_at is None:
+        if self._last_failure_at is None:
             return False
-        return self._clock.monotonic() - self._stuck_at < _STUCK_DURATION
+        return (
+            self._clock.monotonic() - self._last_failure_at
+            < _UNFIT_AFTER_FAILURE
+        )
 
     def is_busy(self) -> bool:
         """Return whether a switch or recovery is in progress."""
@@ -208,7 +211,7 @@
             group.map_being_copied = None
             del self._drivers[group.service, group.name]
         if not finished:
-            self._stuck_at = self._clock.monotonic()
+            self._last_failure_at = self._clock.monotonic()
         logging.info(
             "expert map switched",
             extra={
--- a/src/lugcross/experts/lease.py
+++ b/src/lugcross/experts/lease.py
@@ -118,7 +118,7 @@
             return self._next_action_of_holder(now, wants_lease)
         if not wants_lease or held_by_peer:
             # The record must be read again before a claim, so that the time
-            # to live is not measured from an old reading.
+            # to live does not start at an old reading.
             self._expected_log_end = None
             return LeaseAction.NONE
         if self._expected_log_end is None:
--- a/src/lugcross/experts/orders.py
+++ b/src/lugcross/experts/orders.py
@@ -128,14 +128,14 @@
 
 #: Low bits of a version, which hold the number of the allocating process.
 _PROCESS_NUMBER_BIT_COUNT = 16
-#: Modulus by which passes are divided into residue classes. A process holds
-#: only passes of one class, chosen by its number, so that two processes
+#: Pass numbers are divided into this many residue classes. A process holds
+#: only passes of one class, selected by its number, so that two processes
 #: rarely hold, and therefore release, the same pass.
-_PASS_MODULUS = 4
-#: Modulus where orders carry a lease generation, which then selects the
+_RESIDUE_CLASS_COUNT = 4
+#: The same where orders carry a lease generation, which then selects the
 #: residue class. Two classes are enough: consecutive lease holders never hold
 #: the same pass, and engines refuse orders of any earlier lease holder.
-_PASS_MODULUS_WITH_LEASE = 2
+_RESIDUE_CLASS_COUNT_WITH_LEASE = 2
 
 
 @final
@@ -154,13 +154,13 @@
             (1 << _PROCESS_NUMBER_BIT_COUNT) - 1
         )
         self._last_version = MapVersion(0)
-        self._pass_modulus = _PASS_MODULUS
-        self._pass_residue = self._process_number
+        self._residue_class_count = _RESIDUE_CLASS_COUNT
+        self._residue_class = self._process_number
 
     def use_generation(self, generation: lease.Generation) -> None:
         """Choose passes by this lease generation from now on."""
-        self._pass_modulus = _PASS_MODULUS_WITH_LEASE
-        self._pass_residue = generation
+        self._residue_class_count = _RESIDUE_CLASS_COUNT_WITH_LEASE
+        self._residue_class = generation
 
     def next_version(self, highest_version: MapVersion) -> MapVersion:
         """Return a new version above ``highest_version``.
@@ -183,5 +183,7 @@
 
         A process may hold only passes of its residue class.
         """
-        ahead = (self._pass_residue - last_pass - 1) % self._pass_modulus
+        ahead = (
+            self._residue_class - last_pass - 1
+        ) % self._residue_class_count
         return PassNumber(last_pass + 1 + ahead)
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -308,7 +308,10 @@
             )
 
     def note_epoch_ended(self) -> None:
-        """End the switch, as the group has a new epoch and no orders of it."""
+        """End the switch, as the group has begun a new epoch.
+
+        The new epoch has the initial map and none of the switch's orders.
+        """
         self._finish(SwitchOutcome.CANCELLED)
 
     def _choose_pass(
--- a/src/lugcross/standin/faults.py
+++ b/src/lugcross/standin/faults.py
@@ -16,7 +16,7 @@
 import msgspec
 
 _SERVER_THREADS = 128
-_LISTEN_BACKLOG = 256
+_MAX_PENDING_CONNECTIONS = 256
 #: Path on which every stand-in takes its switches.
 FAULTS_PATH = "/faults"
 
@@ -123,7 +123,7 @@
             self.app,
             numthreads=_SERVER_THREADS,
             max=_SERVER_THREADS,
-            request_queue_size=_LISTEN_BACKLOG,
+            request_queue_size=_MAX_PENDING_CONNECTIONS,
         )
         self._server.shutdown_timeout = 1
         self._server.error_log = _no_log  # type: ignore[method-assign]
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -438,9 +438,9 @@
             experts.Hold(experts.PassNumber(group.last_pass + 9)),
             group.epoch,
         )
-        assert not rig.maps.switch_tasks.is_stuck()
+        assert not rig.maps.switch_tasks.has_failed_recently()
         await rig.rounds(3)
-        assert rig.maps.switch_tasks.is_stuck()
+        assert rig.maps.switch_tasks.has_failed_recently()
 
     run(act)
 
@@ -559,7 +559,7 @@
         rig.engines.order = lose_lease
         await rig.rounds(4)
         assert len(rig.engines.orders) == RANK_COUNT
-        assert rig.maps.switch_tasks.is_stuck()
+        assert rig.maps.switch_tasks.has_failed_recently()
 
     run(act)
 
