--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -447,7 +447,11 @@
             self._adopt(self._pending_desired, urgent=True)
 
     def _may_adopt_from_store(self) -> bool:
-        """Return whether the store's desired state may be adopted now."""
+        """Return whether a desired state from the store may be adopted now.
+
+        Until this process has one, it waits a while for peers with a newer
+        one. A process that knows no peer does not wait.
+        """
         age = self._clock.monotonic() - self._started_at
         knows_no_peer = not self.peers.count()
         if (
--- a/testing/edge/test_backends.py
+++ b/testing/edge/test_backends.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Tests of the list of backend servers: late, missing and lapsed records."""
+"""Tests of the list of backend servers: late, missing and removed records."""
 
 import datetime
 
--- a/testing/edge/test_map_manager.py
+++ b/testing/edge/test_map_manager.py
@@ -428,7 +428,7 @@
     run(act)
 
 
-def test_process_whose_switch_is_stuck_reports_it():
+def test_process_whose_switch_has_failed_reports_it():
     async def act(rig: Rig) -> None:
         await rig.rounds(1)
         rig.engines.not_receiving = {2}
