--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -101,7 +101,7 @@
         self.desired: desired.DesiredState | None = None
         self.desired_history = desired_history_lib.DesiredHistory()
         self.backends = backends_lib.Backends(
-            clock, drain=lambda: self.bounds.max_drain_time
+            clock, max_drain_time=lambda: self.bounds.max_drain_time
         )
         self.loads = backend_loads_lib.BackendLoads(
             clock, service_of=self.backends.service_of
@@ -226,7 +226,7 @@
         if head.load is not None:
             self.loads.record_reported_load(key, head.load)
         if head.leaving and not head.wrong_instance:
-            self.backends.note_leaving_answer(key)
+            self.backends.mark_leaving(key)
         if head.retry_after is None:
             return
         self.metrics.count_backoff_asked(backend.service)
--- a/src/lugcross/edge/map_leadership.py
+++ b/src/lugcross/edge/map_leadership.py
@@ -168,16 +168,18 @@
         )
 
     async def _read(self) -> None:
-        tail = await self._store.read_newest(platform.LEASES_TOPIC)
-        found = [record for record in tail.records if record.key == _LEASE_KEY]
-        self._lease.note_read(_decode(found[0]) if found else None, tail.end)
+        result = await self._store.read_newest(platform.LEASES_TOPIC)
+        found = [
+            record for record in result.records if record.key == _LEASE_KEY
+        ]
+        self._lease.note_read(_decode(found[0]) if found else None, result.end)
 
     async def _write(self, record: experts.LeaseRecord) -> None:
         end = await self._store.append_if_end(
             platform.LEASES_TOPIC,
             _LEASE_KEY,
             record_codec.encode(record),
-            self._lease.expected_end,
+            self._lease.expected_log_end,
         )
         self._lease.note_written(record, end)
 
--- a/src/lugcross/edge/peer_sync.py
+++ b/src/lugcross/edge/peer_sync.py
@@ -35,8 +35,9 @@
     """Gets newer state from peers, and responds to their requests.
 
     :param adopt: called with a newer desired-state record of a peer.
-    :param not_reading_store: whether this process gets nothing from the store
-        now, because calls fail or because peers read for it.
+    :param depends_on_peers: whether this process gets updates only from peers
+        now, because its calls to the store fail or because peers read the
+        store for it.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         peers: peers_lib.Peers,
         *,
         adopt: Callable[[bytes], None],
-        not_reading_store: Callable[[], bool],
+        depends_on_peers: Callable[[], bool],
         clock: clock_lib.Clock,
         rng: random.Random,
     ) -> None:
@@ -54,26 +55,26 @@
         self._edge_state = edge_state
         self._peers = peers
         self._adopt = adopt
-        self._not_reading_store = not_reading_store
+        self._depends_on_peers = depends_on_peers
         self.selector = peer_selection.PeerSelector(clock, rng)
 
     def respond(self, req: messages.StateRequest) -> messages.StateResponse:
         """Return the state that is newer than the requester's."""
         state = self._edge_state.desired
         newer = state is not None and state.version > req.desired_version
-        records = self._edge_state.desired_history
+        history = self._edge_state.desired_history
         sends_plain = newer and req.digest is None
-        patch = records.patch(req.digest) if newer and req.digest else None
+        patch = history.patch(req.digest) if newer and req.digest else None
         sends_compressed = newer and req.digest is not None and patch is None
         return messages.StateResponse(
-            desired=records.newest if sends_plain else b"",
+            desired=history.newest if sends_plain else b"",
             backends_end=self._edge_state.backends.end,
             backends=[
                 messages.BackendRecord(row.key, row.position, row.value)
                 for row in self._edge_state.backends.records.values()
                 if row.position >= req.backends_end
             ],
-            compressed=records.compressed() if sends_compressed else b"",
+            compressed=history.compressed() if sends_compressed else b"",
             patch=patch,
         )
 
@@ -109,7 +110,7 @@
     def _should_ask_at_once(self) -> bool:
         """Return whether waiting for the store is of no use."""
         old = self._edge_state.backends.age() > _STALE_BACKENDS_AGE
-        return old or self._not_reading_store()
+        return old or self._depends_on_peers()
 
     def newer_peers(self) -> list[peer_selection.NewerPeer]:
         """Return the live peers that have newer state."""
@@ -146,18 +147,18 @@
 
         :returns: whether the peer responded with valid state.
         """
-        records = self._edge_state.desired_history
-        base = records.newest
+        history = self._edge_state.desired_history
+        base = history.newest
         req = messages.StateRequest(
             self._edge_state.version,
             self._edge_state.backends.end,
-            records.digest,
+            history.digest,
         )
         response = await state_transfer.request_state(host, port, req)
         if response is None:
             return False
         try:
-            record = _record(response, base)
+            record = _desired_record(response, base)
         except patches.PatchError as exc:
             logging.warning("invalid state response", extra={"why": str(exc)})
             return False
@@ -186,7 +187,7 @@
         return True
 
 
-def _record(response: messages.StateResponse, base: bytes) -> bytes:
+def _desired_record(response: messages.StateResponse, base: bytes) -> bytes:
     """Return the desired-state record in a response; empty without one.
 
     :param base: this process's record when it sent the request; another one
--- a/src/lugcross/experts/switch.py
+++ b/src/lugcross/experts/switch.py
@@ -25,7 +25,8 @@
   version. It refuses a higher version while it is armed; once it has accepted
   one, no process can arm all ranks with this version any more.
 
-:meth:`MapSwitch.resume` finishes a switch that another process has abandoned.
+:meth:`SwitchStateMachine.resume` finishes a switch that another process has
+abandoned.
 """
 
 import collections
@@ -78,7 +79,7 @@
 
 
 @final
-class MapSwitch:
+class SwitchStateMachine:
     """One switch of one group to another map; does no I/O.
 
     The caller sends all :meth:`pending_orders`, passes each result to
@@ -120,7 +121,9 @@
             collections.Counter()
         )
         self._deciding_rank = orders.Rank(0)
-        #: Whether ranks may be armed with the version; see :meth:`resume`.
+        #: Whether ranks may be armed with the version. False only if no rank
+        #: is known to be armed with it in an abandoned switch that is resumed:
+        #: the switch is then rolled back without disarming any rank.
         self._may_arm = True
         self._disarmed_ranks: set[orders.Rank] = set()
         self._target_pass = orders.PassNumber(0)
@@ -138,7 +141,7 @@
         held_pass: orders.PassNumber,
         old_map: expert_map.ExpertMap,
         allocator: orders.SwitchNumberAllocator,
-    ) -> "MapSwitch":
+    ) -> "SwitchStateMachine":
         """Return a switch that finishes one abandoned by another process.
 
         :param highest_version: the highest version that any rank reports.
@@ -167,8 +170,8 @@
         return switch
 
     @property
-    def may_hold_pass(self) -> bool:
-        """Whether a pass may be held, so that the switch must not be dropped.
+    def is_pass_possibly_held(self) -> bool:
+        """Whether a pass may be held, so that the switch must be finished.
 
         An order to hold a pass counts from when it becomes pending.
         """
@@ -305,7 +308,10 @@
             )
 
     def note_epoch_ended(self) -> None:
-        """End the switch, as the group has a new epoch and no orders of it."""
+        """End the switch, as the group has begun a new epoch.
+
+        The new epoch has the initial map and none of the switch's orders.
+        """
         self._finish(SwitchOutcome.CANCELLED)
 
     def _choose_pass(
