--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -28,7 +28,7 @@
     """A backend server as seen by this process.
 
     :param requests: estimated number of requests in progress.
-    :param ejected: whether requests should go to other servers for now.
+    :param avoided: whether requests should go to other servers for now.
     :param on_probation: whether it was avoided for a while and has not
         answered a request since.
     :param probing_after_backoff: whether the probe after a backoff is still
@@ -37,7 +37,7 @@
 
     backend: desired.Backend
     requests: int
-    ejected: bool = False
+    avoided: bool = False
     on_probation: bool = False
     probing_after_backoff: bool = False
 
@@ -70,7 +70,7 @@
     """Return the best candidate, or None if there is none.
 
     There is none if each was tried already or is being probed after a backoff.
-    Ejected servers are used only if there are no others. A request that was
+    Avoided servers are used only if there are no others. A request that was
     already sent to one server is not used to probe another, unless only
     servers on probation are left.
 
@@ -83,7 +83,7 @@
         for c in candidates
         if c.backend.key not in tried and not c.probing_after_backoff
     ]
-    healthy = [c for c in untried if not c.ejected]
+    healthy = [c for c in untried if not c.avoided]
     pool = healthy or untried
     if tried:
         pool = [c for c in pool if not c.on_probation] or pool
--- a/src/lugcross/edge/backend_loads.py
+++ b/src/lugcross/edge/backend_loads.py
@@ -166,10 +166,10 @@
         """Return the health of a server as observed by this process."""
         return self._health.setdefault(key, routing.BackendHealth())
 
-    def is_ejected(self, key: desired.BackendKey) -> bool:
+    def is_avoided(self, key: desired.BackendKey) -> bool:
         """Return whether requests should go to other servers for now."""
         health = self._health.get(key)
-        return health is not None and health.is_ejected(
+        return health is not None and health.is_avoided(
             self._clock.monotonic()
         )
 
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -363,13 +363,13 @@
         """Return the best server for a request, if there is any.
 
         It is chosen from a random sample. If all servers of the sample have
-        been tried or are ejected, it is chosen from all eligible servers.
+        been tried or are avoided, it is chosen from all eligible servers.
 
         :param tried: servers that the request has been sent to.
         """
         servers = self.eligible_servers(service)
         found = self._choose_among(servers.sample(self._rng), tried)
-        if found is None or found.best.ejected:
+        if found is None or found.best.avoided:
             return self._choose_among(servers.all, tried)
         return found
 
@@ -396,7 +396,7 @@
             )
             if requests < one.slots
             and one.key not in tried
-            and not self.loads.is_ejected(one.key)
+            and not self.loads.is_avoided(one.key)
         }
         key = self.crash_tracker.assign_server(checked, list(free))
         if best_choice is None or key is None:
@@ -420,7 +420,7 @@
             backend_choice.Candidate(
                 backend=one,
                 requests=count,
-                ejected=self.loads.is_ejected(one.key),
+                avoided=self.loads.is_avoided(one.key),
                 on_probation=self.loads.on_probation(one.key),
                 probing_after_backoff=self.loads.is_probing_after_backoff(
                     one.key
--- a/src/lugcross/entry/upstream.py
+++ b/src/lugcross/entry/upstream.py
@@ -102,7 +102,7 @@
             reported_requests=self.load.queued + self.load.running,
             sent_since_report=self.sent_since_load,
             capacity=self.load.capacity,
-            ejected=self.health.is_ejected(now),
+            avoided=self.health.is_avoided(now),
             step_ms=self.load.step_ms,
         )
 
--- a/src/lugcross/routing/backend_choice.py
+++ b/src/lugcross/routing/backend_choice.py
@@ -30,8 +30,8 @@
     :param sent_since_report: requests this entry host has sent there since
         that report.
     :param capacity: requests that it runs at once.
-    :param ejected: whether it failed recently; ejected servers are used
-        only if too few others are left.
+    :param avoided: whether its health says to prefer other servers for now;
+        it is used only if too few others are left.
     :param step_ms: duration of its engine's recent steps; 0 if unknown. The
         slowest rank of a group determines it, so it reveals a stalled rank.
     """
@@ -42,7 +42,7 @@
     reported_requests: int
     sent_since_report: int
     capacity: int
-    ejected: bool = False
+    avoided: bool = False
     step_ms: float = 0.0
 
     @property
@@ -75,7 +75,7 @@
         preferred.
     :param tried: backend servers that already refused this request.
     """
-    usable = _without_ejected(
+    usable = _without_avoided(
         [c for c in candidates if c.usable and c.name not in tried]
     )
     near = [c for c in usable if c.domain == own_domain]
@@ -95,13 +95,13 @@
     return rng.sample(candidates, min(2, len(candidates)))
 
 
-def _without_ejected(usable: list[Candidate]) -> list[Candidate]:
-    """Return the servers not ejected, or all if fewer than half remain.
+def _without_avoided(usable: list[Candidate]) -> list[Candidate]:
+    """Return the servers not avoided, or all if fewer than half remain.
 
     If most servers seem to fail, the cause is probably this host or common
     to all of them, and the remaining few would only be overloaded.
     """
-    healthy = [c for c in usable if not c.ejected]
+    healthy = [c for c in usable if not c.avoided]
     return healthy if 2 * len(healthy) >= len(usable) else usable
 
 
--- a/src/lugcross/routing/health.py
+++ b/src/lugcross/routing/health.py
@@ -22,8 +22,10 @@
 class BackendHealth:
     """Health of one backend server as observed by this process.
 
-    Once an ejection, backoff or refusal pause is over, one request is sent
-    as a probe. Its outcome decides whether the server is used again.
+    A server is avoided for one of three reasons: it was ejected after
+    consecutive failures, it asked for a backoff, or it refused a request and
+    is given a short pause. Once that time is over, one request is sent as a
+    probe. Its outcome decides whether the server is used again.
     """
 
     def __init__(self) -> None:
@@ -34,11 +36,11 @@
         self._backed_off = False
         self._next_refusal_pause = FIRST_REFUSAL_PAUSE
 
-    def is_ejected(self, now: clock_lib.Instant) -> bool:
+    def is_avoided(self, now: clock_lib.Instant) -> bool:
         """Return whether requests should go to other servers.
 
-        This is so during an ejection, a backoff or a pause after a refusal,
-        and until the probe that follows has ended.
+        This is so during an ejection, a backoff or a refusal pause, and
+        while the probe that follows is in progress.
         """
         if self._avoided_until is None:
             return False
@@ -46,7 +48,7 @@
 
     @property
     def on_probation(self) -> bool:
-        """Whether it was avoided and has not answered a request since."""
+        """Whether it is avoided, or was and has not answered since."""
         return self._avoided_until is not None
 
     def record_backoff(self, until: clock_lib.Instant) -> None:
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -66,7 +66,7 @@
 
 def test_ejected_server_is_chosen_only_as_a_last_resort():
     bad = backend_choice.Candidate(
-        backend=edge_rig.backend("bad"), requests=0, ejected=True
+        backend=edge_rig.backend("bad"), requests=0, avoided=True
     )
     good = backend_choice.Candidate(
         backend=edge_rig.backend("good"), requests=5
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -284,10 +284,10 @@
         del reader
         writer.write(edge_rig.request())
         await rig.backends[0].request_received.wait()
-        assert health.is_ejected(clock.monotonic())
+        assert health.is_avoided(clock.monotonic())
         writer.close()
         await rig.backends[0].disconnected.wait()
-        return health.is_ejected(clock.monotonic())
+        return health.is_avoided(clock.monotonic())
 
     assert not _play([[edge_rig.never_answer]], act)
 
--- a/testing/routing/test_routing.py
+++ b/testing/routing/test_routing.py
@@ -122,10 +122,10 @@
 
 
 def test_ejected_ones_are_left_out_unless_too_few_are_left() -> None:
-    ejected = dataclasses.replace(candidate("out"), ejected=True)
-    assert choose(ejected, candidate("in", 9)) == "in"
-    more = dataclasses.replace(candidate("more"), ejected=True)
-    assert choose(ejected, more, candidate("in", 9)) in ("out", "more")
+    avoided = dataclasses.replace(candidate("out"), avoided=True)
+    assert choose(avoided, candidate("in", 9)) == "in"
+    more = dataclasses.replace(candidate("more"), avoided=True)
+    assert choose(avoided, more, candidate("in", 9)) in ("out", "more")
 
 
 def seconds(value: float) -> datetime.timedelta:
@@ -140,30 +140,30 @@
 
 
 def test_faults_in_a_row_eject_and_a_success_between_does_not() -> None:
-    assert not failing(2).is_ejected(seconds(0))
-    assert failing(3).is_ejected(seconds(0))
+    assert not failing(2).is_avoided(seconds(0))
+    assert failing(3).is_avoided(seconds(0))
     health = failing(2)
     health.record_success()
     health.record_failure(seconds(0))
-    assert not health.is_ejected(seconds(0))
+    assert not health.is_avoided(seconds(0))
 
 
 def test_one_probe_decides_whether_ejection_ends() -> None:
     health = failing(3)
     later = seconds(2)
-    assert not health.is_ejected(later)
+    assert not health.is_avoided(later)
     health.record_sent(later)
-    assert health.is_ejected(later)
+    assert health.is_avoided(later)
     health.record_failure(later)
-    assert health.is_ejected(seconds(3.9))
-    assert not health.is_ejected(seconds(4.1))
+    assert health.is_avoided(seconds(3.9))
+    assert not health.is_avoided(seconds(4.1))
     health.record_sent(seconds(4.1))
     health.record_success()
-    assert not health.is_ejected(seconds(4.1))
+    assert not health.is_avoided(seconds(4.1))
 
 
 def test_probe_without_result_lets_another_through() -> None:
     health = failing(3)
     health.record_sent(seconds(2))
     health.record_no_result()
-    assert not health.is_ejected(seconds(2))
+    assert not health.is_avoided(seconds(2))
