--- a/bench/suspects.py
+++ b/bench/suspects.py
@@ -74,7 +74,7 @@
     ],
     "refuse after 2": [
         (registry_lib, "CRASHES_TO_REFUSE", 2),
-        (registry_lib, "CRASHES_TO_REFUSE_IN_OUTAGE", 2),
+        (registry_lib, "CRASHES_TO_REFUSE_IF_MOST_UNRELATED", 2),
         (edge_state_lib.EdgeState, "choose_backend_for_suspect", _anywhere),
     ],
     "2 if sure, anywhere": [
--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -16,7 +16,8 @@
 - Two are enough if they single it out: no other request was running at both,
   both happened after about the same run time, and no server that did not run
   it crashed around the same time.
-- Four are needed while more servers crash without the request than with it.
+- Four are needed if, around the same time, more servers crashed without the
+  request than with it.
 - A request that completes is cleared of all earlier crashes.
 """
 
@@ -30,14 +31,18 @@
 from lugcross import clock as clock_lib
 from lugcross.crash_suspects import fingerprint
 
-#: Crashes after which a request is refused. Each crash also fails the other
-#: requests of the server, and of its whole rank group if it belongs to one.
+#: Crashes after which a request is refused, unless one of the next two cases
+#: applies. Each crash also fails the other requests of the server, and of its
+#: whole rank group if it belongs to one.
 CRASHES_TO_REFUSE = 3
-#: The same if the crashes single out the request.
-MIN_CRASHES_TO_REFUSE = 2
-#: The same if more servers have crashed without the request than with it: an
-#: innocent request may be running at three unrelated crashes by chance.
-CRASHES_TO_REFUSE_IN_OUTAGE = 4
+#: The same if no other request can explain the crashes and no other server
+#: crashed around the same time.
+CRASHES_TO_REFUSE_IF_SINGLED_OUT = 2
+#: The same if around that time more servers crashed without the request than
+#: with it: an innocent request may be running at three crashes by chance.
+CRASHES_TO_REFUSE_IF_MOST_UNRELATED = 4
+#: With fewer crashes a request is never refused.
+MIN_CRASHES_TO_REFUSE = CRASHES_TO_REFUSE_IF_SINGLED_OUT
 #: Time before and after a crash within which the crash of a server that did
 #: not run the request shows that servers also crash for other reasons: a rack
 #: or failure domain that loses power, or servers that restart in turn.
@@ -55,7 +60,7 @@
 #: Requests kept; beyond that, those with the fewest crashes are evicted.
 MAX_SUSPECTS = 512
 #: Crashes kept per request: one more than can be needed for a decision.
-MAX_CRASHES_KEPT = CRASHES_TO_REFUSE_IN_OUTAGE + 1
+MAX_CRASHES_KEPT = CRASHES_TO_REFUSE_IF_MOST_UNRELATED + 1
 
 
 class SuspectStatus(enum.Enum):
@@ -316,14 +321,14 @@
         others = self._unrelated_crashed_servers(crashes)
         if (
             not others
-            and len(crashes) == MIN_CRASHES_TO_REFUSE
+            and len(crashes) == CRASHES_TO_REFUSE_IF_SINGLED_OUT
             and self._is_only_explanation(crashes)
         ):
-            return MIN_CRASHES_TO_REFUSE
+            return CRASHES_TO_REFUSE_IF_SINGLED_OUT
         return (
             CRASHES_TO_REFUSE
             if len(others) <= len(crashes)
-            else CRASHES_TO_REFUSE_IN_OUTAGE
+            else CRASHES_TO_REFUSE_IF_MOST_UNRELATED
         )
 
     def _unrelated_crashed_servers(
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -119,8 +119,9 @@
             return False
         if checked.fingerprint in self.exempt_requests:
             return True
-        # After that many crashes the retry is left to the caller: by the time
-        # it comes back, reports of other processes will have arrived.
+        # Once crashes may be enough to refuse the request, the retry is left
+        # to the caller: by the time it comes back, reports of other processes
+        # will have arrived.
         return (
             not last_attempt_broke
             or len(self.counted_crashes(checked))
