--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -15,7 +15,6 @@
 from lugcross import crash_suspects
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import avoided_servers as avoided_servers_lib
 from lugcross.edge import backend_choice
 from lugcross.edge import backend_loads as backend_loads_lib
 from lugcross.edge import backends as backends_lib
@@ -25,6 +24,7 @@
 from lugcross.edge import crash_tracker as crash_tracker_lib
 from lugcross.edge import desired_history as desired_history_lib
 from lugcross.edge import eligible_servers as eligible_servers_lib
+from lugcross.edge import flagged_servers as flagged_servers_lib
 from lugcross.edge import metrics as metrics_lib
 from lugcross.edge import retry_policy
 from lugcross.edge import server_backoffs as server_backoffs_lib
@@ -108,8 +108,8 @@
         )
         self.workspace_usage = workspace_usage.WorkspaceUsage(clock)
         self.workspace_usage.weights = settings.shares.weights
-        self.broken_group_servers = avoided_servers_lib.AvoidedServers(clock)
-        self.slow_servers = avoided_servers_lib.AvoidedServers(clock)
+        self.broken_group_servers = flagged_servers_lib.FlaggedServers(clock)
+        self.slow_servers = flagged_servers_lib.FlaggedServers(clock)
         self.backoffs = server_backoffs_lib.ServerBackoffs(clock)
         self.pool = connection_pool.ConnectionPool(clock)
         self.metrics = metrics_lib.EdgeMetrics()
--- a/src/lugcross/edge/avoided_servers.py
+++ b/src/lugcross/edge/flagged_servers.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Backend servers to avoid for now, as reported by edge processes.
+"""Backend servers that edge processes report as broken or slow.
 
 A rank group that has lost a rank refuses requests on all other ranks until it
 forms again, and a slow rank slows down its whole group. The process that
@@ -20,8 +20,12 @@
 
 
 @final
-class AvoidedServers:
-    """Union of the servers that this process and its peers report."""
+class FlaggedServers:
+    """Servers that this process or a peer reports for one reason.
+
+    One instance holds the servers of broken rank groups, another one the slow
+    servers.
+    """
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
@@ -35,7 +39,7 @@
     def report(
         self, reporter: str, keys: Collection[desired.BackendKey]
     ) -> None:
-        """Replace the servers that ``reporter`` wants avoided."""
+        """Replace the servers that the process ``reporter`` reports."""
         now = self._clock.monotonic()
         before, _ = self._reports.get(reporter, (frozenset(), now))
         if not keys:
--- a/src/lugcross/edge/state_sync.py
+++ b/src/lugcross/edge/state_sync.py
@@ -21,7 +21,7 @@
 from lugcross.edge import registration as registration_lib
 from lugcross.edge import settings as settings_lib
 from lugcross.edge import state_transfer
-from lugcross.edge import store_contact
+from lugcross.edge import store_answer_times
 from lugcross.edge import store_readers
 from lugcross.edge import suspect_gossip
 from lugcross.edge import suspect_store
@@ -119,7 +119,7 @@
         #: Newest era of the store that this process has handled.
         self._era: positions.Era | None = None
         self.store_health = topic_follower.StoreHealth(clock)
-        self.store_contact = store_contact.StoreContact(clock)
+        self.store_answer_times = store_answer_times.StoreAnswerTimes(clock)
         self._lags = {
             topic: lag_lib.Lag(clock)
             for topic in (platform.OPERATOR_TOPIC, platform.BACKENDS_TOPIC)
@@ -359,7 +359,7 @@
 
         :returns: -1 if it has never answered, or too long ago to report.
         """
-        age = self.store_contact.own_answer_age(topic)
+        age = self.store_answer_times.own_answer_age(topic)
         if age is None or age > messages.MAX_STORE_ANSWER_AGE_MS * _MS:
             return -1
         return int(age / _MS)
@@ -401,7 +401,7 @@
             (platform.BACKENDS_TOPIC, heartbeat.backends_age_ms),
         ):
             if age_ms >= 0:
-                self.store_contact.record_peer_answer(topic, age_ms * _MS)
+                self.store_answer_times.record_peer_answer(topic, age_ms * _MS)
 
     def _on_new_era(self, era: positions.Era, before: positions.Era) -> None:
         """Write again what the store may have lost.
@@ -478,5 +478,5 @@
 
     def on_store_answer(self, topic: str) -> None:
         """Record that the store has answered a read of a topic."""
-        self.store_contact.record_answer(topic)
+        self.store_answer_times.record_answer(topic)
         self._lags[topic].restart()
--- a/src/lugcross/edge/store_contact.py
+++ b/src/lugcross/edge/store_answer_times.py
@@ -6,14 +6,15 @@
 that they miss nothing, and their long polls may wait longer.
 """
 
+import datetime
 from typing import final
 
 from lugcross import clock as clock_lib
 
 
 @final
-class StoreContact:
-    """Times of the newest answers, by topic."""
+class StoreAnswerTimes:
+    """Times of the store's newest answers, by topic."""
 
     def __init__(self, clock: clock_lib.Clock) -> None:
         self._clock = clock
@@ -25,23 +26,23 @@
         now = self._clock.monotonic()
         self._own_answers[topic] = self._newest_answers[topic] = now
 
-    def record_peer_answer(self, topic: str, age: clock_lib.Instant) -> None:
+    def record_peer_answer(self, topic: str, age: datetime.timedelta) -> None:
         """Record that the store answered a peer ``age`` ago."""
         at = self._clock.monotonic() - age
         self._newest_answers[topic] = max(
             at, self._newest_answers.get(topic, at)
         )
 
-    def own_answer_age(self, topic: str) -> clock_lib.Instant | None:
+    def own_answer_age(self, topic: str) -> datetime.timedelta | None:
         """Return the age of the last answer to this process, if any."""
         return self._age(self._own_answers, topic)
 
-    def newest_answer_age(self, topic: str) -> clock_lib.Instant | None:
+    def newest_answer_age(self, topic: str) -> datetime.timedelta | None:
         """Return the age of the last answer to any process, if known."""
         return self._age(self._newest_answers, topic)
 
     def _age(
         self, answers: dict[str, clock_lib.Instant], topic: str
-    ) -> clock_lib.Instant | None:
+    ) -> datetime.timedelta | None:
         at = answers.get(topic)
         return None if at is None else self._clock.monotonic() - at
--- a/src/lugcross/edge/store_followers.py
+++ b/src/lugcross/edge/store_followers.py
@@ -56,7 +56,7 @@
             return long_poll.must_read_store(state_sync.lag(topic), bound())
 
         def should_restart_read() -> bool:
-            age = state_sync.store_contact.newest_answer_age(topic)
+            age = state_sync.store_answer_times.newest_answer_age(topic)
             return is_late() or long_poll.is_overdue(
                 age, first_reader_wait(), state_sync.reader_index()
             )
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -11,11 +11,11 @@
 
 from lugcross import desired
 from lugcross.edge import admission
-from lugcross.edge import avoided_servers
 from lugcross.edge import backend_choice
 from lugcross.edge import concurrency_limit
 from lugcross.edge import eligible_servers
 from lugcross.edge import event_stream
+from lugcross.edge import flagged_servers
 from lugcross.edge import request_errors
 from lugcross import ids
 
@@ -340,31 +340,31 @@
 
 
 def test_report_of_broken_servers_expires(manual_clock):
-    avoided = avoided_servers.AvoidedServers(manual_clock)
+    flagged = flagged_servers.FlaggedServers(manual_clock)
     key = desired.BackendKey("a")
-    avoided.report("n1", [key])
-    assert avoided.servers() == {key}
+    flagged.report("n1", [key])
+    assert flagged.servers() == {key}
     manual_clock.advance(datetime.timedelta(seconds=3))
-    assert not avoided.servers()
+    assert not flagged.servers()
 
 
 def test_report_after_an_expired_one_counts(manual_clock):
-    avoided = avoided_servers.AvoidedServers(manual_clock)
+    flagged = flagged_servers.FlaggedServers(manual_clock)
     key = desired.BackendKey("a")
     for _ in range(2):
-        avoided.report("n1", [key])
-        assert avoided.servers() == {key}
+        flagged.report("n1", [key])
+        assert flagged.servers() == {key}
         manual_clock.advance(datetime.timedelta(seconds=3))
-        assert not avoided.servers()
+        assert not flagged.servers()
 
 
 def test_servers_are_avoided_while_any_node_reports_them(manual_clock):
-    avoided = avoided_servers.AvoidedServers(manual_clock)
+    flagged = flagged_servers.FlaggedServers(manual_clock)
     one, two = desired.BackendKey("a"), desired.BackendKey("b")
-    avoided.report("n1", [one])
-    avoided.report("n2", [two])
-    avoided.report("n1", [])
-    assert avoided.servers() == {two}
+    flagged.report("n1", [one])
+    flagged.report("n2", [two])
+    flagged.report("n1", [])
+    assert flagged.servers() == {two}
 
 
 def _eligible_servers(near: int, far: int) -> eligible_servers.EligibleServers:
