--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -13,9 +13,9 @@
 #: Fraction of the capacity that is open to callers' retries.
 CALLER_RETRY_CAPACITY_FRACTION = 0.8
 #: Fraction of the capacity that is closed to a request for each more urgent
-#: priority, so that urgent requests find room in a burst.
-RESERVED_FRACTION_PER_PRIORITY = 0.05
-#: Limit of that fraction, so that no priority is starved.
+#: priority in use, so that urgent requests find room in a burst.
+RESERVED_FRACTION_PER_MORE_URGENT_PRIORITY = 0.05
+#: Limit of the sum of these fractions, so that no priority is starved.
 _MAX_RESERVED_FRACTION = 0.15
 #: Fraction of the slots that is open to every request.
 _MIN_SLOT_FRACTION = 0.5
@@ -96,10 +96,10 @@
         - snapshot.requests
         - snapshot.unreported_requests
     )
-    has_free_place = free >= 1.0 and snapshot.min_requests < max(
+    has_capacity = free >= 1.0 and snapshot.min_requests < max(
         max_per_server, 1.0
     )
-    if has_free_place and (
+    if has_capacity and (
         workspace_use is None or workspace_use.may_take_slot(free)
     ):
         return None
@@ -109,7 +109,7 @@
         and snapshot.has_free_slot()
     ):
         return None
-    if has_free_place:
+    if has_capacity:
         return "the workspace exceeds its fair share of a full service"
     return "every backend server is full"
 
@@ -126,7 +126,7 @@
         else 1.0
     )
     fraction -= min(
-        RESERVED_FRACTION_PER_PRIORITY
+        RESERVED_FRACTION_PER_MORE_URGENT_PRIORITY
         * admission_request.more_urgent_priorities,
         _MAX_RESERVED_FRACTION,
     )
--- a/src/lugcross/edge/concurrency_limit.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -23,19 +23,20 @@
 #: that read long prompts take longer, and one late event makes its whole
 #: stream late.
 _MEAN_GAP_FRACTION = 0.77
-#: Fraction of the slots that is always used.
+#: Fraction of the slots that is always used: the lowest limit.
 _MIN_SLOT_FRACTION = 0.5
 #: Fraction of the slots that is used before the first gap is observed.
 _DEFAULT_SLOT_FRACTION = 0.67
 #: Cost of a request relative to the engine's specification at the worst skew
 #: of the experts' load. Any further pass time is not due to requests.
 _MAX_REQUEST_COST_FACTOR = 4.0
-#: Requests per engine below which the maximum event gap cannot be kept by any
-#: useful limit.
-_MIN_REACHABLE_REQUESTS = 0.5
-#: Fraction of the lowest limit that must be possible again before the maximum
-#: event gap counts as reachable; avoids a change at each shorter pass.
-_RECOVERY_FRACTION = 0.6
+#: The maximum event gap counts as unreachable if it can be kept only with
+#: fewer requests per engine than this.
+_MIN_REQUESTS_WITHIN_GAP = 0.5
+#: Once it is unreachable, it counts as reachable only if it can be kept with
+#: this fraction of the lowest limit. Otherwise each shorter pass would change
+#: the limit.
+_REACHABLE_AGAIN_FRACTION = 0.6
 #: Factor on the maximum event gap while it cannot be kept. Streams are late
 #: then, but typical ones still end well before their deadlines.
 _RELAXED_GAP_FACTOR = 3.0
@@ -118,9 +119,9 @@
         ) / request_cost_ms
         min_requests = engine.slots * _MIN_SLOT_FRACTION
         threshold = (
-            min_requests * _RECOVERY_FRACTION
+            min_requests * _REACHABLE_AGAIN_FRACTION
             if self._event_gap_unreachable
-            else _MIN_REACHABLE_REQUESTS
+            else _MIN_REQUESTS_WITHIN_GAP
         )
         self._event_gap_unreachable = (
             has_slow_rank and max_requests < threshold
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -44,21 +44,22 @@
     """Eligible servers of a service, and the inputs they were computed from.
 
     :param listed: usable servers of the service.
-    :param excluded: sets of servers that were excluded.
-    :param servers: the result.
+    :param filter_sets: the servers of broken groups, those that are backing
+        off and the slow ones, of all services.
+    :param servers: the result, which may include slow servers.
     """
 
     listed: tuple[desired.Backend, ...]
-    excluded: tuple[frozenset[desired.BackendKey], ...]
+    filter_sets: tuple[frozenset[desired.BackendKey], ...]
     servers: eligible_servers_lib.EligibleServers
 
     def is_current(
         self,
         listed: tuple[desired.Backend, ...],
-        excluded: tuple[frozenset[desired.BackendKey], ...],
+        filter_sets: tuple[frozenset[desired.BackendKey], ...],
     ) -> bool:
         """Tell whether the inputs are the same objects as before."""
-        pairs = zip(self.excluded, excluded, strict=True)
+        pairs = zip(self.filter_sets, filter_sets, strict=True)
         return self.listed is listed and all(a is b for a, b in pairs)
 
 
@@ -116,7 +117,7 @@
         self.crash_tracker = crash_tracker_lib.CrashTracker(
             clock, software_versions=self.software_versions
         )
-        self.crash_tracker.exempt_requests = _cleared_requests(
+        self.crash_tracker.exempt_requests = _exempt_requests(
             settings.suspects
         )
         self._eligible_servers: dict[
@@ -161,7 +162,7 @@
         bounds = settings.bounds
         self.bounds = bounds
         self.workspace_usage.weights = settings.shares.weights
-        self.crash_tracker.exempt_requests = _cleared_requests(
+        self.crash_tracker.exempt_requests = _exempt_requests(
             settings.suspects
         )
         for budget in self._retry_budgets.values():
@@ -471,10 +472,10 @@
         self.loads.retain_only(known)
 
 
-def _cleared_requests(
+def _exempt_requests(
     cfg: settings_lib.Suspects,
 ) -> frozenset[crash_suspects.Fingerprint]:
-    """Return the fingerprints that the operator has cleared."""
+    """Return the fingerprints of requests that the operator lets run."""
     return frozenset(
         crash_suspects.Fingerprint(bytes.fromhex(one)) for one in cfg.cleared
     )
