--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -19,7 +19,7 @@
 #: Penalty added to the load of servers in other failure domains, as a
 #: fraction of their slots. It accounts for the traffic and a few ms of
 #: latency.
-OTHER_DOMAIN_PENALTY = 0.17
+OTHER_DOMAIN_PENALTY_FRACTION = 0.17
 
 
 @final
@@ -94,7 +94,9 @@
         key=lambda c: (
             c.load
             + (
-                0.0 if c.backend.domain == own_domain else OTHER_DOMAIN_PENALTY
+                0.0
+                if c.backend.domain == own_domain
+                else OTHER_DOMAIN_PENALTY_FRACTION
             ),
             rng.random(),
         ),
--- a/src/lugcross/routing/backend_choice.py
+++ b/src/lugcross/routing/backend_choice.py
@@ -16,7 +16,7 @@
 
 #: Penalty added to the load of servers in other failure domains, as a
 #: fraction of a server's capacity.
-OTHER_DOMAIN_PENALTY = 0.5
+OTHER_DOMAIN_PENALTY_FRACTION = 0.5
 
 
 @final
@@ -113,5 +113,5 @@
     remote = candidate.domain != own_domain
     # Add one so that a slow engine costs more even when it is idle.
     return (candidate.load + 1.0) * slowdown + (
-        OTHER_DOMAIN_PENALTY if remote else 0.0
+        OTHER_DOMAIN_PENALTY_FRACTION if remote else 0.0
     )
--- a/src/lugcross/routing/windowed_retry_budget.py
+++ b/src/lugcross/routing/windowed_retry_budget.py
@@ -21,7 +21,7 @@
 _SLACK_RATIO = 0.5
 #: Retries per window that need not be earned, so that a lost connection does
 #: not fail the first requests of a process.
-_FREE_RETRIES = 1
+_FREE_RETRY_COUNT = 1
 
 
 @final
@@ -75,7 +75,7 @@
         for times in (self._request_times, self._retry_times):
             while times and now - times[0] > self._window:
                 times.popleft()
-        earned = _FREE_RETRIES + self._ratio * len(self._request_times)
+        earned = _FREE_RETRY_COUNT + self._ratio * len(self._request_times)
         if peers:
             earned += self._slack / (peers + 1)
         if len(self._retry_times) + 1 > max(1.0, earned * budget_fraction):
--- a/src/lugcross/shares/fair_queue.py
+++ b/src/lugcross/shares/fair_queue.py
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-"""Fair queue of one backend server, with shares measured in tokens.
+"""Fair queue of one backend server; shares are counted in tokens.
 
 Hierarchical start-time fair queueing: workspace groups are served by weight,
 and the workspaces within a group evenly. A request is charged its estimated
