--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -158,9 +158,9 @@
 
     def __init__(self) -> None:
         self._records: dict[fingerprint.Fingerprint, SuspectRecord] = {}
-        #: For servers that were reported as crashed but answered: when the
-        #: answered request was sent. Earlier reports were wrong.
-        self._answered_since: dict[str, clock_lib.Instant] = {}
+        #: For servers that were reported as crashed but answered a request:
+        #: when that request was sent. Crashes reported from before are wrong.
+        self._answered_sent_at: dict[str, clock_lib.Instant] = {}
         #: Servers named in any record; None if it must be recomputed.
         self._crashed_servers_cache: frozenset[str] | None = None
 
@@ -214,18 +214,18 @@
         self._crashed_servers_cache = None
         return True
 
-    def record_answer(self, server: str, since: clock_lib.Instant) -> None:
+    def record_answer(self, server: str, sent_at: clock_lib.Instant) -> None:
         """Record that a server has answered a request.
 
         Reports that it crashed before the request was sent were wrong, for
         example because a connection was refused for another reason, and are
         discarded.
 
-        :param since: when the answered request was sent.
+        :param sent_at: when the answered request was sent.
         """
         if server not in self._crashed_servers():
             return
-        self._answered_since[server] = since
+        self._answered_sent_at[server] = sent_at
         for request, record in list(self._records.items()):
             left = tuple(
                 crash
@@ -254,9 +254,9 @@
         for request, record in list(self._records.items()):
             if record.changed_at <= now - SUSPICION_TTL:
                 del self._records[request]
-        for server, at in list(self._answered_since.items()):
+        for server, at in list(self._answered_sent_at.items()):
             if at <= now - SUSPICION_TTL:
-                del self._answered_since[server]
+                del self._answered_sent_at[server]
         self._crashed_servers_cache = None
 
     def suspects_sharing_crashes(
@@ -369,8 +369,8 @@
         return sum(servers <= others for others in server_sets) == 1
 
     def _is_disproved(self, crash: ServerCrash) -> bool:
-        since = self._answered_since.get(crash.server)
-        return since is not None and crash.crashed_at < since
+        sent_at = self._answered_sent_at.get(crash.server)
+        return sent_at is not None and crash.crashed_at < sent_at
 
     def _evict_least_suspect(self) -> None:
         least = min(
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -55,13 +55,13 @@
 class AdmissionRequest:
     """What admission looks at in a request.
 
-    :param workspace_use: use of its workspace; none where keys are not used.
+    :param workspace_quota: use of its workspace; none where keys are not used.
     :param is_caller_retry: whether the caller retries a refused request.
     :param more_urgent_priorities: number of priorities in use at the service
         that are more urgent than the request's.
     """
 
-    workspace_use: shares.WorkspaceQuota | None = None
+    workspace_quota: shares.WorkspaceQuota | None = None
     is_caller_retry: bool = False
     more_urgent_priorities: int = 0
 
@@ -89,7 +89,7 @@
 
     :param max_per_server: requests that one server may have at once.
     """
-    workspace_use = admission_request.workspace_use
+    workspace_quota = admission_request.workspace_quota
     capacity = max_per_server * snapshot.servers
     free = (
         _capacity_for(snapshot, capacity, admission_request)
@@ -100,12 +100,12 @@
         max_per_server, 1.0
     )
     if has_capacity and (
-        workspace_use is None or workspace_use.may_take_slot(free)
+        workspace_quota is None or workspace_quota.may_take_slot(free)
     ):
         return None
     if (
-        workspace_use is not None
-        and workspace_use.is_within_share(capacity)
+        workspace_quota is not None
+        and workspace_quota.is_within_share(capacity)
         and snapshot.has_free_slot()
     ):
         return None
--- a/src/lugcross/edge/app.py
+++ b/src/lugcross/edge/app.py
@@ -310,7 +310,7 @@
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL_S)
-            self.edge_state.forget_gone_backends()
+            self.edge_state.drop_outdated()
             self.reload_if_changed()
 
     async def _drain(self) -> None:
--- a/src/lugcross/edge/backend_loads.py
+++ b/src/lugcross/edge/backend_loads.py
@@ -21,7 +21,7 @@
 #: Age after which a peer's report is discarded: several of its heartbeats
 #: were lost, or the peer is gone and its requests with it.
 _PEER_REPORT_MAX_AGE = datetime.timedelta(seconds=1.5)
-#: Age after which the load that a server reported in an answer is discarded:
+#: Age after which the load that a server reported in a response is discarded:
 #: about the time in which its requests are replaced by others.
 _REPORTED_LOAD_MAX_AGE = datetime.timedelta(milliseconds=500)
 #: Mean age of reports from peers in the same failure domain: half of the
@@ -34,7 +34,7 @@
 @final
 @dataclasses.dataclass
 class _ReportedLoad:
-    """Number of requests that a server reported in an answer."""
+    """Number of requests that a server reported in a response."""
 
     requests: int
     at: clock_lib.Instant
@@ -45,7 +45,7 @@
     """Estimated requests in progress on each backend server, and its health.
 
     Combines this process's own requests, the counts reported by peers and the
-    loads that servers report in their answers.
+    loads that servers report in their responses.
 
     :param service_of: returns the service of a backend server, or None if it
         is not known.
@@ -86,7 +86,7 @@
     def record_reported_load(
         self, key: desired.BackendKey, load: platform.ServerLoad
     ) -> None:
-        """Record the load that a server reported in an answer."""
+        """Record the load that a server reported in a response."""
         self._reported[key] = _ReportedLoad(
             load.running + load.waiting, self._clock.monotonic()
         )
--- a/src/lugcross/edge/connection_pool.py
+++ b/src/lugcross/edge/connection_pool.py
@@ -30,7 +30,7 @@
 class _IdleConnection:
     """An idle connection.
 
-    :param idle_since: when its last answer ended.
+    :param idle_since: when its last response ended.
     :param expires_at: time from which on it is not reused.
     """
 
--- a/src/lugcross/edge/crash_tracker.py
+++ b/src/lugcross/edge/crash_tracker.py
@@ -46,7 +46,7 @@
         self._probes: dict[desired.BackendKey, asyncio.Task[bool]] = {}
         #: When each server was first found to have crashed.
         self._crashed_at: dict[desired.BackendKey, clock_lib.Instant] = {}
-        self._pending_notes: set[asyncio.Task[None]] = set()
+        self._pending_checks: set[asyncio.Task[None]] = set()
         self.registry = crash_suspects.SuspectRegistry()
         #: Requests that an operator allows to run whatever they crashed.
         self.exempt_requests: frozenset[crash_suspects.Fingerprint] = (
@@ -146,36 +146,36 @@
         self,
         checked: checked_request.CheckedRequest,
         backend: desired.Backend,
-        since: clock_lib.Instant,
+        sent_at: clock_lib.Instant,
     ) -> None:
         """Find out whether the server crashed, and record it if so.
 
         This completes even if the caller is cancelled meanwhile, for example
         because its client has disconnected.
 
-        :param since: when the attempt was sent. If the server had crashed
+        :param sent_at: when the attempt was sent. If the server had crashed
             before that, the request never ran there.
         """
         task = asyncio.create_task(
-            self._check_for_crash(checked, backend, since)
+            self._check_for_crash(checked, backend, sent_at)
         )
-        self._pending_notes.add(task)
-        task.add_done_callback(self._pending_notes.discard)
+        self._pending_checks.add(task)
+        task.add_done_callback(self._pending_checks.discard)
         await asyncio.shield(task)
 
     async def _check_for_crash(
         self,
         checked: checked_request.CheckedRequest,
         backend: desired.Backend,
-        since: clock_lib.Instant,
+        sent_at: clock_lib.Instant,
     ) -> None:
         if not await self._has_crashed(backend):
             return
         now = self._clock.monotonic()
-        if self._crashed_at.setdefault(backend.key, now) < since:
+        if self._crashed_at.setdefault(backend.key, now) < sent_at:
             return
         crash = crash_suspects.ServerCrash(
-            backend.key, backend.software_version, now, now - since
+            backend.key, backend.software_version, now, now - sent_at
         )
         if not self.registry.record_crash(checked.fingerprint, crash, now):
             return
@@ -212,18 +212,18 @@
         self,
         checked: checked_request.CheckedRequest,
         backend: desired.Backend,
-        since: clock_lib.Instant,
+        sent_at: clock_lib.Instant,
     ) -> None:
         """Record that a request completed, and clear it if it was suspect.
 
-        :param since: when it was sent.
+        :param sent_at: when it was sent.
         """
-        if self._crashed_at.get(backend.key, since) < since:
+        if self._crashed_at.get(backend.key, sent_at) < sent_at:
             # The connection was refused for a reason other than a crash.
             del self._crashed_at[backend.key]
         if not len(self.registry):
             return
-        self.registry.record_answer(backend.key, since)
+        self.registry.record_answer(backend.key, sent_at)
         if not self.registry.record_completion(
             checked.fingerprint, self._clock.monotonic()
         ):
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -292,10 +292,10 @@
         :param workspace: none where keys are not used.
         :param is_caller_retry: whether the caller retries a refused request.
         """
-        workspace_use = None
+        workspace_quota = None
         priority = route.priority
         if workspace is not None:
-            workspace_use = self.workspace_usage.use_of(
+            workspace_quota = self.workspace_usage.quota_of(
                 service, workspace.name
             )
             if workspace.priority is not None:
@@ -305,7 +305,7 @@
             state.count_priorities_ahead(service, priority) if state else 0
         )
         return admission.AdmissionRequest(
-            workspace_use=workspace_use,
+            workspace_quota=workspace_quota,
             is_caller_retry=is_caller_retry,
             more_urgent_priorities=more_urgent_priorities,
         )
@@ -455,7 +455,7 @@
 
         Part of the budget is reserved for broken attempts. Refusals often
         come from all servers at once, and their callers can retry, while the
-        answer of a broken attempt is lost.
+        response of a broken attempt is lost.
         """
         refused = outcome is retry_policy.AttemptOutcome.NOT_RUN
         return self.retry_budget(service).try_spend(
@@ -464,8 +464,8 @@
             peers=self.count_known_peers(),
         )
 
-    def forget_gone_backends(self) -> None:
-        """Drop connections, loads and suspicions that are out of date."""
+    def drop_outdated(self) -> None:
+        """Drop expired suspicions, connections, and state of gone servers."""
         self.crash_tracker.drop_expired()
         known = {one.key for one in self.backends.all()}
         self.pool.close_unusable(known)
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -60,10 +60,10 @@
         )
 
     async def run(self) -> None:
-        """Forward the request and write its answer to the caller.
+        """Forward the request and write its response to the caller.
 
-        :raises request_errors.RequestError: when no answer can be given, or
-            one that was started cannot be completed.
+        :raises request_errors.RequestError: when no response can be given,
+            or one that was started cannot be completed.
         :raises http1.CallerDisconnectedError: when the caller has closed its
             connection.
         """
--- a/src/lugcross/edge/request_handler.py
+++ b/src/lugcross/edge/request_handler.py
@@ -49,7 +49,7 @@
     async def handle(
         self, response: http1.ResponseWriter, req: http1.Request
     ) -> None:
-        """Handle one request and write its answer or an error response.
+        """Forward one request, or write an error response to the caller.
 
         :raises http1.CallerDisconnectedError: when the caller has closed its
             connection.
@@ -182,7 +182,7 @@
         """Return the workspace's use and fair share, as log fields."""
         if checked.workspace_name is None:
             return {}
-        workspace_use = self._edge_state.workspace_usage.use_of(
+        workspace_quota = self._edge_state.workspace_usage.quota_of(
             checked.service, checked.workspace_name
         )
         capacity = (
@@ -193,6 +193,6 @@
         )
         return {
             "workspace": checked.workspace_name,
-            "use": workspace_use.in_progress,
-            "share": round(workspace_use.fair_share(capacity), 1),
+            "use": workspace_quota.in_progress,
+            "share": round(workspace_quota.fair_share(capacity), 1),
         }
--- a/src/lugcross/edge/retry_policy.py
+++ b/src/lugcross/edge/retry_policy.py
@@ -15,7 +15,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt ended that did not get a complete successful answer.
+    """How an attempt ended without a complete successful response.
 
     ``UNREACHED``: no connection could be made, so nothing was sent.
     ``NOT_RUN``: the backend server stated that it did not run the request.
--- a/src/lugcross/edge/workspace_usage.py
+++ b/src/lugcross/edge/workspace_usage.py
@@ -96,7 +96,7 @@
         for service, counts in counts_by_service.items():
             self._counts(service).set_peer_counts(node, counts)
 
-    def use_of(
+    def quota_of(
         self, service: ids.ServiceName, workspace: ids.WorkspaceName
     ) -> shares.WorkspaceQuota:
         """Return the workspace's use and weight at ``service``."""
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -108,11 +108,11 @@
 def test_lower_use_is_never_refused_where_higher_is_admitted(
     use, free_places, weight
 ):
-    workspace_use = shares.WorkspaceQuota(in_progress=use, weight=weight)
+    workspace_quota = shares.WorkspaceQuota(in_progress=use, weight=weight)
     less = shares.WorkspaceQuota(in_progress=max(0, use - 1), weight=weight)
-    assert less.may_take_slot(free_places) or not workspace_use.may_take_slot(
+    assert less.may_take_slot(
         free_places
-    )
+    ) or not workspace_quota.may_take_slot(free_places)
 
 
 @given(
@@ -142,17 +142,17 @@
     there.request_started(SERVICE, SPACE_A)
     here.apply_peer_counts("n2", there.own_counts())
     here.request_started(SERVICE, SPACE_B)
-    assert here.use_of(SERVICE, SPACE_A).in_progress == 2
-    assert here.use_of(SERVICE, SPACE_A).total_weight == 2.0
+    assert here.quota_of(SERVICE, SPACE_A).in_progress == 2
+    assert here.quota_of(SERVICE, SPACE_A).total_weight == 2.0
     here.apply_peer_counts("n2", {})
-    assert here.use_of(SERVICE, SPACE_A).in_progress == 0
+    assert here.quota_of(SERVICE, SPACE_A).in_progress == 0
 
 
 def test_fair_share_follows_weights():
     found = _workspace_usage(a=3.0)
     found.request_started(SERVICE, SPACE_B)
-    assert found.use_of(SERVICE, SPACE_A).fair_share(40.0) == 30.0
-    assert found.use_of(SERVICE, SPACE_B).fair_share(40.0) == 40.0
+    assert found.quota_of(SERVICE, SPACE_A).fair_share(40.0) == 30.0
+    assert found.quota_of(SERVICE, SPACE_B).fair_share(40.0) == 40.0
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("inf")], ids=str)
@@ -174,7 +174,7 @@
 def test_unknown_usage_hash_is_ignored():
     found = _workspace_usage()
     found.apply_peer_counts("n2", {12345: 9})
-    assert found.use_of(SERVICE, SPACE_A).in_progress == 0
+    assert found.quota_of(SERVICE, SPACE_A).in_progress == 0
 
 
 def _admission_request(**fields) -> admission.AdmissionRequest:
@@ -197,16 +197,16 @@
     full = _load_snapshot(64)
     assert (
         admission.refusal_reason(
-            full, 4.0, _admission_request(workspace_use=below)
+            full, 4.0, _admission_request(workspace_quota=below)
         )
         is None
     )
     assert admission.refusal_reason(
-        full, 4.0, _admission_request(workspace_use=over)
+        full, 4.0, _admission_request(workspace_quota=over)
     )
     slots_taken = _load_snapshot(96)
     assert admission.refusal_reason(
-        slots_taken, 4.0, _admission_request(workspace_use=below)
+        slots_taken, 4.0, _admission_request(workspace_quota=below)
     )
 
 
@@ -214,13 +214,13 @@
     over = shares.WorkspaceQuota(in_progress=40, total_weight=10.0)
     assert "exceeds its fair share" in (
         admission.refusal_reason(
-            _load_snapshot(62), 4.0, _admission_request(workspace_use=over)
+            _load_snapshot(62), 4.0, _admission_request(workspace_quota=over)
         )
         or ""
     )
     assert "every backend" in (
         admission.refusal_reason(
-            _load_snapshot(64), 4.0, _admission_request(workspace_use=over)
+            _load_snapshot(64), 4.0, _admission_request(workspace_quota=over)
         )
         or ""
     )
