--- a/bench/admission.py
+++ b/bench/admission.py
@@ -60,7 +60,9 @@
     """Look up what one request asks for."""
     found = edge_state.choose_backend(SERVICE, ())
     assert found is not None
-    edge_state.load_snapshot(SERVICE, min_requests=found.min_requests)
+    edge_state.load_snapshot(
+        SERVICE, least_busy_requests=found.least_busy_requests
+    )
 
 
 def _measure(peers: int, servers: int) -> float:
--- a/bench/share_fleet.py
+++ b/bench/share_fleet.py
@@ -196,7 +196,7 @@
         if found is None:
             return None
         snapshot = edge_state.load_snapshot(
-            SERVICE, min_requests=found.min_requests
+            SERVICE, least_busy_requests=found.least_busy_requests
         )
         space = desired.Workspace(name=ids.WorkspaceName(name))
         admission_request = edge_state.admission_request(ROUTE, SERVICE, space)
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -29,7 +29,8 @@
     :param servers: number of eligible backend servers.
     :param slots: slots of all eligible servers.
     :param requests: requests in progress at all eligible servers.
-    :param min_requests: requests at the least busy server of the sample.
+    :param least_busy_requests: requests at the least busy server that was
+        compared for the request.
     :param unreported_requests: estimate of the requests that peers have sent
         since their last heartbeat.
     """
@@ -37,7 +38,7 @@
     servers: int
     slots: int
     requests: int
-    min_requests: int
+    least_busy_requests: int
     unreported_requests: float
 
     def has_free_slot(self) -> bool:
@@ -47,7 +48,10 @@
         free slot, which takes a fraction of a second.
         """
         has_free_total = self.requests < self.slots
-        return has_free_total and self.min_requests * self.servers < self.slots
+        return (
+            has_free_total
+            and self.least_busy_requests * self.servers < self.slots
+        )
 
 
 @final
@@ -96,7 +100,7 @@
         - snapshot.requests
         - snapshot.unreported_requests
     )
-    has_capacity = free >= 1.0 and snapshot.min_requests < max(
+    has_capacity = free >= 1.0 and snapshot.least_busy_requests < max(
         max_per_server, 1.0
     )
     if has_capacity and (
--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -50,14 +50,14 @@
 @final
 @dataclasses.dataclass(frozen=True)
 class BackendChoice:
-    """The best candidate, and the load of the least loaded one.
+    """The best candidate, and the requests on the least busy one.
 
-    :param min_requests: lowest number of requests of any candidate, including
-        those already tried.
+    :param least_busy_requests: lowest number of requests of any candidate,
+        including those already tried.
     """
 
     best: Candidate
-    min_requests: int
+    least_busy_requests: int
 
 
 def choose_backend(
--- a/src/lugcross/edge/concurrency_limit.py
+++ b/src/lugcross/edge/concurrency_limit.py
@@ -117,9 +117,9 @@
         max_requests = (
             max_event_gap / _MS * _MEAN_GAP_FRACTION - fixed_ms
         ) / request_cost_ms
-        min_requests = engine.slots * _MIN_SLOT_FRACTION
+        lowest_limit = engine.slots * _MIN_SLOT_FRACTION
         threshold = (
-            min_requests * _REACHABLE_AGAIN_FRACTION
+            lowest_limit * _REACHABLE_AGAIN_FRACTION
             if self._event_gap_unreachable
             else _MIN_REQUESTS_WITHIN_GAP
         )
@@ -130,7 +130,7 @@
             max_requests = (
                 max_event_gap / _MS * _RELAXED_GAP_FACTOR - fixed_ms
             ) / request_cost_ms
-        return min(float(engine.slots), max(min_requests, max_requests))
+        return min(float(engine.slots), max(lowest_limit, max_requests))
 
 
 def _smoothed(mean_ms: float | None, observed_ms: float) -> float:
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -247,18 +247,19 @@
         )
 
     def load_snapshot(
-        self, service: ids.ServiceName, *, min_requests: int = 0
+        self, service: ids.ServiceName, *, least_busy_requests: int = 0
     ) -> admission.LoadSnapshot:
         """Return this process's estimate of the load of ``service``.
 
-        :param min_requests: requests at the least busy server of the sample.
+        :param least_busy_requests: requests at the least busy server that was
+            compared for the request; 0 if none was.
         """
         servers = self.eligible_servers(service)
         return admission.LoadSnapshot(
             servers=len(servers),
             slots=servers.slots,
             requests=self.loads.total_requests(servers.keys),
-            min_requests=min_requests,
+            least_busy_requests=least_busy_requests,
             unreported_requests=self.loads.unreported_requests(service),
         )
 
@@ -406,7 +407,7 @@
             backend_choice.Candidate(
                 backend=free[key], requests=self.loads.requests_at(key)
             ),
-            best_choice.min_requests,
+            best_choice.least_busy_requests,
         )
 
     def _choose_among(
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -92,11 +92,11 @@
         is_caller_retry = self._edge_state.caller_retry_detector(
             self._checked.route.name
         ).is_caller_retry(self._checked.caller_head.time_left)
-        found = self._choose_backend()
-        reason = self._refusal_reason(found, is_caller_retry=is_caller_retry)
-        if found is None or reason is not None:
-            raise self._refusal_error(found, reason)
-        return found.best.backend
+        choice = self._choose_backend()
+        reason = self._refusal_reason(choice, is_caller_retry=is_caller_retry)
+        if choice is None or reason is not None:
+            raise self._refusal_error(choice, reason)
+        return choice.best.backend
 
     def _refuse_crash_suspect(self) -> None:
         """Raise if the request has crashed too many servers already.
@@ -118,7 +118,7 @@
 
     def _refusal_reason(
         self,
-        found: backend_choice.BackendChoice | None,
+        choice: backend_choice.BackendChoice | None,
         *,
         is_caller_retry: bool,
     ) -> str | None:
@@ -127,7 +127,9 @@
         return admission.refusal_reason(
             edge_state.load_snapshot(
                 checked.service,
-                min_requests=found.min_requests if found else 0,
+                least_busy_requests=choice.least_busy_requests
+                if choice
+                else 0,
             ),
             edge_state.max_requests_per_server(checked.route, checked.service),
             edge_state.admission_request(
@@ -139,9 +141,9 @@
         )
 
     def _refusal_error(
-        self, found: backend_choice.BackendChoice | None, reason: str | None
+        self, choice: backend_choice.BackendChoice | None, reason: str | None
     ) -> request_errors.RequestError:
-        if found is not None:
+        if choice is not None:
             return request_errors.overloaded(
                 reason or "", self._time_left(), self._rng
             )
@@ -174,18 +176,18 @@
             )
             self._state = retry_policy.state_after(self._state, outcome)
             await self._check_for_crash(outcome, backend)
-            found = self._choose_backend()
+            choice = self._choose_backend()
             action = retry_policy.next_action(
                 self._state,
                 outcome,
-                retry_available=found is not None
+                retry_available=choice is not None
                 and self._spend_retry(outcome),
             )
             self._log_attempt(outcome, backend, action)
-            if action is not retry_policy.Action.RETRY or found is None:
+            if action is not retry_policy.Action.RETRY or choice is None:
                 await self._finish_unanswered(action, outcome)
                 return
-            backend = found.best.backend
+            backend = choice.best.backend
 
     async def _send(
         self, backend: desired.Backend
--- a/testing/edge/test_decisions.py
+++ b/testing/edge/test_decisions.py
@@ -81,7 +81,7 @@
         "servers": 4,
         "slots": 24,
         "requests": 0,
-        "min_requests": 0,
+        "least_busy_requests": 0,
         "unreported_requests": 0.0,
     }
     return admission.LoadSnapshot(**(usual | fields))
--- a/testing/edge/test_fairness.py
+++ b/testing/edge/test_fairness.py
@@ -90,7 +90,7 @@
             servers=SERVERS,
             slots=SERVERS * SLOTS_PER_SERVER,
             requests=len(self.running_until),
-            min_requests=len(self.running_until) // SERVERS,
+            least_busy_requests=len(self.running_until) // SERVERS,
             unreported_requests=0.0,
         )
         verdict = admission.refusal_reason(
--- a/testing/edge/test_shares.py
+++ b/testing/edge/test_shares.py
@@ -186,7 +186,7 @@
         servers=16,
         slots=96,
         requests=requests,
-        min_requests=requests // 16,
+        least_busy_requests=requests // 16,
         unreported_requests=0.0,
     )
 
