--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -109,7 +109,7 @@
 
     @property
     def crashes_since_cleared(self) -> tuple[ServerCrash, ...]:
-        """The crashes that count against the request."""
+        """The crashes after the request last completed."""
         if self.cleared_at is None:
             return self.crashes
         return tuple(
@@ -262,7 +262,7 @@
     def suspects_sharing_crashes(
         self, request: fingerprint.Fingerprint
     ) -> list[fingerprint.Fingerprint]:
-        """Return the other suspects of any crash that counts against it."""
+        """Return the other suspects of any crash since it last completed."""
         record = self._records.get(request)
         if record is None:
             return []
--- a/src/lugcross/edge/admission.py
+++ b/src/lugcross/edge/admission.py
@@ -42,10 +42,11 @@
     unreported_requests: float
 
     def has_free_slot(self) -> bool:
-        """Tell whether a slot is free, unreported requests aside.
+        """Return whether a slot is free in total and at the least busy server.
 
-        If they have taken it, the request waits at its server for the next
-        free slot, which takes a fraction of a second.
+        Unreported requests are left out. If they have taken the slot, the
+        request waits at its server for the next one, which takes a fraction
+        of a second.
         """
         has_free_total = self.requests < self.slots
         return (
@@ -59,7 +60,8 @@
 class AdmissionRequest:
     """What admission looks at in a request.
 
-    :param workspace_quota: use of its workspace; none where keys are not used.
+    :param workspace_quota: quota of its workspace; None if its route
+        needs no API key.
     :param is_caller_retry: whether the caller retries a refused request.
     :param more_urgent_priorities: number of priorities in use at the service
         that are more urgent than the request's.
@@ -75,14 +77,16 @@
     max_per_server: float,
     admission_request: AdmissionRequest,
 ) -> str | None:
-    """Return why a request is refused for now, or none if it is admitted.
+    """Return why a request is refused for now, or None if it is admitted.
 
     Under lasting overload some requests must be refused. A caller's retry has
     little time left, so a slot is worth less to it than to a new request,
     which would become late in turn. Part of the capacity is therefore closed
     to callers' retries, and another part to less urgent requests.
 
-    In a full service a workspace that exceeds its share is refused first
+    A service is full when its servers have ``max_per_server`` requests each,
+    which may be fewer than their slots. When it is nearly full, a workspace
+    that exceeds its share is refused first
     (:mod:`lugcross.shares.dynamic_limit`). A workspace below its share is
     admitted even to a full service while there are free slots: the streams
     of the workspaces that exceed their shares end within seconds, and passes
@@ -159,7 +163,7 @@
         self._longest_time_left = datetime.timedelta()
 
     def is_caller_retry(self, time_left: datetime.timedelta | None) -> bool:
-        """Record a request; tell whether it is probably a caller's retry."""
+        """Record a request; return whether it is probably a caller's retry."""
         if time_left is None:
             return False
         if time_left >= self._longest_time_left:
--- a/src/lugcross/edge/attempt.py
+++ b/src/lugcross/edge/attempt.py
@@ -39,7 +39,7 @@
     """The response to the caller; shared by all attempts of a request.
 
     :ivar started: whether part of the response has been written.
-    :ivar first_byte_at: when the first part was written; none before.
+    :ivar first_byte_at: when the first part was written; None before.
     :ivar status: status of the response; 0 before it is started.
     :ivar last_event_id: id of the last event that was written; before that,
         the one that the caller resumes after, if any.
@@ -147,7 +147,7 @@
     async def run(self) -> retry_policy.AttemptOutcome | None:
         """Send the request and forward the response.
 
-        :returns: none if the caller has the complete response, otherwise why
+        :returns: None if the caller has the complete response, otherwise why
             it has not.
         :raises http1.CallerDisconnectedError: when the caller has closed its
             connection.
--- a/src/lugcross/edge/backend_choice.py
+++ b/src/lugcross/edge/backend_choice.py
@@ -29,8 +29,8 @@
 
     :param requests: estimated number of requests in progress.
     :param avoided: whether requests should go to other servers for now.
-    :param on_probation: whether it was avoided for a while and has not
-        answered a request since.
+    :param on_probation: whether it is avoided, or was and has not answered a
+        request since.
     :param probing_after_backoff: whether the probe after a backoff is still
         in progress.
     """
@@ -83,8 +83,8 @@
         for c in candidates
         if c.backend.key not in tried and not c.probing_after_backoff
     ]
-    healthy = [c for c in untried if not c.avoided]
-    pool = healthy or untried
+    preferred = [c for c in untried if not c.avoided]
+    pool = preferred or untried
     if tried:
         pool = [c for c in pool if not c.on_probation] or pool
     if not pool:
--- a/src/lugcross/edge/connection_pool.py
+++ b/src/lugcross/edge/connection_pool.py
@@ -88,7 +88,7 @@
     ) -> None:
         """Return a connection to the pool; close it if it is not reusable.
 
-        :param keep_alive: the server's ``Keep-Alive`` timeout; none if it
+        :param keep_alive: the server's ``Keep-Alive`` timeout; None if it
             sent none.
         """
         idle = self._idle.setdefault(backend.key, [])
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -58,7 +58,7 @@
         listed: tuple[desired.Backend, ...],
         filter_sets: tuple[frozenset[desired.BackendKey], ...],
     ) -> bool:
-        """Tell whether the inputs are the same objects as before."""
+        """Return whether the inputs are the same objects as before."""
         pairs = zip(self.filter_sets, filter_sets, strict=True)
         return self.listed is listed and all(a is b for a, b in pairs)
 
@@ -72,7 +72,7 @@
     :ivar bounds: operator's limits; replaced when settings are reloaded.
     :ivar on_event_gap: called with each gap between two events of a stream.
     :ivar count_known_peers: returns how many peers may exist.
-    :ivar desired: desired state in force; none before the first.
+    :ivar desired: desired state in force; None before the first.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
         return self.desired.version if self.desired else 0
 
     def adopt(self, state: desired.DesiredState, record: bytes) -> bool:
-        """Put a desired state in force if it is newer; tell whether it is.
+        """Put a desired state in force if it is newer; return whether it is.
 
         :param record: its encoded form, kept for peers.
         """
@@ -208,7 +208,7 @@
     ) -> datetime.timedelta | None:
         """Return the time until the first server's backoff ends.
 
-        :returns: 0 if a server is not backing off; none if the service has no
+        :returns: 0 if a server is not backing off; None if the service has no
             servers outside broken rank groups.
         """
         listed = self.backends.usable(service)
@@ -217,7 +217,7 @@
         } - self.broken_group_servers.servers()
         if outside_broken_groups - self.backoffs.servers():
             return datetime.timedelta()
-        return self.backoffs.time_left(outside_broken_groups)
+        return self.backoffs.remaining(outside_broken_groups)
 
     def apply_response_head(
         self, backend: desired.Backend, head: platform.BackendResponseHead
@@ -290,7 +290,7 @@
     ) -> admission.AdmissionRequest:
         """Return what admission looks at in a request to ``service``.
 
-        :param workspace: none where keys are not used.
+        :param workspace: None if the route needs no API key.
         :param is_caller_retry: whether the caller retries a refused request.
         """
         workspace_quota = None
@@ -452,7 +452,7 @@
     def spend_retry(
         self, service: ids.ServiceName, outcome: retry_policy.AttemptOutcome
     ) -> bool:
-        """Take one retry from the budget; tell whether there was one.
+        """Take one retry from the budget; return whether there was one.
 
         Part of the budget is reserved for broken attempts. Refusals often
         come from all servers at once, and their callers can retry, while the
--- a/src/lugcross/edge/event_stream.py
+++ b/src/lugcross/edge/event_stream.py
@@ -42,7 +42,7 @@
 
 
 def has_later_id(event: bytes, last_id: str) -> bool:
-    """Tell whether an event comes after the one with ``last_id``.
+    """Return whether an event comes after the one with ``last_id``.
 
     Used to drop events that the caller already has after a resume. An event
     whose id is missing or not a number counts as later.
--- a/src/lugcross/edge/long_poll.py
+++ b/src/lugcross/edge/long_poll.py
@@ -33,7 +33,7 @@
 def must_read_store(
     lag: datetime.timedelta, max_lag: datetime.timedelta
 ) -> bool:
-    """Tell whether this process must read the store instead of its peers.
+    """Return whether this process must read the store instead of its peers.
 
     One process reads for its failure domain. While that process is dead,
     frozen or cut off, the others would otherwise wait for it, and then for
@@ -83,18 +83,18 @@
 def is_overdue(
     newest_answer_age: datetime.timedelta | None,
     first_reader_wait: datetime.timedelta,
-    reader_rank: int,
+    reader_index: int,
 ) -> bool:
-    """Tell whether a waiting poll should be cancelled and sent again.
+    """Return whether a waiting poll should be cancelled and sent again.
 
     It should be once the store has answered no process for longer than the
     first reader's poll takes: the fleet's connections to the store may have
     gone silent.
 
     :param newest_answer_age: time since the store last answered any process;
-        none if that is not known.
+        None if that is not known.
     :param first_reader_wait: wait of the polls of the first reader.
-    :param reader_rank: number of processes that take over before this one.
+    :param reader_index: number of processes that take over before this one.
     """
     if newest_answer_age is None:
         return False
@@ -102,5 +102,5 @@
         newest_answer_age
         > first_reader_wait
         + ANSWER_TIMEOUT
-        + min(reader_rank, _MAX_TAKEOVER_STEPS) * _TAKEOVER_DELAY_STEP
+        + min(reader_index, _MAX_TAKEOVER_STEPS) * _TAKEOVER_DELAY_STEP
     )
--- a/src/lugcross/edge/request_forwarder.py
+++ b/src/lugcross/edge/request_forwarder.py
@@ -231,7 +231,7 @@
             )
 
     def _may_resend(self) -> bool:
-        """Tell whether the request may be retried if this attempt breaks."""
+        """Return whether the request may be retried if this attempt breaks."""
         broken = retry_policy.state_after(
             self._state, retry_policy.AttemptOutcome.BROKEN
         )
@@ -241,7 +241,7 @@
         )
 
     def _spend_retry(self, outcome: retry_policy.AttemptOutcome) -> bool:
-        """Tell whether a retry is allowed, and take it from the budget.
+        """Return whether a retry is allowed, and take it from the budget.
 
         It costs nothing while no attempt has reached a backend server.
         """
--- a/src/lugcross/edge/server_backoffs.py
+++ b/src/lugcross/edge/server_backoffs.py
@@ -83,7 +83,7 @@
             self._rebuild()
         return self._servers
 
-    def time_left(
+    def remaining(
         self, keys: Iterable[desired.BackendKey]
     ) -> datetime.timedelta | None:
         """Return the time until the first of ``keys`` may be sent to again.
--- a/src/lugcross/routing/backend_choice.py
+++ b/src/lugcross/routing/backend_choice.py
@@ -101,8 +101,8 @@
     If most servers seem to fail, the cause is probably this host or common
     to all of them, and the remaining few would only be overloaded.
     """
-    healthy = [c for c in usable if not c.avoided]
-    return healthy if 2 * len(healthy) >= len(usable) else usable
+    preferred = [c for c in usable if not c.avoided]
+    return preferred if 2 * len(preferred) >= len(usable) else usable
 
 
 def _cost(
--- a/testing/edge/test_server_backoffs.py
+++ b/testing/edge/test_server_backoffs.py
@@ -268,10 +268,10 @@
     backoffs.start(KEY, A_MOMENT)
     manual_clock.advance(2 * A_MOMENT)
     assert backoffs.is_active(KEY)
-    assert backoffs.time_left([KEY]) == BACKOFF - 2 * A_MOMENT
+    assert backoffs.remaining([KEY]) == BACKOFF - 2 * A_MOMENT
     manual_clock.advance(BACKOFF)
     assert not backoffs.is_active(KEY)
-    assert backoffs.time_left([KEY]) is None
+    assert backoffs.remaining([KEY]) is None
 
 
 def test_server_on_probation_is_probed_again_after_its_caller_leaves():
