--- a/src/lugcross/crash_suspects/assignment.py
+++ b/src/lugcross/crash_suspects/assignment.py
@@ -1,10 +1,10 @@
 # SPDX-License-Identifier: Apache-2.0
 """Deterministic assignment of crash suspects to servers.
 
-Requests suspected of the same two crashes are each tried once more on a
-server of their own, so that the next crash identifies the one to blame. All
-processes compute the same assignment: copies of one suspect that arrive at
-several processes at once run on the same server and crash only that one.
+Requests suspected of the same crashes are each tried again on a server of
+their own, so that the next crash identifies the one to blame. All processes
+compute the same assignment: copies of one suspect that arrive at several
+processes at once run on the same server and crash only that one.
 """
 
 from collections.abc import Collection
--- a/src/lugcross/edge/edge_state.py
+++ b/src/lugcross/edge/edge_state.py
@@ -67,7 +67,7 @@
 class EdgeState:
     """Desired state, backend servers, loads, connections and budgets.
 
-    One per process; all its parts read and update it.
+    A process has one, which all its components read and update.
 
     :ivar bounds: operator's limits; replaced when settings are reloaded.
     :ivar on_event_gap: called with each gap between two events of a stream.
--- a/src/lugcross/edge/retry_policy.py
+++ b/src/lugcross/edge/retry_policy.py
@@ -9,7 +9,7 @@
 import enum
 from typing import final
 
-#: Failed connections allowed per request. Nothing was sent, so another try
+#: Attempts per request that may end before anything is sent. Another try
 #: costs only time, but after so many the cause is probably on this side.
 MAX_FAILED_CONNECTIONS = 4
 
@@ -17,7 +17,8 @@
 class AttemptOutcome(enum.Enum):
     """How an attempt ended without a complete successful response.
 
-    ``UNREACHED``: no connection could be made, so nothing was sent.
+    ``UNREACHED``: nothing was sent, as no connection could be made or the
+        backend server asked for a backoff meanwhile.
     ``NOT_RUN``: the backend server stated that it did not run the request.
     ``FAILED``: the backend server ran the request and answered with an error.
     ``BROKEN``: the attempt broke off; the request may have run or not.
@@ -54,7 +55,7 @@
     :param repeatable: whether it may safely run more than once.
     :param max_attempts: number of backend servers that it may be sent to.
     :param attempts_sent: number of backend servers that it was sent to.
-    :param failed_connections: number of connections that could not be made.
+    :param failed_connections: number of attempts that ended ``UNREACHED``.
     :param may_have_run: whether a backend server may have run it.
     :param response_started: whether part of a response was written to the
         caller.
--- a/src/lugcross/edge/unreported_requests.py
+++ b/src/lugcross/edge/unreported_requests.py
@@ -24,12 +24,12 @@
     """Rate of events as an exponentially decaying average."""
 
     def __init__(self) -> None:
-        self._weight = 0.0
+        self._decayed_count = 0.0
         self._at = datetime.timedelta()
 
     def add(self, count: int, now: clock_lib.Instant) -> None:
         """Record events at the time ``now``."""
-        self._weight = self._decayed(now) + count
+        self._decayed_count = self._decayed(now) + count
         self._at = now
 
     def expected_within(
@@ -39,7 +39,9 @@
         return self._decayed(now) * (span / _RATE_TIME_CONSTANT)
 
     def _decayed(self, now: clock_lib.Instant) -> float:
-        return self._weight * math.exp((self._at - now) / _RATE_TIME_CONSTANT)
+        return self._decayed_count * math.exp(
+            (self._at - now) / _RATE_TIME_CONSTANT
+        )
 
 
 @final
