--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -35,11 +35,11 @@
 #: applies. Each crash also fails the other requests of the server, and of its
 #: whole rank group if it belongs to one.
 CRASHES_TO_REFUSE = 3
-#: The same if no other request can explain the crashes and no other server
-#: crashed around the same time.
+#: The same if no other request can explain the crashes, this one had run for
+#: about as long at each of them, and no other server crashed around the time.
 CRASHES_TO_REFUSE_IF_SINGLED_OUT = 2
-#: The same if around that time more servers crashed without the request than
-#: with it: an innocent request may be running at three crashes by chance.
+#: The same if around the time more servers crashed without the request than
+#: with it: an innocent one may be running at three unrelated crashes by chance.
 CRASHES_TO_REFUSE_IF_MOST_UNRELATED = 4
 #: With fewer crashes a request is never refused.
 MIN_CRASHES_TO_REFUSE = CRASHES_TO_REFUSE_IF_SINGLED_OUT
