--- a/src/lugcross/crash_suspects/registry.py
+++ b/src/lugcross/crash_suspects/registry.py
@@ -36,10 +36,10 @@
 #: whole rank group if it belongs to one.
 CRASHES_TO_REFUSE = 3
 #: The same if no other request can explain the crashes, this one had run for
-#: about as long at each of them, and no other server crashed around the time.
+#: about as long at each of them, and no other server crashed around then.
 CRASHES_TO_REFUSE_IF_SINGLED_OUT = 2
-#: The same if around the time more servers crashed without the request than
-#: with it: an innocent one may be running at three unrelated crashes by chance.
+#: The same if around that time more servers crashed without the request than
+#: with it: an innocent request may be running at three of them by chance.
 CRASHES_TO_REFUSE_IF_MOST_UNRELATED = 4
 #: With fewer crashes a request is never refused.
 MIN_CRASHES_TO_REFUSE = CRASHES_TO_REFUSE_IF_SINGLED_OUT
