--- a/src/lugcross/edge/request_errors.py
+++ b/src/lugcross/edge/request_errors.py
@@ -145,18 +145,20 @@
 
 def outcome_unknown(what: str) -> RequestError:
     """Return the response to a request that may or may not have run."""
-    return RequestError(
-        http.HTTPStatus.BAD_GATEWAY,
-        f"{what}; whether the request ran is not known",
-        remedy="send the request again only if it is safe to run it twice",
-    )
+    return _may_have_run(http.HTTPStatus.BAD_GATEWAY, what)
 
 
 def timed_out() -> RequestError:
     """Return the response to a request whose deadline has passed."""
+    return _may_have_run(
+        http.HTTPStatus.GATEWAY_TIMEOUT, "no answer before the deadline"
+    )
+
+
+def _may_have_run(status: http.HTTPStatus, what: str) -> RequestError:
     return RequestError(
-        http.HTTPStatus.GATEWAY_TIMEOUT,
-        "no answer before the deadline; whether the request ran is not known",
+        status,
+        f"{what}; whether the request ran is not known",
         remedy="send the request again only if it is safe to run it twice",
     )
 
