--- a/bench/suspect_policies.py
+++ b/bench/suspect_policies.py
@@ -11,9 +11,7 @@
 other attempts that was not served.
 """
 
-import asyncio
 import pathlib
-import random
 import statistics
 import sys
 import time
@@ -25,8 +23,8 @@
 
 from absl import logging  # noqa: E402
 import crash_rig  # noqa: E402
+import crash_scenario  # noqa: E402
 import pytest  # noqa: E402
-import virtual_time  # noqa: E402
 
 from lugcross import clock as clock_lib  # noqa: E402
 from lugcross import crash_suspects  # noqa: E402
@@ -35,12 +33,7 @@
 from lugcross.edge import messages  # noqa: E402
 from lugcross.edge import suspect_gossip  # noqa: E402
 
-CRASHING_BODY = b"ends who runs it"
 INTERVALS_S = (0.2, 1.0, 3.0)
-SECONDS = 30.0
-WARMUP_S = 4.0
-#: Ordinary load, which takes about six in ten of all slots.
-REQUESTS_PER_S = 36.0
 ATTEMPTS = 4
 #: Default number of seeds for each policy.
 SEEDS = 12
@@ -52,11 +45,6 @@
     return False
 
 
-def _return_true(*args: object) -> bool:
-    del args
-    return True
-
-
 def _choose_any_backend(edge_state: edge_state_lib.EdgeState, plan, tried):
     return edge_state.choose_backend(plan.service, tried)
 
@@ -101,32 +89,22 @@
 
 
 def _run_fleet(seed: int, interval_s: float) -> crash_rig.Fleet:
-    async def main() -> crash_rig.Fleet:
-        random.seed(seed)
-        fleet = crash_rig.Fleet(
-            patch, 3, 2, servers=10, attempts=ATTEMPTS, seed=seed
-        )
-        fleet.crashing_bodies.add(CRASHING_BODY)
-        fleet.start()
-        await asyncio.sleep(WARMUP_S)
-        with fleet.under_load(REQUESTS_PER_S):
-            for _ in range(int(SECONDS / interval_s)):
-                await asyncio.sleep(interval_s * fleet.rng.uniform(0.5, 1.5))
-                fleet.ask(fleet.rng.choice(list(fleet.nodes)), CRASHING_BODY)
-        await asyncio.sleep(2 * crash_rig.REQUEST_S)
-        await fleet.stop()
-        return fleet
-
     with pytest.MonkeyPatch.context() as patch:
-        return virtual_time.run(main())
+        return crash_scenario.run_resends(patch, seed, interval_s, ATTEMPTS)
 
 
 def _row(name: str, interval_s: float, seeds: int) -> str:
     crash_counts, wrong_refusals, unserved = [], set(), []
     for seed in range(1, seeds + 1):
         fleet = _run_fleet(seed, interval_s)
-        crash_counts.append(len(fleet.crash_times(CRASHING_BODY)))
-        others = [one for one in fleet.answers if one.body != CRASHING_BODY]
+        crash_counts.append(
+            len(fleet.crash_times(crash_scenario.CRASHING_BODY))
+        )
+        others = [
+            one
+            for one in fleet.answers
+            if one.body != crash_scenario.CRASHING_BODY
+        ]
         refused = (o.body for o in others if b"have ended while" in o.text)
         wrong_refusals |= {(seed, body) for body in refused}
         unserved.append(sum(one.status != 200 for one in others) / len(others))
--- a/testing/edge/test_crashing_requests.py
+++ b/testing/edge/test_crashing_requests.py
@@ -13,26 +13,18 @@
 """
 
 import asyncio
-from collections.abc import Callable
 from collections.abc import Coroutine
 import itertools
 import math
 import os
-import random
 from typing import Any
 
 import crash_rig
+import crash_scenario
 import edge_rig
 import pytest
-import virtual_time
 
-#: Time until every process has read the store and knows its peers.
-SETTLED_S = 4.0
-#: Rate of ordinary requests; they take six in ten of all slots.
-LOAD_PER_S = 36.0
 CONTACT_S = edge_rig.BOUNDS.store_recovery_time.total_seconds()
-#: Seeds and timings below belong to this body: its hash selects servers.
-CRASHING_BODY = b"ends who runs it"
 
 
 #: Times of faults, from the first send: just before and after the crashes
@@ -40,65 +32,12 @@
 FAULT_TIMES_S = (0.0, 0.15, 0.3, 1.2)
 
 
-def _resend(
-    fleet: crash_rig.Fleet, gap_s: float, seconds: float
-) -> Coroutine[Any, Any, None]:
-    """Send the crashing request to random processes, again and again."""
-
-    async def resend() -> None:
-        for _ in range(int(seconds / gap_s)):
-            await asyncio.sleep(gap_s * fleet.rng.uniform(0.5, 1.5))
-            fleet.ask(fleet.rng.choice(list(fleet.nodes)), CRASHING_BODY)
-
-    return resend()
-
-
-def _run(
-    monkeypatch,
-    scenario: Callable[[crash_rig.Fleet], Coroutine[Any, Any, None]],
-    *,
-    seed: int = 1,
-    attempts: int = 2,
-) -> crash_rig.Fleet:
-    """Run a scenario in a fleet of five processes and ten servers.
-
-    :param attempts: attempts per request that the route allows.
-    """
-
-    async def main() -> crash_rig.Fleet:
-        random.seed(seed)
-        fleet = crash_rig.Fleet(
-            monkeypatch, 3, 2, servers=10, attempts=attempts, seed=seed
-        )
-        fleet.crashing_bodies.add(CRASHING_BODY)
-        fleet.start()
-        await asyncio.sleep(SETTLED_S)
-        with fleet.under_load(LOAD_PER_S):
-            await scenario(fleet)
-        await asyncio.sleep(2 * crash_rig.REQUEST_S)
-        await fleet.stop()
-        return fleet
-
-    return virtual_time.run(main())
-
-
-def _run_resends(
-    monkeypatch, seed: int, gap_s: float, attempts: int
-) -> crash_rig.Fleet:
-    """Send the crashing request about every ``gap_s`` for 30 seconds."""
-    return _run(
-        monkeypatch,
-        lambda fleet: _resend(fleet, gap_s, 30.0),
-        seed=seed,
-        attempts=attempts,
-    )
-
-
 def _refused_innocents(fleet: crash_rig.Fleet) -> list[bytes]:
     return [
         one.body
         for one in fleet.answers
-        if one.body != CRASHING_BODY and b"have ended while" in one.text
+        if one.body != crash_scenario.CRASHING_BODY
+        and b"have ended while" in one.text
     ]
 
 
@@ -106,16 +45,18 @@
     crashes = {}
     late = {}
     for case in itertools.product((1, 2), (0.2, 1.0, 3.0), (2, 4)):
-        fleet = _run_resends(monkeypatch, *case)
-        crashes[case] = len(fleet.crash_times(CRASHING_BODY))
-        late[case] = fleet.sends_after_third_crash(CRASHING_BODY)
+        fleet = crash_scenario.run_resends(monkeypatch, *case)
+        crashes[case] = len(fleet.crash_times(crash_scenario.CRASHING_BODY))
+        late[case] = fleet.sends_after_third_crash(
+            crash_scenario.CRASHING_BODY
+        )
     assert max(crashes.values()) <= 3, crashes
     assert not any(late.values()), late
 
 
 def test_requests_running_beside_it_are_not_refused(monkeypatch):
     for seed in (3, 4, 5):
-        fleet = _run_resends(monkeypatch, seed, 1.0, 4)
+        fleet = crash_scenario.run_resends(monkeypatch, seed, 1.0, 4)
         assert _refused_innocents(fleet) == []
 
 
@@ -123,14 +64,14 @@
     for fault_s, seed in itertools.product(FAULT_TIMES_S, (1, 2)):
 
         async def scenario(fleet: crash_rig.Fleet, fault_s=fault_s) -> None:
-            fleet.ask("n0-0", CRASHING_BODY)
+            fleet.ask("n0-0", crash_scenario.CRASHING_BODY)
             await asyncio.sleep(fault_s)
             await fleet.restart("n0-0")
-            await _resend(fleet, 0.5, 15.0)
+            await crash_scenario.resend(fleet, 0.5, 15.0)
 
-        fleet = _run(monkeypatch, scenario, seed=seed)
-        assert len(fleet.crash_times(CRASHING_BODY)) <= 3
-        assert fleet.sends_after_third_crash(CRASHING_BODY) == 0
+        fleet = crash_scenario.run(monkeypatch, scenario, seed=seed)
+        assert len(fleet.crash_times(crash_scenario.CRASHING_BODY)) <= 3
+        assert fleet.sends_after_third_crash(crash_scenario.CRASHING_BODY) == 0
 
 
 def _kill(fleet: crash_rig.Fleet, name: str) -> Coroutine[Any, Any, None]:
@@ -189,24 +130,28 @@
             pair = FAULT_PAIRS[num]
 
             async def scenario(fleet, fault_s=fault_s, pair=pair) -> None:
-                fleet.ask("n0-0", CRASHING_BODY)
+                fleet.ask("n0-0", crash_scenario.CRASHING_BODY)
                 await asyncio.sleep(fault_s)
                 for fault, name in pair:
                     await fault(fleet, name)
-                await _resend(fleet, 0.5, 10.0)
+                await crash_scenario.resend(fleet, 0.5, 10.0)
 
-            fleet = _run(monkeypatch, scenario, seed=num + 1)
+            fleet = crash_scenario.run(monkeypatch, scenario, seed=num + 1)
             cut = {name for fault, name in pair if fault is _cut_off}
-            sends = [one for one in fleet.sends if one.body == CRASHING_BODY]
+            sends = [
+                one
+                for one in fleet.sends
+                if one.body == crash_scenario.CRASHING_BODY
+            ]
             others = [one for one in sends if one.node not in cut]
             killed = sum(fault is _kill for fault, _ in pair)
             unrelated = 1 if cut else 0
             assert len(others) <= 3 + killed + unrelated, pair
             late = fleet.sends_after_third_crash(
-                CRASHING_BODY, exclude_nodes=cut
+                crash_scenario.CRASHING_BODY, exclude_nodes=cut
             )
             assert late <= unrelated, pair
-            crashes = fleet.crash_times(CRASHING_BODY)
+            crashes = fleet.crash_times(crash_scenario.CRASHING_BODY)
             since = crashes[2] + CONTACT_S if len(crashes) > 2 else math.inf
             assert sum(one.at > since for one in others) <= 3, pair
 
@@ -216,22 +161,24 @@
 
     async def scenario(fleet: crash_rig.Fleet) -> None:
         fleet.cut_off("n1-1")
-        await _resend(fleet, 0.5, 8.0)
+        await crash_scenario.resend(fleet, 0.5, 8.0)
         fleet.reconnect("n1-1")
         await asyncio.sleep(
             edge_rig.BOUNDS.store_recovery_time.total_seconds()
         )
         before = len(fleet.sends)
         for name in fleet.nodes:
-            fleet.ask(name, CRASHING_BODY)
+            fleet.ask(name, crash_scenario.CRASHING_BODY)
         await asyncio.sleep(1.0)
         late = [
-            one for one in fleet.sends[before:] if one.body == CRASHING_BODY
+            one
+            for one in fleet.sends[before:]
+            if one.body == crash_scenario.CRASHING_BODY
         ]
         assert late == []
 
-    fleet = _run(monkeypatch, scenario)
-    assert len(fleet.crash_times(CRASHING_BODY)) <= 6
+    fleet = crash_scenario.run(monkeypatch, scenario)
+    assert len(fleet.crash_times(crash_scenario.CRASHING_BODY)) <= 6
 
 
 def test_copies_at_all_processes_at_once_crash_one_server_more(monkeypatch):
@@ -239,26 +186,31 @@
 
     async def scenario(fleet: crash_rig.Fleet) -> None:
         for name in fleet.nodes:
-            fleet.ask(name, CRASHING_BODY)
+            fleet.ask(name, crash_scenario.CRASHING_BODY)
         await asyncio.sleep(1.0)
-        await _resend(fleet, 0.5, 15.0)
+        await crash_scenario.resend(fleet, 0.5, 15.0)
 
     for seed in (1, 2, 3):
-        fleet = _run(monkeypatch, scenario, seed=seed, attempts=4)
-        assert len(fleet.crash_times(CRASHING_BODY)) <= len(fleet.nodes) + 1
-        assert fleet.sends_after_third_crash(CRASHING_BODY) == 0
+        fleet = crash_scenario.run(
+            monkeypatch, scenario, seed=seed, attempts=4
+        )
+        assert (
+            len(fleet.crash_times(crash_scenario.CRASHING_BODY))
+            <= len(fleet.nodes) + 1
+        )
+        assert fleet.sends_after_third_crash(crash_scenario.CRASHING_BODY) == 0
 
 
 def test_all_processes_lose_power_at_once(monkeypatch):
     async def scenario(fleet: crash_rig.Fleet) -> None:
-        await _resend(fleet, 0.5, 8.0)
+        await crash_scenario.resend(fleet, 0.5, 8.0)
         await fleet.restart_all()
-        await asyncio.sleep(SETTLED_S)
-        await _resend(fleet, 0.5, 8.0)
+        await asyncio.sleep(crash_scenario.SETTLED_S)
+        await crash_scenario.resend(fleet, 0.5, 8.0)
 
     for seed in (1, 2, 3):
-        fleet = _run(monkeypatch, scenario, seed=seed)
-        assert len(fleet.crash_times(CRASHING_BODY)) <= 3
+        fleet = crash_scenario.run(monkeypatch, scenario, seed=seed)
+        assert len(fleet.crash_times(crash_scenario.CRASHING_BODY)) <= 3
 
 
 def test_popular_request_is_not_refused_when_all_servers_crash(monkeypatch):
@@ -274,7 +226,7 @@
                     fleet.crash(server)
         await asyncio.sleep(2.0)
 
-    fleet = _run(monkeypatch, scenario)
+    fleet = crash_scenario.run(monkeypatch, scenario)
     assert len(fleet.crashes) == len(fleet.servers)
     assert _refused_innocents(fleet) == []
     late = [one for one in fleet.answers if one.body == popular][-5:]
@@ -292,6 +244,8 @@
             await asyncio.sleep(25.0)
             crashes.cancel()
 
-        fleet = _run(monkeypatch, scenario, seed=seed, attempts=4)
+        fleet = crash_scenario.run(
+            monkeypatch, scenario, seed=seed, attempts=4
+        )
         assert len(fleet.crashes) > most
         assert _refused_innocents(fleet) == []
